--- a/packages/base/include/hibiscus/base/clock.hpp
+++ b/packages/base/include/hibiscus/base/clock.hpp
@@ -37,11 +37,11 @@
     millis now() const;
 
     /// Returns the time of day as milliseconds since 1970. It may jump.
-    millis wall() const;
+    millis wall_time() const;
 
 private:
-    struct machine {};
-    std::variant<machine, std::shared_ptr<const manual_time>> source_;
+    struct system_source {};
+    std::variant<system_source, std::shared_ptr<const manual_time>> source_;
 };
 
 } // namespace hibiscus::base
--- a/packages/base/include/hibiscus/base/mechanisms.hpp
+++ b/packages/base/include/hibiscus/base/features.hpp
@@ -11,7 +11,7 @@
 
 /// A decision that is meant to serve callers better. Each can be switched off
 /// in the settings, so that operators see what it is worth on a deployment.
-enum class mechanism {
+enum class feature {
     move_silent_runs,     ///< Runs leave servers that have fallen silent.
     move_slow_runs,       ///< Runs leave servers that have become slow.
     move_to_faster,       ///< Long runs go on at a faster server.
@@ -35,44 +35,42 @@
 };
 
 template <>
-struct enum_names<mechanism> {
-    static constexpr std::array<enum_name<mechanism>, 20> table{{
-        {mechanism::move_silent_runs, "move_silent_runs"},
-        {mechanism::move_slow_runs, "move_slow_runs"},
-        {mechanism::move_to_faster, "move_to_faster"},
-        {mechanism::remember_paces, "remember_paces"},
-        {mechanism::spread_runs, "spread_runs"},
-        {mechanism::memory_cost, "memory_cost"},
-        {mechanism::spare_newer_weights, "spare_newer_weights"},
-        {mechanism::load_one_model, "load_one_model"},
-        {mechanism::load_by_need, "load_by_need"},
-        {mechanism::load_where_needed, "load_where_needed"},
-        {mechanism::longest_first, "longest_first"},
-        {mechanism::priorities, "priorities"},
-        {mechanism::run_ahead, "run_ahead"},
-        {mechanism::reuse_texts, "reuse_texts"},
-        {mechanism::save_progress, "save_progress"},
-        {mechanism::owner_by_size, "owner_by_size"},
-        {mechanism::call_through_nodes, "call_through_nodes"},
-        {mechanism::give_up_silent_store, "give_up_silent_store"},
-        {mechanism::known_servers_first, "known_servers_first"},
-        {mechanism::roomy_nodes_first, "roomy_nodes_first"},
+struct enum_names<feature> {
+    static constexpr std::array<enum_name<feature>, 20> table{{
+        {feature::move_silent_runs, "move_silent_runs"},
+        {feature::move_slow_runs, "move_slow_runs"},
+        {feature::move_to_faster, "move_to_faster"},
+        {feature::remember_paces, "remember_paces"},
+        {feature::spread_runs, "spread_runs"},
+        {feature::memory_cost, "memory_cost"},
+        {feature::spare_newer_weights, "spare_newer_weights"},
+        {feature::load_one_model, "load_one_model"},
+        {feature::load_by_need, "load_by_need"},
+        {feature::load_where_needed, "load_where_needed"},
+        {feature::longest_first, "longest_first"},
+        {feature::priorities, "priorities"},
+        {feature::run_ahead, "run_ahead"},
+        {feature::reuse_texts, "reuse_texts"},
+        {feature::save_progress, "save_progress"},
+        {feature::owner_by_size, "owner_by_size"},
+        {feature::call_through_nodes, "call_through_nodes"},
+        {feature::give_up_silent_store, "give_up_silent_store"},
+        {feature::known_servers_first, "known_servers_first"},
+        {feature::roomy_nodes_first, "roomy_nodes_first"},
     }};
 };
 
 /// Which mechanisms are on; all of them unless switched off.
-class mechanism_set {
+class feature_set {
 public:
-    bool has(mechanism m) const { return !off_.test(index(m)); }
+    bool is_enabled(feature m) const { return !disabled_.test(index(m)); }
 
-    void set(mechanism m, bool on) { off_.set(index(m), !on); }
+    void set_enabled(feature m, bool on) { disabled_.set(index(m), !on); }
 
 private:
-    static std::size_t index(mechanism m) {
-        return static_cast<std::size_t>(m);
-    }
+    static std::size_t index(feature m) { return static_cast<std::size_t>(m); }
 
-    std::bitset<enum_names<mechanism>::table.size()> off_;
+    std::bitset<enum_names<feature>::table.size()> disabled_;
 };
 
 } // namespace hibiscus::base
--- a/packages/base/src/clock.cpp
+++ b/packages/base/src/clock.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 template <class Clock>
-millis read() {
+millis read_clock() {
     const auto since = Clock::now().time_since_epoch();
     return std::chrono::duration_cast<std::chrono::milliseconds>(since).count();
 }
@@ -21,21 +21,23 @@
 
 millis clock::now() const {
     return std::visit(
-        overloaded{
-            [](const machine&) { return read<std::chrono::steady_clock>(); },
-            [](const std::shared_ptr<const manual_time>& time) {
-                return time->now();
-            }},
+        overloaded{[](const system_source&) {
+                       return read_clock<std::chrono::steady_clock>();
+                   },
+                   [](const std::shared_ptr<const manual_time>& time) {
+                       return time->now();
+                   }},
         source_);
 }
 
-millis clock::wall() const {
+millis clock::wall_time() const {
     return std::visit(
-        overloaded{
-            [](const machine&) { return read<std::chrono::system_clock>(); },
-            [](const std::shared_ptr<const manual_time>& time) {
-                return time->now();
-            }},
+        overloaded{[](const system_source&) {
+                       return read_clock<std::chrono::system_clock>();
+                   },
+                   [](const std::shared_ptr<const manual_time>& time) {
+                       return time->now();
+                   }},
         source_);
 }
 
--- a/packages/batch/include/hibiscus/batch/hand_over.hpp
+++ b/packages/batch/include/hibiscus/batch/handover.hpp
@@ -6,65 +6,65 @@
 namespace hibiscus::batch {
 
 /// Times of a hand-over, in ms.
-struct hand_over_times {
+struct handover_times {
     /// How long texts under way may take to be saved; what is not saved by
     /// then, the next owner runs again.
-    base::millis save = 500;
+    base::millis save_timeout = 500;
     /// After so long the owner stops without a record of it; the others take
     /// over once they find it silent.
-    base::millis total = 2000;
+    base::millis total_timeout = 2000;
     /// The pause after a record that the store did not take.
-    base::millis retry = 20;
+    base::millis retry_interval = 20;
 };
 
 /// What to do about the hand-over now.
-enum class hand_over_step { wait, give_up, end };
+enum class handover_action { wait, release, end };
 
 /// Plans the hand-over of an owner that stops. It ends within a bounded time
 /// whatever the store does: an owner that is stuck in it starts no item and
 /// keeps all others from starting any.
-class hand_over {
+class handover {
 public:
-    explicit hand_over(base::clock clock, hand_over_times times = {})
+    explicit handover(base::clock clock, handover_times times = {})
         : clock_(std::move(clock)), times_(times) {}
 
     /// The process was told to stop.
     void begin();
 
     /// The texts under way are saved, as far as the store took them.
-    void saved() { saved_ = true; }
+    void on_texts_saved() { texts_saved_ = true; }
 
     /// The store did not take the record that gives the jobs up.
-    void refused();
+    void on_record_rejected();
 
     /// Returns what to do, given whether the process owns the jobs and whether
     /// an append of it to the journal is under way.
-    hand_over_step next(bool owns, bool appending);
+    handover_action next_action(bool owns, bool appending);
 
-    bool begun() const { return begun_; }
+    bool has_begun() const { return has_begun_; }
 
     /// Returns true from when the jobs may be given up: each other append to
     /// the journal would renew the ownership.
-    bool is_due() const;
+    bool may_release() const;
 
     /// Returns true once the process no longer acts as the owner.
-    bool ended() const { return ended_; }
+    bool has_ended() const { return has_ended_; }
 
     /// Returns how long it has lasted, in ms.
-    base::millis lasted() const { return clock_.now() - begun_at_; }
+    base::millis elapsed() const { return clock_.now() - begun_at_; }
 
     /// Returns how often the store was asked to take the record.
-    int tries() const { return tries_; }
+    int attempts() const { return attempts_; }
 
 private:
     base::clock clock_;
-    hand_over_times times_;
+    handover_times times_;
     base::millis begun_at_ = 0;
-    base::millis next_try_ = 0;
-    int tries_ = 0;
-    bool begun_ = false;
-    bool saved_ = false;
-    bool ended_ = false;
+    base::millis next_attempt_at_ = 0;
+    int attempts_ = 0;
+    bool has_begun_ = false;
+    bool texts_saved_ = false;
+    bool has_ended_ = false;
 };
 
 } // namespace hibiscus::batch
--- a/packages/batch/include/hibiscus/batch/job.hpp
+++ b/packages/batch/include/hibiscus/batch/job.hpp
@@ -35,15 +35,15 @@
 struct item {
     item_id id;
     std::string path;
-    std::vector<std::pair<std::string, std::string>> fields;
+    std::vector<std::pair<std::string, std::string>> header_fields;
     std::string body;
     /// The most tokens that it reads and writes.
-    std::int64_t tokens = 0;
+    std::int64_t max_total_tokens = 0;
     /// The tokens that it reads.
     std::int64_t prompt_tokens = 0;
     /// The caller's guess of the tokens that will be written; half of the
     /// guesses are too low.
-    std::int64_t expected_tokens = 0;
+    std::int64_t expected_output_tokens = 0;
     std::string group;
     std::optional<reward_call> reward;
 };
@@ -56,14 +56,14 @@
     std::string path;
     std::string model;
     std::int64_t step = 0;
-    weight_version least_version = 0;
-    int wanted_groups = 0;
-    int items = 0;
+    weight_version min_version = 0;
+    int required_groups = 0;
+    int item_count = 0;
     /// The number of records that hold the items.
-    int chunks = 0;
+    int chunk_count = 0;
     /// The time of day at its acceptance, in ms since 1970, by the clock of
     /// the node that accepted it. Only a hint: clocks differ and jump.
-    base::millis accepted_wall = 0;
+    base::millis accepted_wall_ms = 0;
 };
 
 /// A job as it was submitted.
@@ -86,14 +86,14 @@
 
 /// Text that has come since the last saved part.
 struct progress_part {
-    int item = 0;
+    int item_index = 0;
     /// Grows with each owner and each start at the first event; parts of an
     /// earlier epoch are void, so that a process that no longer is the owner
     /// can't mix its parts with the owner's.
     std::int64_t epoch = 0;
     /// The events before this part, and those in it.
-    int from = 0;
-    int events = 0;
+    int first_event = 0;
+    int event_count = 0;
     std::string last_event;
     std::string text;
     /// All versions up to the end of this part.
--- a/packages/batch/include/hibiscus/batch/ledger.hpp
+++ b/packages/batch/include/hibiscus/batch/job_table.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "hibiscus/batch/records.hpp"
-#include "hibiscus/store/follower.hpp"
+#include "hibiscus/store/partition_watcher.hpp"
 
 #include <map>
 #include <optional>
@@ -13,12 +13,12 @@
 struct job_row {
     std::optional<job_header> header;
     /// What is listed, by the position of its first row.
-    std::map<int, listing> listings;
+    std::map<int, result_commit> commits;
     /// The numbers of the listed items.
-    std::set<int> listed;
-    bool ended = false;
+    std::set<int> committed_items;
+    bool has_ended = false;
     /// When this process first saw the job.
-    base::millis seen_at = 0;
+    base::millis first_seen_at = 0;
 
     /// Returns the position behind the last listed one.
     int next_position() const;
@@ -27,14 +27,14 @@
 /// The owner, and when this process last saw it renew its record.
 struct owner_row {
     owner_record record;
-    base::millis seen_at = 0;
+    base::millis last_seen_at = 0;
 };
 
 /// All jobs, folded from the records of the journal. Every process that reads
 /// the journal comes to the same ledger.
-class ledger {
+class job_table {
 public:
-    explicit ledger(base::clock clock) : clock_(std::move(clock)) {}
+    explicit job_table(base::clock clock) : clock_(std::move(clock)) {}
 
     /// Takes in a change. Returns the job that it concerns, or nothing if it
     /// concerns none or can't be read.
@@ -48,17 +48,17 @@
     const std::optional<owner_row>& owner() const { return owner_; }
 
     /// Returns how many records were skipped because they can't be read.
-    std::uint64_t unreadable() const { return unreadable_; }
+    std::uint64_t unreadable_records() const { return unreadable_records_; }
 
 private:
-    void put(const journal_key& key, const std::string& value);
-    void erase(const journal_key& key);
-    job_row& row(const job_id& id);
+    void apply_value(const journal_key& key, const std::string& value);
+    void apply_erasure(const journal_key& key);
+    job_row& find_or_add(const job_id& id);
 
     base::clock clock_;
     std::map<job_id, job_row> jobs_;
     std::optional<owner_row> owner_;
-    std::uint64_t unreadable_ = 0;
+    std::uint64_t unreadable_records_ = 0;
 };
 
 } // namespace hibiscus::batch
--- a/packages/batch/src/work_limits.hpp
+++ b/packages/batch/src/item_scheduler_limits.hpp
@@ -4,6 +4,6 @@
 namespace hibiscus::batch {
 
 /// A run with so many events is long: about twice the mean.
-constexpr int long_events = 45;
+constexpr int long_run_events = 45;
 
 } // namespace hibiscus::batch
--- a/packages/batch/src/records.cpp
+++ b/packages/batch/src/records.cpp
@@ -18,9 +18,9 @@
 constexpr char separator = '/';
 
 /// The bytes of a record besides its value: the key and its framing.
-constexpr std::size_t record_overhead = 512;
+constexpr std::size_t record_overhead_bytes = 512;
 
-std::string padded(int number) {
+std::string zero_padded(int number) {
     char text[16];
     std::snprintf(text, sizeof text, "%06d", number);
     return text;
@@ -39,7 +39,7 @@
     }
 }
 
-std::optional<int> number(const std::string& text) {
+std::optional<int> parse_number(const std::string& text) {
     int value = 0;
     const auto* end = text.data() + text.size();
     const auto read = std::from_chars(text.data(), end, value);
@@ -49,7 +49,7 @@
     return value;
 }
 
-std::string pack(const json& value) {
+std::string to_cbor(const json& value) {
     std::string out;
     json::to_cbor(value, out);
     return out;
@@ -57,7 +57,7 @@
 
 /// Decodes a value; anything that is not as `read` expects it is no value.
 template <class T, class F>
-std::optional<T> unpack(const std::string& bytes, F read) {
+std::optional<T> from_cbor(const std::string& bytes, F read) {
     const auto value = json::from_cbor(bytes, true, false);
     if (value.is_discarded()) {
         return std::nullopt;
@@ -69,72 +69,76 @@
     }
 }
 
-json binary(const std::string& bytes) {
+json to_json_binary(const std::string& bytes) {
     return json::binary(std::vector<std::uint8_t>(bytes.begin(), bytes.end()));
 }
 
-std::string text_of(const json& value) {
+std::string from_json_binary(const json& value) {
     const auto& bytes = value.get_binary();
     return std::string(bytes.begin(), bytes.end());
 }
 
 json to_json(const item& i) {
-    json out{{"id", i.id.str()},          {"path", i.path},
-             {"body", binary(i.body)},    {"tokens", i.tokens},
-             {"prompt", i.prompt_tokens}, {"expect", i.expected_tokens},
+    json out{{"id", i.id.str()},
+             {"path", i.path},
+             {"body", to_json_binary(i.body)},
+             {"tokens", i.max_total_tokens},
+             {"prompt", i.prompt_tokens},
+             {"expect", i.expected_output_tokens},
              {"group", i.group}};
     auto& fields = out["fields"] = json::array();
-    for (const auto& f : i.fields) {
+    for (const auto& f : i.header_fields) {
         fields.push_back({f.first, f.second});
     }
     if (i.reward) {
         out["reward"] = {{"id", i.reward->id},
                          {"host", i.reward->host},
                          {"path", i.reward->path},
-                         {"body", binary(i.reward->body)}};
+                         {"body", to_json_binary(i.reward->body)}};
     }
     return out;
 }
 
-item item_from(const json& in) {
+item item_from_json(const json& in) {
     item i;
     i.id = item_id(in.at("id").get<std::string>());
     i.path = in.at("path").get<std::string>();
-    i.body = text_of(in.at("body"));
-    i.tokens = in.at("tokens").get<std::int64_t>();
+    i.body = from_json_binary(in.at("body"));
+    i.max_total_tokens = in.at("tokens").get<std::int64_t>();
     i.prompt_tokens = in.at("prompt").get<std::int64_t>();
-    i.expected_tokens = in.at("expect").get<std::int64_t>();
+    i.expected_output_tokens = in.at("expect").get<std::int64_t>();
     i.group = in.at("group").get<std::string>();
     for (const auto& f : in.at("fields")) {
-        i.fields.emplace_back(f.at(0).get<std::string>(),
-                              f.at(1).get<std::string>());
+        i.header_fields.emplace_back(f.at(0).get<std::string>(),
+                                     f.at(1).get<std::string>());
     }
     if (in.contains("reward")) {
         const auto& r = in.at("reward");
         i.reward = reward_call{
             r.at("id").get<std::string>(), r.at("host").get<std::string>(),
-            r.at("path").get<std::string>(), text_of(r.at("body"))};
+            r.at("path").get<std::string>(), from_json_binary(r.at("body"))};
     }
     return i;
 }
 
-const std::string owner_text = "!owner";
+const std::string owner_key_text = "!owner";
 
 } // namespace
 
-std::string to_text(const journal_key& key) {
+std::string format_key(const journal_key& key) {
     return std::visit(
-        base::overloaded{[](const owner_key&) { return owner_text; },
+        base::overloaded{[](const owner_key&) { return owner_key_text; },
                          [](const header_key& k) { return k.job.str() + "/h"; },
-                         [](const listing_key& k) {
-                             return k.job.str() + "/l/" + padded(k.position);
+                         [](const commit_key& k) {
+                             return k.job.str() + "/l/" +
+                                    zero_padded(k.position);
                          },
                          [](const end_key& k) { return k.job.str() + "/x"; }},
         key);
 }
 
 std::optional<journal_key> parse_key(const std::string& text) {
-    if (text == owner_text) {
+    if (text == owner_key_text) {
         return owner_key{};
     }
     const auto parts = split(text);
@@ -149,8 +153,8 @@
         return end_key{job};
     }
     if (parts.size() == 3 && parts[1] == "l") {
-        if (const auto position = number(parts[2])) {
-            return listing_key{job, *position};
+        if (const auto position = parse_number(parts[2])) {
+            return commit_key{job, *position};
         }
     }
     return std::nullopt;
@@ -160,38 +164,39 @@
     return job.str() + separator;
 }
 
-std::string chunk_text(const job_id& job, int chunk) {
-    return job_prefix(job) + padded(chunk);
+std::string chunk_key(const job_id& job, int chunk) {
+    return job_prefix(job) + zero_padded(chunk);
 }
 
-std::string texts_text(const job_id& job, int position,
-                       const std::string& texts) {
-    return job_prefix(job) + padded(position) + separator + texts;
+std::string texts_key(const job_id& job, int position,
+                      const std::string& texts) {
+    return job_prefix(job) + zero_padded(position) + separator + texts;
 }
 
-std::string before_texts(const job_id& job, int position,
-                         const std::string& texts) {
+std::string key_before_texts(const job_id& job, int position,
+                             const std::string& texts) {
     // The greatest of the texts that begin with a smaller last character.
-    auto key = texts_text(job, position, texts);
+    auto key = texts_key(job, position, texts);
     --key.back();
     return key + '~';
 }
 
-std::string progress_text(const job_id& job, const progress_part& part) {
-    return job_prefix(job) + padded(part.item) + separator +
-           std::to_string(part.epoch) + separator + padded(part.from);
+std::string progress_key(const job_id& job, const progress_part& part) {
+    return job_prefix(job) + zero_padded(part.item_index) + separator +
+           std::to_string(part.epoch) + separator +
+           zero_padded(part.first_event);
 }
 
 std::string encode(const owner_record& value) {
-    return pack({{"node", value.node.str()},
-                 {"incarnation", value.incarnation},
-                 {"fence", value.fence},
-                 {"beat", value.beat},
-                 {"left", value.left}});
+    return to_cbor({{"node", value.node.str()},
+                    {"incarnation", value.incarnation},
+                    {"fence", value.fencing_token},
+                    {"beat", value.renewals},
+                    {"left", value.handed_over}});
 }
 
 std::optional<owner_record> decode_owner(const std::string& bytes) {
-    return unpack<owner_record>(bytes, [](const json& in) {
+    return from_cbor<owner_record>(bytes, [](const json& in) {
         return owner_record{base::node_id(in.at("node").get<std::string>()),
                             in.at("incarnation").get<std::string>(),
                             in.at("fence").get<store::log_offset>(),
@@ -201,31 +206,31 @@
 }
 
 std::string encode(const job_header& h) {
-    return pack({{"id", h.id.str()},
-                 {"host", h.host},
-                 {"path", h.path},
-                 {"model", h.model},
-                 {"step", h.step},
-                 {"least", h.least_version},
-                 {"groups", h.wanted_groups},
-                 {"items", h.items},
-                 {"chunks", h.chunks},
-                 {"wall", h.accepted_wall}});
+    return to_cbor({{"id", h.id.str()},
+                    {"host", h.host},
+                    {"path", h.path},
+                    {"model", h.model},
+                    {"step", h.step},
+                    {"least", h.min_version},
+                    {"groups", h.required_groups},
+                    {"items", h.item_count},
+                    {"chunks", h.chunk_count},
+                    {"wall", h.accepted_wall_ms}});
 }
 
 std::optional<job_header> decode_header(const std::string& bytes) {
-    return unpack<job_header>(bytes, [](const json& in) {
+    return from_cbor<job_header>(bytes, [](const json& in) {
         job_header h;
         h.id = job_id(in.at("id").get<std::string>());
         h.host = in.at("host").get<std::string>();
         h.path = in.at("path").get<std::string>();
         h.model = in.at("model").get<std::string>();
         h.step = in.at("step").get<std::int64_t>();
-        h.least_version = in.at("least").get<weight_version>();
-        h.wanted_groups = in.at("groups").get<int>();
-        h.items = in.at("items").get<int>();
-        h.chunks = in.at("chunks").get<int>();
-        h.accepted_wall = in.at("wall").get<base::millis>();
+        h.min_version = in.at("least").get<weight_version>();
+        h.required_groups = in.at("groups").get<int>();
+        h.item_count = in.at("items").get<int>();
+        h.chunk_count = in.at("chunks").get<int>();
+        h.accepted_wall_ms = in.at("wall").get<base::millis>();
         return h;
     });
 }
@@ -235,31 +240,31 @@
     for (const auto& i : value) {
         out.push_back(to_json(i));
     }
-    return pack(out);
+    return to_cbor(out);
 }
 
 std::optional<std::vector<item>> decode_items(const std::string& bytes) {
-    return unpack<std::vector<item>>(bytes, [](const json& in) {
+    return from_cbor<std::vector<item>>(bytes, [](const json& in) {
         std::vector<item> items;
         for (const auto& row : in) {
-            items.push_back(item_from(row));
+            items.push_back(item_from_json(row));
         }
         return items;
     });
 }
 
-std::string encode(const listing& value) {
+std::string encode(const result_commit& value) {
     json rows = json::array();
     for (const auto& r : value.rows) {
-        rows.push_back({r.item, base::name_of(r.outcome)});
+        rows.push_back({r.item_index, base::name_of(r.outcome)});
     }
-    return pack({{"texts", value.texts}, {"rows", std::move(rows)}});
+    return to_cbor({{"texts", value.texts_name}, {"rows", std::move(rows)}});
 }
 
-std::optional<listing> decode_listing(const std::string& bytes) {
-    return unpack<listing>(bytes, [](const json& in) {
-        listing l;
-        l.texts = in.at("texts").get<std::string>();
+std::optional<result_commit> decode_commit(const std::string& bytes) {
+    return from_cbor<result_commit>(bytes, [](const json& in) {
+        result_commit l;
+        l.texts_name = in.at("texts").get<std::string>();
         for (const auto& r : in.at("rows")) {
             const auto outcome = base::from_name<item_outcome>(
                 r.at(1).get_ref<const std::string&>());
@@ -275,16 +280,16 @@
     for (const auto& r : value) {
         out.push_back({{"id", r.id.str()},
                        {"outcome", base::name_of(r.outcome)},
-                       {"text", binary(r.text)},
+                       {"text", to_json_binary(r.text)},
                        {"versions", r.versions},
                        {"score", r.score}});
     }
-    return pack(out);
+    return to_cbor(out);
 }
 
 std::optional<std::vector<item_result>>
 decode_results(const std::string& bytes) {
-    return unpack<std::vector<item_result>>(bytes, [](const json& in) {
+    return from_cbor<std::vector<item_result>>(bytes, [](const json& in) {
         std::vector<item_result> out;
         for (const auto& row : in) {
             item_result r;
@@ -292,7 +297,7 @@
             r.outcome = base::from_name<item_outcome>(
                             row.at("outcome").get_ref<const std::string&>())
                             .value_or(item_outcome::errored);
-            r.text = text_of(row.at("text"));
+            r.text = from_json_binary(row.at("text"));
             r.versions = row.at("versions").get<std::vector<weight_version>>();
             r.score = row.at("score").get<std::string>();
             out.push_back(std::move(r));
@@ -302,36 +307,36 @@
 }
 
 std::string encode(const progress_part& p) {
-    return pack({{"item", p.item},
-                 {"epoch", p.epoch},
-                 {"from", p.from},
-                 {"events", p.events},
-                 {"last", p.last_event},
-                 {"text", binary(p.text)},
-                 {"versions", p.versions},
-                 {"failures", p.failures}});
+    return to_cbor({{"item", p.item_index},
+                    {"epoch", p.epoch},
+                    {"from", p.first_event},
+                    {"events", p.event_count},
+                    {"last", p.last_event},
+                    {"text", to_json_binary(p.text)},
+                    {"versions", p.versions},
+                    {"failures", p.failures}});
 }
 
 std::optional<progress_part> decode_progress(const std::string& bytes) {
-    return unpack<progress_part>(bytes, [](const json& in) {
+    return from_cbor<progress_part>(bytes, [](const json& in) {
         progress_part p;
-        p.item = in.at("item").get<int>();
+        p.item_index = in.at("item").get<int>();
         p.epoch = in.at("epoch").get<std::int64_t>();
-        p.from = in.at("from").get<int>();
-        p.events = in.at("events").get<int>();
+        p.first_event = in.at("from").get<int>();
+        p.event_count = in.at("events").get<int>();
         p.last_event = in.at("last").get<std::string>();
-        p.text = text_of(in.at("text"));
+        p.text = from_json_binary(in.at("text"));
         p.versions = in.at("versions").get<std::vector<weight_version>>();
         p.failures = in.at("failures").get<int>();
         return p;
     });
 }
 
-std::vector<store::record> cut_into_chunks(job_header& header,
-                                           std::vector<item> items,
-                                           std::size_t record_bytes) {
-    header.items = static_cast<int>(items.size());
-    header.chunks = 0;
+std::vector<store::record> split_into_chunks(job_header& header,
+                                             std::vector<item> items,
+                                             std::size_t record_bytes) {
+    header.item_count = static_cast<int>(items.size());
+    header.chunk_count = 0;
     std::vector<store::record> out;
     std::vector<item> chunk;
     std::size_t in_chunk = 0;
@@ -339,13 +344,14 @@
         if (chunk.empty()) {
             return;
         }
-        out.push_back({chunk_text(header.id, header.chunks++), encode(chunk)});
+        out.push_back(
+            {chunk_key(header.id, header.chunk_count++), encode(chunk)});
         chunk.clear();
         in_chunk = 0;
     };
     for (auto& i : items) {
-        const auto size = pack(to_json(i)).size();
-        if (in_chunk + size + record_overhead > record_bytes) {
+        const auto size = to_cbor(to_json(i)).size();
+        if (in_chunk + size + record_overhead_bytes > record_bytes) {
             flush();
         }
         in_chunk += size;
@@ -355,22 +361,23 @@
     return out;
 }
 
-saved_text join_parts(std::vector<progress_part> parts) {
-    saved_text out;
+recovered_text join_progress_parts(std::vector<progress_part> parts) {
+    recovered_text out;
     std::sort(parts.begin(), parts.end(), [](const auto& a, const auto& b) {
-        return std::tie(b.epoch, a.from) < std::tie(a.epoch, b.from);
+        return std::tie(b.epoch, a.first_event) <
+               std::tie(a.epoch, b.first_event);
     });
     for (const auto& part : parts) {
         out.failures = std::max(out.failures, part.failures);
-        if (part.epoch != parts.front().epoch || part.from != out.events ||
-            part.events == 0) {
+        if (part.epoch != parts.front().epoch ||
+            part.first_event != out.event_count || part.event_count == 0) {
             continue;
         }
-        if (out.events > 0) {
+        if (out.event_count > 0) {
             out.text += '\n';
         }
         out.text += part.text;
-        out.events += part.events;
+        out.event_count += part.event_count;
         out.last_event = part.last_event;
         out.versions = part.versions;
     }
--- a/packages/batch/test/owner_cut_off_test.cpp
+++ b/packages/batch/test/owner_partition_test.cpp
@@ -1,6 +1,6 @@
-#include "hibiscus/batch/ownership.hpp"
-#include "hibiscus/store/follower.hpp"
-#include "hibiscus/store/store_link.hpp"
+#include "hibiscus/batch/owner_lease.hpp"
+#include "hibiscus/store/partition_watcher.hpp"
+#include "hibiscus/store/store_router.hpp"
 
 #include <gtest/gtest.h>
 
@@ -16,7 +16,7 @@
 
 /// An owner, its link and the store in virtual time. The store serves other
 /// nodes all the while.
-class owner_cut_off_test : public testing::Test {
+class owner_partition_test : public testing::Test {
 protected:
     static constexpr base::millis answer_ms = 8;
     static constexpr base::millis relayed_ms = 12;
@@ -35,7 +35,7 @@
         std::function<void()> unanswered;
     };
 
-    owner_cut_off_test() {
+    owner_partition_test() {
         port_.append = [this](const auto&, const auto& records,
                               const store::log_offset* at, auto done) {
             const auto end = at == nullptr ? journal_.size() : *at;
@@ -43,7 +43,7 @@
                 0,
                 [this, records, end, done] {
                     if (end != journal_.size()) {
-                        done(store::end_differs{journal_.size()});
+                        done(store::append_conflict{journal_.size()});
                         return;
                     }
                     const auto first = journal_.size();
@@ -52,7 +52,7 @@
                     renewals_.push_back(time_->now());
                     done(store::appended{first, journal_.size()});
                 },
-                [done] { done(store::unanswered{}); });
+                [done] { done(store::outcome_unknown{}); });
         };
         port_.read = [this](const auto&, store::log_offset from,
                             base::millis wait, auto done) {
@@ -60,19 +60,19 @@
             send(
                 from < journal_.size() ? 0 : wait,
                 [this, from, done] {
-                    store::read_records out;
+                    store::fetched_records out;
                     out.end = journal_.size();
                     for (auto n = from; n < journal_.size(); ++n) {
                         out.records.push_back({n, journal_[n]});
                     }
                     done(store::read_result(std::move(out)));
                 },
-                [done] { done(store::unanswered{}); });
+                [done] { done(store::outcome_unknown{}); });
         };
-        port_.newest = [this](const auto&, const auto&, auto done) {
+        port_.read_latest = [this](const auto&, const auto&, auto done) {
             send(
-                0, [done] { done(store::newest_page{}); },
-                [done] { done(store::unanswered{}); });
+                0, [done] { done(store::latest_page{}); },
+                [done] { done(store::outcome_unknown{}); });
         };
     }
 
@@ -80,7 +80,7 @@
     /// cut off, one that goes to the store itself hangs until its time is over.
     void send(base::millis wait, std::function<void()> answered,
               std::function<void()> unanswered) {
-        const auto route = link_.begin(wait, {"journal", 0});
+        const auto route = link_.begin_call(wait, {"journal", 0});
         const bool hangs = cut_ && !route.relayed;
         const auto lasts =
             hangs ? wait + call_ms
@@ -89,7 +89,7 @@
         c.direct = !route.relayed;
         c.due = time_->now() + lasts;
         c.unanswered = [this, route, f = std::move(unanswered)] {
-            link_.ended(route, false, false);
+            link_.end_call(route, false, false);
             f();
         };
         c.answered = [this, route, hangs, f = std::move(answered),
@@ -98,7 +98,7 @@
                 none();
                 return;
             }
-            link_.ended(route, true, true);
+            link_.end_call(route, true, true);
             f();
         };
         calls_.push_back(std::move(c));
@@ -138,12 +138,14 @@
     /// Renews as an owner does that lists nothing.
     void tick() {
         // A node looks for overdue calls many times a second.
-        static_cast<void>(link_.away());
-        const auto step = owner_.next(ledger_, follower_.current_at());
-        const bool due = step == ownership_step::renew || owner_.overdue();
+        static_cast<void>(link_.check_unreachable());
+        const auto step =
+            owner_.next_action(ledger_, follower_.current_as_of());
+        const bool due =
+            step == lease_action::renew || owner_.is_renewal_overdue();
         if (!appending_ && due) {
             appending_ = true;
-            const auto at = follower_.next();
+            const auto at = follower_.next_offset();
             const auto sent_at = time_->now();
             const std::vector<store::record> records{own_record()};
             port_.append(
@@ -151,8 +153,8 @@
                 [this, records, sent_at](const store::append_result& r) {
                     appending_ = false;
                     if (const auto* a = base::value_if(r)) {
-                        owner_.renewed();
-                        follower_.appended_here(a->first, records, sent_at);
+                        owner_.on_renewed();
+                        follower_.apply_own_append(a->first, records, sent_at);
                     }
                 });
         }
@@ -160,7 +162,7 @@
 
     store::record own_record() {
         return {
-            to_text(owner_key{}),
+            format_key(owner_key{}),
             encode(owner_record{base::node_id("n1"), "x", 1, ++beats_, false})};
     }
 
@@ -191,28 +193,29 @@
     std::vector<store::record> journal_;
     std::vector<base::millis> renewals_;
     store::log_store port_;
-    store::store_link link_{
+    store::store_router link_{
         clock_,
         {"10.0.0.1", 1},
         [] {
             return std::vector<base::endpoint>{{"10.0.0.2", 2}};
         },
         [this] { give_up_direct_calls(); }};
-    ledger ledger_{clock_};
-    ownership owner_{clock_, base::node_id("n1"), "x", {}, 0.5, 1};
-    store::follower follower_{port_,
-                              {"journal", 0},
-                              clock_,
-                              [this](base::millis ms, std::function<void()> f) {
-                                  later(ms, std::move(f));
-                              },
-                              {150, 100, {}},
-                              {[this](const auto& changes) {
-                                   for (const auto& c : changes) {
-                                       ledger_.apply(c);
-                                   }
-                               },
-                               {}}};
+    job_table ledger_{clock_};
+    owner_lease owner_{clock_, base::node_id("n1"), "x", {}, 0.5, 1};
+    store::partition_watcher follower_{
+        port_,
+        {"journal", 0},
+        clock_,
+        [this](base::millis ms, std::function<void()> f) {
+            later(ms, std::move(f));
+        },
+        {150, 100, {}},
+        {[this](const auto& changes) {
+             for (const auto& c : changes) {
+                 ledger_.apply(c);
+             }
+         },
+         {}}};
     bool appending_ = false;
     std::int64_t beats_ = 0;
 };
@@ -222,7 +225,7 @@
 // owner must read the journal before it can append to it. Its read hangs; if it
 // waits for that, the others take the jobs, and every trainer waits for texts
 // that are begun anew.
-TEST_F(owner_cut_off_test, renews_through_others_before_they_claim) {
+TEST_F(owner_partition_test, renews_through_others_before_they_claim) {
     journal_.push_back(own_record());
     renewals_.push_back(0);
     follower_.start();
@@ -231,13 +234,13 @@
         play(begun + 1000 + cut_after);
         cut_ = true;
         play(time_->now() + 60);
-        journal_.push_back({to_text(header_key{job_id("j")}), "-"});
+        journal_.push_back({format_key(header_key{job_id("j")}), "-"});
         play(time_->now() + 3000);
         cut_ = false;
-        link_.back(answer_ms);
+        link_.mark_reachable(answer_ms);
         play(time_->now() + 1500);
     }
-    EXPECT_LT(longest_silence(), ownership_times().silence);
+    EXPECT_LT(longest_silence(), owner_lease_times().lease_timeout);
 }
 
 } // namespace
--- a/packages/batch/test/owners_fuzz_test.cpp
+++ b/packages/batch/test/owners_fuzz_test.cpp
@@ -1,5 +1,5 @@
-#include "hibiscus/batch/listing_plan.hpp"
-#include "hibiscus/batch/ownership.hpp"
+#include "hibiscus/batch/commit_plan.hpp"
+#include "hibiscus/batch/owner_lease.hpp"
 #include "support/fuzz.hpp"
 #include "support/memory_store.hpp"
 
@@ -21,22 +21,23 @@
 class reader_oracle {
 public:
     /// Looks at a ledger as a reader would; returns what is wrong, or "".
-    std::string look(const ledger& l) {
+    std::string check(const job_table& l) {
         const auto* row = l.find(job);
         if (row == nullptr) {
             return "";
         }
         int position = 0;
         std::set<int> seen;
-        for (const auto& [first, listing] : row->listings) {
+        for (const auto& [first, listing] : row->commits) {
             if (first != position) {
                 return "a gap or an overlap at " + std::to_string(first);
             }
             for (const auto& r : listing.rows) {
-                if (!seen.insert(r.item).second) {
-                    return "item listed twice: " + std::to_string(r.item);
+                if (!seen.insert(r.item_index).second) {
+                    return "item listed twice: " + std::to_string(r.item_index);
                 }
-                const auto what = listing.texts + "/" + std::to_string(r.item);
+                const auto what =
+                    listing.texts_name + "/" + std::to_string(r.item_index);
                 const auto known = positions_.emplace(position++, what).first;
                 if (known->second != what) {
                     return "a result changed: " + known->second + " " + what;
@@ -59,7 +60,7 @@
         : store_(store), time_(std::move(time)), clock_(time_), ledger_(clock_),
           name_("n" + std::to_string(number)),
           ownership_(clock_, base::node_id(name_), "x", {}, 0.1 * number, 1),
-          follower_(store.port(), journal, clock_,
+          follower_(store.client(), journal, clock_,
                     [this](base::millis, std::function<void()> f) {
                         later_.push_back(std::move(f));
                     },
@@ -69,11 +70,11 @@
                              ledger_.apply(c);
                          }
                      },
-                     [this](bool up) { ownership_.contact(up); }}) {
+                     [this](bool up) { ownership_.set_store_reachable(up); }}) {
         follower_.start();
     }
 
-    const ledger& view() const { return ledger_; }
+    const job_table& jobs() const { return ledger_; }
 
     void run_timers() {
         for (const auto& f : std::exchange(later_, {})) {
@@ -82,18 +83,19 @@
     }
 
     /// Claims or renews, as the product does; `hasty` claims without cause.
-    void own(bool hasty) {
-        if (appending_ || !follower_.loaded()) {
+    void claim_or_renew(bool hasty) {
+        if (appending_ || !follower_.is_loaded()) {
             return;
         }
-        const auto step = ownership_.next(ledger_, follower_.current_at());
-        const bool mine = ownership_.mine(ledger_);
-        if (step == ownership_step::nothing && (mine || !hasty)) {
+        const auto step =
+            ownership_.next_action(ledger_, follower_.current_as_of());
+        const bool mine = ownership_.is_held(ledger_);
+        if (step == lease_action::none && (mine || !hasty)) {
             return;
         }
-        const auto fence =
-            mine ? ledger_.owner()->record.fence : follower_.next();
-        append({{to_text(owner_key{}),
+        const auto fence = mine ? ledger_.owner()->record.fencing_token
+                                : follower_.next_offset();
+        append({{format_key(owner_key{}),
                  encode(owner_record{base::node_id(name_), "x", fence, ++beats_,
                                      false})}});
     }
@@ -107,22 +109,22 @@
             results.push_back(
                 {job, item, {item_id(std::to_string(item)), {}, "t", {1}, ""}});
         }
-        plan_ = plan_listings(ledger_, results, 1000, [this] {
+        plan_ = plan_commits(ledger_, results, 1000, [this] {
             return name_ + "-" + std::to_string(++names_);
         });
     }
 
     /// Lists what was planned, perhaps long ago.
-    void list() {
-        if (appending_ || plan_.empty() || !ownership_.mine(ledger_) ||
-            !still_fits(ledger_, plan_)) {
+    void commit_plan() {
+        if (appending_ || plan_.empty() || !ownership_.is_held(ledger_) ||
+            !is_plan_current(ledger_, plan_)) {
             return;
         }
         std::vector<store::record> records;
         records.reserve(plan_.size());
         for (const auto& p : plan_) {
             records.push_back(
-                {to_text(listing_key{p.job, p.position}), encode(p.content)});
+                {format_key(commit_key{p.job, p.position}), encode(p.commit)});
         }
         append(records);
     }
@@ -130,15 +132,15 @@
 private:
     void append(const std::vector<store::record>& records) {
         appending_ = true;
-        const auto at = follower_.next();
+        const auto at = follower_.next_offset();
         const auto sent_at = clock_.now();
-        store_.port().append(
+        store_.client().append(
             journal, records, &at,
             [this, records, sent_at](const store::append_result& r) {
                 appending_ = false;
                 if (const auto* a = base::value_if(r)) {
-                    ownership_.renewed();
-                    follower_.appended_here(a->first, records, sent_at);
+                    ownership_.on_renewed();
+                    follower_.apply_own_append(a->first, records, sent_at);
                 }
             });
     }
@@ -146,26 +148,27 @@
     testing::memory_store& store_;
     std::shared_ptr<base::manual_time> time_;
     base::clock clock_;
-    ledger ledger_;
+    job_table ledger_;
     std::string name_;
-    ownership ownership_;
+    owner_lease ownership_;
     std::vector<std::function<void()>> later_;
-    store::follower follower_;
-    std::vector<planned_listing> plan_;
+    store::partition_watcher follower_;
+    std::vector<planned_commit> plan_;
     std::int64_t beats_ = 0;
     int names_ = 0;
     bool appending_ = false;
 };
 
 /// Plays commands on three nodes. Returns what a reader saw that must not be.
-std::string play(const std::vector<testing::fuzz_command>& commands) {
+std::string run_commands(const std::vector<testing::fuzz_command>& commands) {
     testing::memory_store store;
     auto time = std::make_shared<base::manual_time>();
     job_header header;
     header.id = job;
-    header.items = items;
-    store.port().append(journal, {{to_text(header_key{job}), encode(header)}},
-                        nullptr, [](const auto&) {});
+    header.item_count = items;
+    store.client().append(journal,
+                          {{format_key(header_key{job}), encode(header)}},
+                          nullptr, [](const auto&) {});
     std::vector<std::unique_ptr<fuzz_node>> nodes;
     nodes.reserve(3);
     for (int n = 0; n < 3; ++n) {
@@ -175,28 +178,29 @@
     for (const auto& c : commands) {
         auto& node = *nodes[static_cast<std::size_t>(c.a) % nodes.size()];
         if (c.kind < 45) {
-            store.deliver();
+            store.deliver_next_response();
         } else if (c.kind < 55) {
             node.run_timers();
         } else if (c.kind < 63) {
             time->advance(c.b);
         } else if (c.kind < 72) {
-            node.own(c.b < 300);
+            node.claim_or_renew(c.b < 300);
         } else if (c.kind < 80) {
             node.plan(c.b, 1 + c.c % 4);
         } else if (c.kind < 90) {
-            node.list();
+            node.commit_plan();
         } else if (c.kind < 96) {
-            store.set_fate(static_cast<testing::append_fate>(c.b % 5));
+            store.set_append_behavior(
+                static_cast<testing::append_behavior>(c.b % 5));
         } else if (c.kind < 97) {
             store.compact(journal.topic);
         } else if (c.kind < 98) {
-            store.set_refusing(c.b < 500);
+            store.set_reads_rejected(c.b < 500);
         } else {
-            store.run_late();
+            store.apply_late_appends();
         }
         for (const auto& n : nodes) {
-            if (auto wrong = oracle.look(n->view()); !wrong.empty()) {
+            if (auto wrong = oracle.check(n->jobs()); !wrong.empty()) {
                 return wrong;
             }
         }
@@ -205,7 +209,7 @@
 }
 
 TEST(owners_fuzz_test, a_reader_never_sees_a_result_change_or_twice) {
-    testing::fuzz("owners", 400, play);
+    testing::fuzz("owners", 400, run_commands);
 }
 
 } // namespace
--- a/packages/batch/test/records_test.cpp
+++ b/packages/batch/test/records_test.cpp
@@ -1,5 +1,5 @@
 #include "hibiscus/batch/records.hpp"
-#include "hibiscus/store/pieces.hpp"
+#include "hibiscus/store/value_chunks.hpp"
 #include "support/fuzz.hpp"
 
 #include <gtest/gtest.h>
@@ -13,12 +13,12 @@
 TEST(records_test, keys_of_the_journal_are_read_as_they_were_written) {
     for (const journal_key& key :
          {journal_key(owner_key{}), journal_key(header_key{job}),
-          journal_key(listing_key{job, 17}), journal_key(end_key{job})}) {
-        const auto read = parse_key(to_text(key));
+          journal_key(commit_key{job, 17}), journal_key(end_key{job})}) {
+        const auto read = parse_key(format_key(key));
         ASSERT_TRUE(read);
-        EXPECT_EQ(to_text(*read), to_text(key));
+        EXPECT_EQ(format_key(*read), format_key(key));
     }
-    EXPECT_EQ(std::get<listing_key>(*parse_key(to_text(listing_key{job, 17})))
+    EXPECT_EQ(std::get<commit_key>(*parse_key(format_key(commit_key{job, 17})))
                   .position,
               17);
 }
@@ -32,7 +32,7 @@
 
 TEST(records_test, bytes_that_are_no_value_are_none) {
     EXPECT_FALSE(decode_owner("x"));
-    EXPECT_FALSE(decode_header(encode(listing{})));
+    EXPECT_FALSE(decode_header(encode(result_commit{})));
     EXPECT_FALSE(decode_items(encode(job_header{})));
     EXPECT_FALSE(decode_progress(""));
 }
@@ -42,11 +42,11 @@
     // the same results are stored several times under other names. A reader
     // that went by the position alone found nothing but those, and the job
     // could never be read again.
-    const auto listed = texts_text(job, 0, "81-3");
-    const auto before = before_texts(job, 0, "81-3");
+    const auto listed = texts_key(job, 0, "81-3");
+    const auto before = key_before_texts(job, 0, "81-3");
     EXPECT_LT(before, listed);
     for (const char* other : {"81-1", "81-2", "81-29", "80-9"}) {
-        const auto key = texts_text(job, 0, other);
+        const auto key = texts_key(job, 0, other);
         EXPECT_TRUE(key < before || key > listed) << other;
     }
 }
@@ -56,19 +56,19 @@
     // to save the same text anew.
     progress_part a;
     a.epoch = 1000;
-    a.events = 3;
+    a.event_count = 3;
     a.text = "old";
     progress_part b;
     b.epoch = 2000;
-    b.events = 2;
+    b.event_count = 2;
     b.text = "new";
     progress_part c = b;
-    c.from = 2;
+    c.first_event = 2;
     c.text = "next";
     progress_part gap = b;
-    gap.from = 7;
-    const auto joined = join_parts({gap, c, a, b});
-    EXPECT_EQ(joined.events, 4);
+    gap.first_event = 7;
+    const auto joined = join_progress_parts({gap, c, a, b});
+    EXPECT_EQ(joined.event_count, 4);
     EXPECT_EQ(joined.text, "new\nnext");
 }
 
@@ -88,25 +88,26 @@
     header.id = job;
     const store::append_limits limits{2048, 4096};
     std::vector<store::record> stored;
-    for (const auto& append : store::to_appends(
-             cut_into_chunks(header, items, limits.record), limits)) {
+    for (const auto& append : store::split_into_appends(
+             split_into_chunks(header, items, limits.max_record_bytes),
+             limits)) {
         std::size_t size = 0;
         for (const auto& r : append) {
-            if (r.value.size() > limits.record) {
+            if (r.value.size() > limits.max_record_bytes) {
                 return "a record is too large: " + r.key;
             }
             size += r.value.size();
             stored.push_back(r);
         }
-        if (size > limits.call) {
+        if (size > limits.max_append_bytes) {
             return "an append is too large";
         }
     }
     std::size_t read = 0;
     int chunks = 0;
-    for (const auto& r : store::join_pieces(stored)) {
+    for (const auto& r : store::join_chunks(stored)) {
         const auto decoded = decode_items(r.value);
-        if (r.key != chunk_text(job, chunks++) || !decoded) {
+        if (r.key != chunk_key(job, chunks++) || !decoded) {
             return "a wrong record: " + r.key;
         }
         for (const auto& i : *decoded) {
@@ -115,7 +116,7 @@
             }
         }
     }
-    const bool all = read == items.size() && header.chunks == chunks;
+    const bool all = read == items.size() && header.chunk_count == chunks;
     return all ? "" : "items are missing";
 }
 
--- a/packages/batch/test/retention_test.cpp
+++ b/packages/batch/test/retention_test.cpp
@@ -13,23 +13,23 @@
 class retention_test : public ::testing::Test {
 protected:
     void put(const journal_key& key, const std::string& value) {
-        ledger_.apply({to_text(key), value});
+        ledger_.apply({format_key(key), value});
     }
 
     void accept(const char* id) {
         job_header h;
         h.id = job_id(id);
-        h.items = 2;
+        h.item_count = 2;
         put(header_key{h.id}, encode(h));
     }
 
     std::optional<job_id> expired() const {
-        return expired_job(ledger_, base::clock(time_).now(), keep_ms);
+        return find_expired_job(ledger_, base::clock(time_).now(), keep_ms);
     }
 
     std::shared_ptr<base::manual_time> time_ =
         std::make_shared<base::manual_time>();
-    ledger ledger_{base::clock(time_)};
+    job_table ledger_{base::clock(time_)};
 };
 
 TEST_F(retention_test, an_ended_job_goes_once_its_time_is_over) {
@@ -63,18 +63,18 @@
 
 TEST_F(retention_test, nothing_of_an_erased_job_is_left_in_the_journal) {
     accept("a");
-    listing l;
-    l.texts = "t";
+    result_commit l;
+    l.texts_name = "t";
     l.rows = {{0, {}}, {1, {}}};
-    put(listing_key{job_id("a"), 0}, encode(l));
+    put(commit_key{job_id("a"), 0}, encode(l));
     put(end_key{job_id("a")}, "1");
     for (const auto& r :
-         journal_erasures(job_id("a"), *ledger_.find(job_id("a")))) {
+         make_journal_erasures(job_id("a"), *ledger_.find(job_id("a")))) {
         EXPECT_TRUE(r.value.empty());
         ledger_.apply({r.key, std::nullopt});
     }
     EXPECT_TRUE(ledger_.jobs().empty());
-    EXPECT_EQ(ledger_.unreadable(), 0U);
+    EXPECT_EQ(ledger_.unreadable_records(), 0U);
 }
 
 } // namespace
--- /dev/null
+++ b/packages/batch/test/wait_simulation.hpp
@@ -0,0 +1,501 @@
+#pragma once
+
+#include "hibiscus/base/result.hpp"
+#include "hibiscus/batch/item_scheduler.hpp"
+#include "hibiscus/samplers/weight_rollout.hpp"
+
+#include <algorithm>
+#include <deque>
+#include <functional>
+#include <map>
+#include <memory>
+#include <set>
+#include <string>
+#include <utility>
+#include <vector>
+
+/// Plays an owner whose servers, jobs and store are in trouble, in virtual
+/// time, and measures how long items wait although a place for them is free.
+namespace hibiscus::batch::simulation {
+
+class wait_simulation {
+public:
+    static constexpr int models = 2;
+    static constexpr base::millis tick_ms = 25;
+
+    /// A server as it is, whatever the owner believes.
+    struct server {
+        samplers::registration registration;
+        bool alive = true;
+        /// Neither answers nor closes a connection.
+        bool frozen = false;
+        bool rejects_runs = false;
+        bool fails_runs = false;
+        /// Its entry can't be renewed.
+        bool heartbeats_lost = false;
+        bool acknowledges_orders = true;
+        int slowdown = 1;
+        std::string loading_model;
+        std::int64_t loading_version = 0;
+        base::millis load_end_at = 0;
+        base::millis next_renewal_at = 0;
+        base::millis last_renewed_at = 0;
+        std::set<run_number> runs;
+
+        bool is_serving() const { return alive && !frozen; }
+    };
+
+    explicit wait_simulation(int servers) {
+        for (int n = 0; n < servers; ++n) {
+            auto& s = servers_[samplers::sampler_id("s" + std::to_string(n))];
+            s.registration.service = service();
+            s.registration.slots = slots;
+            s.registration.started_ms = 1;
+            for (int m = 0; m < models; ++m) {
+                s.registration.versions[model(m)] = 1;
+            }
+        }
+    }
+
+    static std::string model(int number) {
+        return "m" + std::to_string(number % models);
+    }
+
+    server& server_at(int number) {
+        return std::next(servers_.begin(),
+                         number % static_cast<int>(servers_.size()))
+            ->second;
+    }
+
+    /// A process ends; its connections are reset unless the machine is lost.
+    void crash(server& s, bool lost) {
+        s.alive = false;
+        s.loading_model.clear();
+        if (!lost) {
+            reset_connections(s);
+        }
+    }
+
+    /// A process starts, under the id that it had.
+    void restart(server& s) {
+        reset_connections(s);
+        s.alive = true;
+        s.loading_model.clear();
+        ++s.registration.started_ms;
+        s.next_renewal_at = now();
+    }
+
+    void reset_connections(server& s) {
+        for (const auto run : s.runs) {
+            defer([this, run] { end_run(run, run_outcome::cut); });
+        }
+        s.runs.clear();
+    }
+
+    /// Ends all trouble.
+    void clear_faults() {
+        may_start_ = true;
+        store_available_ = true;
+        table_.remove_unlisted();
+        for (auto& [id, s] : servers_) {
+            if (!s.alive) {
+                restart(s);
+            }
+            s.frozen = s.rejects_runs = s.fails_runs = s.heartbeats_lost =
+                false;
+            s.acknowledges_orders = true;
+            s.registration.draining = false;
+            s.slowdown = 1;
+        }
+    }
+
+    void set_may_start(bool may) { may_start_ = may; }
+
+    /// While the store is away no entry is renewed and lapsed ones stay in
+    /// doubt.
+    void set_store_up(bool up) {
+        if (up && !store_available_) {
+            table_.remove_unlisted();
+        }
+        store_available_ = up;
+    }
+
+    void announce_version(int m) {
+        const auto version = ++announced_versions_[model(m)];
+        rollout_.announce_version(model(m), version + 1);
+        work_.announce_version(model(m), version + 1);
+    }
+
+    /// A trainer asks for a step that admits the newest two versions.
+    void submit_job(int m, int items) {
+        if (jobs_.size() >= max_jobs) {
+            return;
+        }
+        simulated_job j;
+        j.row.header = job_header{};
+        auto& h = *j.row.header;
+        h.id = job_id("j" + std::to_string(++job_count_));
+        h.model = model(m);
+        h.item_count = items;
+        h.min_version =
+            std::max<std::int64_t>(1, announced_versions_[model(m)]);
+        j.row.first_seen_at = now();
+        for (int n = 0; n < items; ++n) {
+            item i;
+            i.id = item_id(h.id.str() + "/" + std::to_string(n));
+            i.expected_output_tokens = 100 * (1 + n % 40);
+            i.prompt_tokens = 100;
+            i.group = std::to_string(n / 4);
+            j.items.push_back(std::move(i));
+        }
+        const auto id = h.id;
+        jobs_[id] = std::move(j);
+        add_job(jobs_.at(id));
+    }
+
+    /// A trainer ends the oldest step.
+    void end_oldest_job() {
+        if (!jobs_.empty()) {
+            const auto id = jobs_.begin()->first;
+            jobs_.erase(jobs_.begin());
+            apply_effects(work_.remove_job(id));
+        }
+    }
+
+    /// The owner loses the jobs and gets them again.
+    void change_owner() {
+        apply_effects(work_.remove_all_jobs());
+        rollout_.reset();
+        table_.clear_all_loading();
+        ++fence_;
+        for (auto& [id, j] : jobs_) {
+            add_job(j);
+        }
+    }
+
+    void run(base::millis ms) {
+        for (const auto end = now() + ms; now() < end;) {
+            time_->advance(tick_ms);
+            for (const auto& f : std::exchange(deferred_, {})) {
+                f();
+            }
+            renew_entries();
+            step_loads();
+            step_runs();
+            apply_effects(work_.tick(may_start_));
+            commit_results();
+            measure_waits();
+        }
+    }
+
+    /// Returns how long an item has waited at most while a place was free.
+    base::millis longest_wait() const { return longest_wait_; }
+    void reset_waits() {
+        longest_wait_ = 0;
+        waiting_since_.clear();
+    }
+
+    bool has_no_jobs() const { return jobs_.empty(); }
+
+    /// Returns the servers whose runs are not counted as they are.
+    std::string find_miscount() const {
+        std::map<samplers::sampler_id, int> running;
+        for (const auto& [run, r] : runs_) {
+            ++running[r.start.sampler];
+        }
+        for (const auto& [id, row] : table_.rows()) {
+            if (row.in_flight != running[id]) {
+                return id.str() + " counts " + std::to_string(row.in_flight) +
+                       " runs and has " + std::to_string(running[id]);
+            }
+        }
+        return "";
+    }
+
+private:
+    struct simulated_run {
+        start_run start;
+        int events_left = 0;
+        int next_event = 1;
+        base::millis event_at = 0;
+    };
+
+    struct simulated_job {
+        job_row row;
+        std::vector<item> items;
+        std::map<int, std::vector<progress_part>> saved;
+        std::set<int> complete;
+    };
+
+    using item_key = std::pair<job_id, int>;
+
+    static constexpr int slots = 4;
+    static constexpr std::size_t max_jobs = 6;
+    static constexpr int events_per_run = 30;
+    static constexpr base::millis event_interval_ms = 40;
+    static constexpr base::millis load_ms = 900;
+    static constexpr base::millis renewal_interval_ms = 1200;
+
+    static samplers::service_name service() {
+        return samplers::service_name("engines");
+    }
+
+    base::millis now() const { return clock_.now(); }
+
+    void defer(std::function<void()> f) { deferred_.push_back(std::move(f)); }
+
+    void add_job(simulated_job& j) {
+        job_options terms;
+        terms.service = service();
+        terms.max_attempts = 1000000;
+        terms.target_ms = 7500;
+        terms.item_expiry_ms = 10000000;
+        apply_effects(
+            work_.add_job(j.row, j.items, j.saved, terms, fence_ * 1000));
+    }
+
+    void apply_effects(const effects& all) {
+        for (const auto& e : all) {
+            std::visit(base::overloaded{
+                           [&](const start_run& r) { begin_run(r); },
+                           [&](const stop_run& s) { forget_run(s.run); },
+                           [&](const start_reward&) {},
+                       },
+                       e);
+        }
+    }
+
+    void begin_run(const start_run& r) {
+        auto& s = servers_.at(r.sampler);
+        const auto done =
+            r.resume_after_event.empty() ? 0 : std::stoi(r.resume_after_event);
+        runs_[r.run] = {r, events_per_run - done, done + 1,
+                        now() + event_interval_ms};
+        if (!s.alive) {
+            defer([this, run = r.run] { end_run(run, run_outcome::cut); });
+        } else if (s.frozen) {
+            return;
+        } else if (s.rejects_runs || s.loading_model == r.model ||
+                   s.runs.size() >= slots) {
+            defer([this, run = r.run] { end_run(run, run_outcome::not_run); });
+        } else if (s.fails_runs) {
+            defer([this, run = r.run] { end_run(run, run_outcome::failed); });
+        } else {
+            s.runs.insert(r.run);
+            defer([this, run = r.run] {
+                const auto at = runs_.find(run);
+                if (at != runs_.end()) {
+                    const auto& there = servers_.at(at->second.start.sampler);
+                    apply_effects(work_.on_response_started(
+                        run, there.registration.versions.at(
+                                 at->second.start.model)));
+                }
+            });
+        }
+    }
+
+    void end_run(run_number run, run_outcome how) {
+        if (runs_.count(run) != 0) {
+            forget_run(run);
+            apply_effects(work_.on_run_ended(run, how));
+        }
+    }
+
+    void forget_run(run_number run) {
+        const auto at = runs_.find(run);
+        if (at != runs_.end()) {
+            servers_.at(at->second.start.sampler).runs.erase(run);
+            runs_.erase(at);
+        }
+    }
+
+    void renew_entries() {
+        for (auto& [id, s] : servers_) {
+            if (s.is_serving() && !s.heartbeats_lost && store_available_ &&
+                now() >= s.next_renewal_at) {
+                s.next_renewal_at = now() + renewal_interval_ms;
+                s.last_renewed_at = now();
+                table_.put(id, s.registration);
+            } else if (now() - s.last_renewed_at > 3 * renewal_interval_ms &&
+                       table_.find(id) != nullptr) {
+                if (store_available_) {
+                    table_.remove(id);
+                } else {
+                    table_.mark_unlisted(id);
+                }
+            }
+        }
+    }
+
+    void step_loads() {
+        for (auto& [id, s] : servers_) {
+            if (!s.loading_model.empty() && now() >= s.load_end_at) {
+                s.registration.versions[s.loading_model] = s.loading_version;
+                s.loading_model.clear();
+            }
+        }
+        if (!store_available_) {
+            return;
+        }
+        for (const auto& id : rollout_.take_due_checks()) {
+            const auto& s = servers_.at(id);
+            if (s.is_serving() && s.loading_model.empty()) {
+                finish_load(id, s);
+            }
+        }
+        for (const auto& [model, places] : work_.update_wanted_slots()) {
+            rollout_.set_wanted_slots(model, places);
+        }
+        for (const auto& order : rollout_.take_due_orders(table_)) {
+            send_order(order, servers_.at(order.sampler));
+        }
+    }
+
+    void finish_load(const samplers::sampler_id& id, const server& s) {
+        rollout_.on_load_done(id, s.registration.versions);
+        table_.clear_loading_of(id);
+        for (const auto& [model, version] : s.registration.versions) {
+            table_.set_observed_version(id, model, version);
+        }
+    }
+
+    void send_order(const samplers::load_order& order, server& s) {
+        if (!s.is_serving()) {
+            rollout_.on_order_rejected(order);
+        } else if (!s.loading_model.empty()) {
+            rollout_.on_server_busy(order.sampler);
+            table_.set_loading(order.sampler, order.model,
+                               rollout_.load_timeout_ms());
+        } else if (s.registration.versions.at(order.model) >= order.version) {
+            rollout_.on_load_not_needed(order.sampler);
+            finish_load(order.sampler, s);
+        } else {
+            s.loading_model = order.model;
+            s.loading_version = order.version;
+            s.load_end_at = now() + load_ms * s.slowdown;
+            if (s.acknowledges_orders) {
+                rollout_.on_order_accepted(order);
+                table_.set_loading(order.sampler, order.model,
+                                   rollout_.load_timeout_ms());
+            } else {
+                rollout_.on_order_rejected(order);
+            }
+        }
+    }
+
+    void step_runs() {
+        std::vector<run_number> ready;
+        for (const auto& [run, r] : runs_) {
+            const auto& s = servers_.at(r.start.sampler);
+            if (s.is_serving() && s.runs.count(run) != 0 &&
+                now() >= r.event_at) {
+                ready.push_back(run);
+            }
+        }
+        for (const auto run : ready) {
+            const auto at = runs_.find(run);
+            if (at == runs_.end()) {
+                continue;
+            }
+            auto& r = at->second;
+            const auto& s = servers_.at(r.start.sampler);
+            r.event_at = now() + event_interval_ms * s.slowdown;
+            const auto id = std::to_string(r.next_event++);
+            if (--r.events_left >= 0) {
+                const auto version = s.registration.versions.at(r.start.model);
+                apply_effects(work_.on_event(run, id, "e", version));
+            }
+            if (runs_.count(run) != 0 && r.events_left <= 0) {
+                complete_run(run);
+            }
+        }
+        for (const auto& p : work_.unsaved_parts(6, std::size_t{1} << 30U)) {
+            jobs_.at(p.job).saved[p.part.item_index].push_back(p.part);
+            work_.on_part_saved(p);
+        }
+    }
+
+    void complete_run(run_number run) {
+        const auto& r = runs_.at(run).start;
+        const auto job = jobs_.find(r.job);
+        if (job != jobs_.end()) {
+            job->second.complete.insert(r.item_index);
+        }
+        end_run(run, run_outcome::complete);
+    }
+
+    void commit_results() {
+        std::map<job_id, std::set<int>> ready;
+        for (const auto& r : work_.ready_results(std::size_t{1} << 30U)) {
+            ready[r.job].insert(r.item_index);
+        }
+        for (const auto& [id, numbers] : ready) {
+            auto& j = jobs_.at(id);
+            j.row.committed_items.insert(numbers.begin(), numbers.end());
+            apply_effects(work_.on_committed(id, numbers));
+            if (j.row.committed_items.size() == j.items.size()) {
+                jobs_.erase(id);
+                apply_effects(work_.remove_job(id));
+            }
+        }
+    }
+
+    /// Returns true if a server that is listed would run an item of the job.
+    bool has_server_for(const job_header& h) const {
+        return std::any_of(
+            servers_.begin(), servers_.end(), [&](const auto& row) {
+                const auto& s = row.second;
+                return s.is_serving() && !s.rejects_runs && !s.fails_runs &&
+                       !s.heartbeats_lost && !s.registration.draining &&
+                       s.loading_model != h.model &&
+                       now() <= s.last_renewed_at + renewal_interval_ms &&
+                       s.runs.size() < slots &&
+                       s.registration.versions.at(h.model) >= h.min_version;
+            });
+    }
+
+    void measure_waits() {
+        std::set<item_key> at_server;
+        for (const auto& [run, r] : runs_) {
+            const auto& s = servers_.at(r.start.sampler);
+            if (s.is_serving() && s.runs.count(run) != 0) {
+                at_server.insert({r.start.job, r.start.item_index});
+            }
+        }
+        std::map<item_key, base::millis> waits;
+        for (const auto& [id, j] : jobs_) {
+            const bool place = has_server_for(*j.row.header);
+            for (int n = 0; n < static_cast<int>(j.items.size()); ++n) {
+                const item_key key{id, n};
+                if (place && at_server.count(key) == 0 &&
+                    j.row.committed_items.count(n) == 0) {
+                    const auto known = waiting_since_.find(key);
+                    waits[key] =
+                        known == waiting_since_.end() ? now() : known->second;
+                    longest_wait_ = std::max(longest_wait_, now() - waits[key]);
+                }
+            }
+        }
+        waiting_since_ = std::move(waits);
+    }
+
+    std::shared_ptr<base::manual_time> time_ =
+        std::make_shared<base::manual_time>();
+    base::clock clock_{time_};
+    samplers::sampler_table table_{clock_};
+    item_scheduler work_{clock_, table_};
+    samplers::weight_rollout rollout_{clock_};
+    std::map<samplers::sampler_id, server> servers_;
+    std::map<job_id, simulated_job> jobs_;
+    std::map<run_number, simulated_run> runs_;
+    std::map<std::string, std::int64_t> announced_versions_;
+    std::deque<std::function<void()>> deferred_;
+    std::map<item_key, base::millis> waiting_since_;
+    base::millis longest_wait_ = 0;
+    std::int64_t fence_ = 1;
+    int job_count_ = 0;
+    bool may_start_ = true;
+    bool store_available_ = true;
+};
+
+} // namespace hibiscus::batch::simulation
--- a/packages/cluster/include/hibiscus/cluster/claim_fold.hpp
+++ b/packages/cluster/include/hibiscus/cluster/claim_state_machine.hpp
@@ -11,7 +11,7 @@
 namespace hibiscus::cluster {
 
 /// What the stream of a shard says of a key.
-struct claim_row {
+struct claim_entry {
     /// The epoch whose holder claimed the key.
     wire::log_offset epoch = 0;
     base::millis created_ms = 0;
@@ -29,7 +29,7 @@
 /// Folds the stream of one shard of keys. Of all claims for a key only the
 /// first that was made under the epoch then in force counts, so at most one
 /// holder ever may dispatch the request.
-class claim_fold {
+class claim_state_machine {
 public:
     /// Applies one record. Returns the keys whose claim it made valid. A
     /// record at or before the last one is skipped, and so is the second copy
@@ -43,41 +43,41 @@
     /// none up to `end`, requests made before `created_before_ms`, by the time
     /// of day, may have run unseen, and no epoch counts until `self` starts
     /// one with a record of a higher number.
-    void skip_to(wire::log_offset first, wire::log_offset end,
-                 base::millis created_before_ms,
-                 const wire::claim_writer& self);
+    void handle_truncation(wire::log_offset first, wire::log_offset end,
+                           base::millis created_before_ms,
+                           const wire::claim_writer& self);
 
     /// Returns what has been applied, in parts of at most `most` claims.
-    std::vector<wire::claim_snapshot> snapshot(std::size_t most) const;
+    std::vector<wire::claim_snapshot> make_snapshot(std::size_t most) const;
 
     /// Returns the offset from which on the stream explains itself.
-    wire::log_offset covered() const { return covered_; }
+    wire::log_offset snapshot_offset() const { return snapshot_offset_; }
 
     /// Returns the claim of `key`, or null if there is none.
-    const claim_row* find(const base::request_id& key) const;
+    const claim_entry* find(const base::request_id& key) const;
 
     /// Returns the epoch in force, or null before the first.
-    const shard_epoch* epoch() const;
+    const shard_epoch* current_epoch() const;
 
     /// Drops the claims of requests made before `created_before_ms`, by the
     /// time of day.
-    void forget(base::millis created_before_ms);
+    void drop_claims_before(base::millis created_before_ms);
 
     /// Returns the time of day before which claims may have been dropped. A
     /// request made before it may have run unseen.
-    base::millis forgotten_before() const { return forgotten_before_; }
+    base::millis dropped_before() const { return dropped_before_; }
 
     /// Returns the offset after the last record that was applied.
-    wire::log_offset next() const { return next_; }
+    wire::log_offset next_offset() const { return next_offset_; }
 
     /// Returns the number of claims held.
-    std::size_t size() const { return claims_.size(); }
+    std::size_t claim_count() const { return claims_.size(); }
 
 private:
     /// The last record of a writer.
-    struct writer_row {
+    struct writer_position {
         std::uint64_t sequence = 0;
-        wire::log_offset at = 0;
+        wire::log_offset offset = 0;
     };
 
     /// The snapshot whose parts are being read.
@@ -89,35 +89,37 @@
     };
 
     /// What is held back while records are missing.
-    struct missing_records {
+    struct log_gap {
         wire::log_offset first = 0;
         wire::log_offset end = 0;
         base::millis created_before_ms = 0;
         wire::claim_writer self;
-        std::vector<std::pair<wire::log_offset, wire::claim_record>> waiting;
+        std::vector<std::pair<wire::log_offset, wire::claim_record>>
+            deferred_records;
     };
 
-    std::vector<base::request_id> apply_now(wire::log_offset offset,
-                                            const wire::claim_record& record);
+    std::vector<base::request_id>
+    apply_record(wire::log_offset offset, const wire::claim_record& record);
     void start_epoch(wire::log_offset offset, const wire::claim_record& record);
-    bool repeated(wire::log_offset offset, const wire::claim_record& record);
+    bool is_duplicate(wire::log_offset offset,
+                      const wire::claim_record& record);
     bool apply_item(const wire::claim_item& item);
-    void collect(const wire::claim_record& record);
-    void restore(const partial_snapshot& complete);
-    void resume(wire::log_offset from);
-    void give_up();
+    void collect_snapshot_part(const wire::claim_record& record);
+    void restore_snapshot(const partial_snapshot& complete);
+    void apply_deferred_records(wire::log_offset from);
+    void resume_without_snapshot();
 
-    std::map<base::request_id, claim_row> claims_;
+    std::map<base::request_id, claim_entry> claims_;
     std::optional<shard_epoch> epoch_;
-    std::map<std::pair<base::node_id, std::uint64_t>, writer_row> written_;
-    std::optional<missing_records> missing_;
+    std::map<std::pair<base::node_id, std::uint64_t>, writer_position> writers_;
+    std::optional<log_gap> gap_;
     /// Set while nobody can tell which epoch is in force: the writer whose
     /// next epoch record is certain to be no copy.
-    std::optional<wire::claim_writer> uncertain_;
-    partial_snapshot partial_;
-    wire::log_offset covered_ = 0;
-    wire::log_offset next_ = 0;
-    base::millis forgotten_before_ = 0;
+    std::optional<wire::claim_writer> epoch_barrier_;
+    partial_snapshot partial_snapshot_;
+    wire::log_offset snapshot_offset_ = 0;
+    wire::log_offset next_offset_ = 0;
+    base::millis dropped_before_ = 0;
 };
 
 } // namespace hibiscus::cluster
--- a/packages/cluster/include/hibiscus/cluster/engine_home.hpp
+++ b/packages/cluster/include/hibiscus/cluster/engine_coordinator.hpp
@@ -15,27 +15,27 @@
 struct engine_traits {
     int slots = 1;
     /// Streams admitted beyond the slots.
-    int queue = 0;
+    int queue_limit = 0;
     bool leaving = false;
     /// True if the engine refuses an order with an old fencing number.
     bool checks_fencing = true;
     /// The longest that an order is on its way, in ms.
-    base::millis order_life = 5000;
+    base::millis order_lifetime = 5000;
     /// The trainers that draw from the engine's pool.
     std::vector<base::trainer_id> trainers;
 };
 
 /// A stream at an engine, from its admission to the acknowledged report.
-struct stream_row {
+struct admitted_stream {
     wire::stream_start start;
     /// The trainer's home, which gets the reports.
-    base::node_id reporter;
+    base::node_id report_to;
     wire::stream_state state = wire::stream_state::queued;
     /// True once the engine may have the stream.
     bool started = false;
     /// How many chunks are known.
     std::uint32_t produced = 0;
-    std::optional<wire::weight_version> oldest;
+    std::optional<wire::weight_version> oldest_version;
     /// The whole text, once it is done.
     std::vector<wire::chunk> chunks;
     /// When it is reported next.
@@ -46,7 +46,7 @@
 
 /// An order to an engine that is on its way, or was carried out and does not
 /// show yet in what the engine says that it serves.
-struct sent_order {
+struct pending_order {
     wire::version_order order;
     base::millis sent_at = 0;
     /// When the engine said that it was carried out.
@@ -54,16 +54,16 @@
 };
 
 /// An engine at its home.
-struct homed_engine {
+struct engine_state {
     engine_traits traits;
     /// When it last answered, or when this node became its home.
-    base::millis heard_at = 0;
+    base::millis responded_at = 0;
     /// True once it has told this home what it serves.
-    bool heard = false;
+    bool has_responded = false;
     int failures = 0;
     std::vector<wire::served_version> serving;
-    std::map<base::stream_id, stream_row> streams;
-    std::optional<sent_order> order;
+    std::map<base::stream_id, admitted_stream> streams;
+    std::optional<pending_order> order;
     /// No order is sent before this time.
     base::millis order_not_before = 0;
     int order_failures = 0;
@@ -71,16 +71,17 @@
     std::int64_t epoch = 0;
     std::int64_t sequence = 0;
     /// True while an epoch that will count for it is being appended.
-    bool epoch_asked = false;
+    bool epoch_pending = false;
 
     /// Returns the streams that are not done.
-    int admitted() const;
+    int admitted_count() const;
 
     /// Returns the streams that are not done, by trainer.
     std::vector<wire::trainer_streams> admitted_by_trainer() const;
 
     /// Returns the version that the engine serves for `trainer`, or 0.
-    wire::weight_version version_of(const base::trainer_id& trainer) const;
+    wire::weight_version
+    served_version_of(const base::trainer_id& trainer) const;
 };
 
 /// Start a stream at an engine.
@@ -96,7 +97,7 @@
 };
 
 /// Send an order to an engine, unless `expires_at` has passed by then.
-struct order_engine {
+struct send_order {
     base::engine_id engine;
     wire::version_order order;
     base::millis expires_at = 0;
@@ -109,90 +110,91 @@
 };
 
 /// Append an epoch record for the engines that this node has become home of.
-struct take_epoch {};
+struct append_epoch {};
 
 /// What an engine_home wants done.
-using engine_effect = std::variant<start_at_engine, stop_at_engine,
-                                   order_engine, send_report, take_epoch>;
+using engine_effect = std::variant<start_at_engine, stop_at_engine, send_order,
+                                   send_report, append_epoch>;
 
 /// Times that steer an engine_home, in ms.
-struct engine_times {
+struct engine_options {
     /// How often running streams are reported.
-    base::millis report = 250;
+    base::millis report_interval = 250;
     /// An engine that has not answered for so long is unhealthy.
-    base::millis silence = 1500;
+    base::millis unhealthy_after = 1500;
     /// Streams of an engine that has not answered for so long are given up.
-    base::millis dead = 3000;
+    base::millis dead_after = 3000;
     /// How long a refused placement waits.
-    base::millis refusal = 100;
+    base::millis retry_after = 100;
     /// The first pause after a failed order; it doubles up to 32 times that.
     base::millis order_backoff = 200;
     /// How long an engine may take to show an order that it carried out.
-    base::millis order_shows = 2000;
+    base::millis order_confirmation_timeout = 2000;
     /// How long an engine whose turn to swap has not come is not asked about.
-    base::millis turn = 100;
+    base::millis swap_check_interval = 100;
     /// How long a finished stream is kept for a trainer's home that does not
     /// acknowledge it.
-    base::millis keep_done = 30000;
+    base::millis done_retention = 30000;
     /// A longer time between two ticks means that the process was paused.
-    base::millis pause = 1000;
+    base::millis pause_threshold = 1000;
 };
 
 /// Returns true if it is an engine's turn to swap to a version.
-using swap_function = std::function<bool(base::millis, const base::engine_id&,
-                                         const wire::trainer_version&)>;
+using may_swap_function = std::function<bool(
+    base::millis, const base::engine_id&, const wire::trainer_version&)>;
 
 /// Owns the admission and the orders of the engines whose home this node is.
 /// It knows the streams it has admitted exactly, whatever the lag of the
 /// engines' own reports.
-class engine_home {
+class engine_coordinator {
 public:
     /// Constructs an empty home of the node `self` that asks `may_swap` for
     /// the turn of each engine; without it all swap at once.
-    engine_home(base::node_id self, engine_times times,
-                swap_function may_swap = {});
+    engine_coordinator(base::node_id self, engine_options times,
+                       may_swap_function may_swap = {});
 
     /// Sets the engines that this node is home for. Streams of others are
     /// left to their new home.
-    void assign(base::millis now,
-                const std::map<base::engine_id, engine_traits>& engines);
+    void
+    assign_engines(base::millis now,
+                   const std::map<base::engine_id, engine_traits>& engines);
 
     /// Admits a stream, finds the one of that id, or refuses. A known stream
     /// that is asked for with a higher priority is started again with it.
-    wire::place_answer place(base::millis now,
-                             const wire::place_sample& message);
+    wire::place_response admit_stream(base::millis now,
+                                      const wire::place_sample& message);
 
     /// Stops streams that are no longer wanted, unless another home has asked
     /// for them since.
-    void cancel(const wire::cancel_streams& message);
+    void cancel_streams(const wire::cancel_streams& message);
 
     /// Forgets finished streams whose report has arrived.
-    void acknowledge(const wire::sample_ack& message);
+    void acknowledge_reports(const wire::sample_ack& message);
 
     /// Returns the question for the next poll of `engine`.
-    wire::engine_poll poll_of(const base::engine_id& engine) const;
+    wire::engine_poll next_poll(const base::engine_id& engine) const;
 
     /// Takes over an engine's answer to a poll.
-    void news(base::millis now, const base::engine_id& engine,
-              const wire::engine_news& news);
+    void on_poll_response(base::millis now, const base::engine_id& engine,
+                          const wire::engine_poll_response& news);
 
     /// Notes that an engine did not answer.
-    void poll_failed(const base::engine_id& engine);
+    void on_poll_failed(const base::engine_id& engine);
 
     /// Notes whether the engine said that it has a stream. If not, it is asked
     /// with the next poll.
-    void start_ended(const base::engine_id& engine,
-                     const base::stream_id& stream, bool started);
+    void on_start_result(const base::engine_id& engine,
+                         const base::stream_id& stream, bool started);
 
     /// Notes an engine's answer to an order, or nothing if none came.
-    void ordered(base::millis now, const base::engine_id& engine,
-                 std::optional<wire::order_verdict> verdict);
+    void on_order_result(base::millis now, const base::engine_id& engine,
+                         std::optional<wire::order_result> verdict);
 
     /// Notes the epoch under which this node may order its engines.
-    void epoch_taken(std::int64_t epoch);
+    void on_epoch_appended(std::int64_t epoch);
 
     /// Notes that the log did not take the epoch; it is asked for again.
-    void epoch_failed(base::millis retry_at);
+    void on_epoch_append_failed(base::millis retry_at);
 
     /// Sends due reports, and orders where `wanted` is newer than what an
     /// engine serves.
@@ -200,10 +202,10 @@
               const std::vector<wire::trainer_version>& wanted);
 
     /// Returns the load of each engine of this home.
-    std::vector<wire::engine_digest> digests(base::millis now) const;
+    std::vector<wire::engine_status> engine_statuses(base::millis now) const;
 
     /// Returns the engines of this home.
-    const std::map<base::engine_id, homed_engine>& engines() const {
+    const std::map<base::engine_id, engine_state>& engines() const {
         return engines_;
     }
 
@@ -211,33 +213,33 @@
     std::vector<engine_effect> take_effects();
 
 private:
-    bool healthy(base::millis now, const homed_engine& engine) const;
-    void take_news(base::millis now, homed_engine& engine,
-                   const wire::stream_news& news);
+    bool is_healthy(base::millis now, const engine_state& engine) const;
+    void apply_stream_update(base::millis now, engine_state& engine,
+                             const wire::stream_update& news);
     void report_streams(base::millis now, const base::engine_id& id,
-                        homed_engine& engine);
+                        engine_state& engine);
     void add_report(const base::engine_id& engine, const base::stream_id& id,
-                    const stream_row& row);
-    void forgive_pause(base::millis now);
-    void ask_epoch(base::millis now);
-    void order_version(base::millis now, const base::engine_id& id,
-                       homed_engine& engine,
-                       const std::vector<wire::trainer_version>& wanted);
+                    const admitted_stream& row);
+    void reset_timeouts_after_pause(base::millis now);
+    void request_epoch(base::millis now);
+    void order_next_swap(base::millis now, const base::engine_id& id,
+                         engine_state& engine,
+                         const std::vector<wire::trainer_version>& wanted);
     static std::vector<const wire::trainer_version*>
-    swaps_due(const homed_engine& engine,
+    due_swaps(const engine_state& engine,
               const std::vector<wire::trainer_version>& wanted);
-    void check_order(base::millis now, homed_engine& engine) const;
-    void back_off(base::millis now, homed_engine& engine) const;
+    void check_completed_order(base::millis now, engine_state& engine) const;
+    void delay_next_order(base::millis now, engine_state& engine) const;
 
     base::node_id self_;
-    engine_times times_;
-    swap_function may_swap_;
-    std::map<base::engine_id, homed_engine> engines_;
-    std::map<base::node_id, wire::sample_report> reports_;
-    bool epoch_wanted_ = false;
-    bool epoch_asked_ = false;
+    engine_options options_;
+    may_swap_function may_swap_;
+    std::map<base::engine_id, engine_state> engines_;
+    std::map<base::node_id, wire::sample_report> outgoing_reports_;
+    bool epoch_needed_ = false;
+    bool epoch_pending_ = false;
     base::millis epoch_not_before_ = 0;
-    std::optional<base::millis> ticked_at_;
+    std::optional<base::millis> last_tick_at_;
     std::vector<engine_effect> effects_;
 };
 
--- a/packages/cluster/include/hibiscus/cluster/member_table.hpp
+++ b/packages/cluster/include/hibiscus/cluster/member_table.hpp
@@ -10,14 +10,14 @@
 
 /// Returns the one of `nodes` that rendezvous hashing gives `key` to, or the
 /// empty id if there are none. A node that leaves moves only its own keys.
-base::node_id rendezvous(std::string_view key,
-                         const std::vector<base::node_id>& nodes);
+base::node_id choose_by_rendezvous(std::string_view key,
+                                   const std::vector<base::node_id>& nodes);
 
 /// A peer as its last heartbeat described it.
 struct member {
-    wire::heartbeat last;
+    wire::heartbeat heartbeat;
     /// When the heartbeat came, by the receiver's monotonic clock.
-    base::millis heard_at = 0;
+    base::millis received_at = 0;
 };
 
 /// The entry instances that this one hears, itself included. Views of
@@ -30,10 +30,10 @@
 
     /// Notes a heartbeat, also the node's own. One of an earlier incarnation
     /// is ignored.
-    void hear(base::millis now, const wire::heartbeat& beat);
+    void record_heartbeat(base::millis now, const wire::heartbeat& beat);
 
     /// Drops the members that have been silent for too long. Returns them.
-    std::vector<base::node_id> expire(base::millis now);
+    std::vector<base::node_id> remove_expired(base::millis now);
 
     /// Returns the member `node`, or null if it is not heard.
     const member* find(const base::node_id& node) const;
@@ -52,12 +52,12 @@
     std::uint64_t generation() const { return generation_; }
 
 private:
-    void refresh_ready();
+    void update_ready_nodes();
 
     base::node_id self_;
     base::millis timeout_;
     std::map<base::node_id, member> members_;
-    std::vector<base::node_id> ready_;
+    std::vector<base::node_id> ready_nodes_;
     std::uint64_t generation_ = 0;
 };
 
--- a/packages/cluster/include/hibiscus/cluster/freshness.hpp
+++ b/packages/cluster/include/hibiscus/cluster/stale_samples.hpp
@@ -9,8 +9,8 @@
 /// Takes the samples out of an answer that are more than `bound` versions
 /// behind `newest`. An entry does this last: the answer of a trainer's home
 /// may have been on its way while a version was published and acknowledged.
-inline void drop_stale(wire::pull_answer& answer, wire::weight_version newest,
-                       int bound) {
+inline void drop_stale_samples(wire::pull_response& answer,
+                               wire::weight_version newest, int bound) {
     const auto stale = [&](const wire::sample& s) {
         return std::any_of(
             s.chunks.begin(), s.chunks.end(),
--- a/packages/cluster/include/hibiscus/cluster/stream_name.hpp
+++ b/packages/cluster/include/hibiscus/cluster/stream_id.hpp
@@ -7,7 +7,7 @@
 namespace hibiscus::cluster {
 
 /// The parts of a stream's id.
-struct stream_name {
+struct stream_id_parts {
     base::trainer_id trainer;
     wire::step_number step = 0;
     wire::slot_index slot = 0;
@@ -16,11 +16,11 @@
 
 /// Returns the id of the stream that generates a slot: all homes derive the
 /// same one, so that a new home finds what the old one started.
-base::stream_id stream_of(const base::trainer_id& trainer,
-                          wire::step_number step, wire::slot_index slot,
-                          std::uint32_t attempt);
+base::stream_id make_stream_id(const base::trainer_id& trainer,
+                               wire::step_number step, wire::slot_index slot,
+                               std::uint32_t attempt);
 
 /// Returns the parts of an id that stream_of() made, or nothing for another.
-std::optional<stream_name> parse_stream(const base::stream_id& id);
+std::optional<stream_id_parts> parse_stream_id(const base::stream_id& id);
 
 } // namespace hibiscus::cluster
--- a/packages/cluster/include/hibiscus/cluster/version_table.hpp
+++ b/packages/cluster/include/hibiscus/cluster/version_table.hpp
@@ -12,25 +12,25 @@
 class version_table {
 public:
     /// Notes a version. Returns true if it is newer than the one known.
-    bool learn(base::millis now, const base::trainer_id& trainer,
-               wire::weight_version version);
+    bool update(base::millis now, const base::trainer_id& trainer,
+                wire::weight_version version);
 
     /// Returns the newest version known, 0 if there is none.
     wire::weight_version newest(const base::trainer_id& trainer) const;
 
     /// Returns when the newest version became known, 0 if there is none.
-    base::millis learnt_at(const base::trainer_id& trainer) const;
+    base::millis updated_at(const base::trainer_id& trainer) const;
 
     /// Returns all newest versions, in the order of the trainers.
     std::vector<wire::trainer_version> all() const;
 
 private:
-    struct version_row {
+    struct known_version {
         wire::weight_version version = 0;
-        base::millis learnt_at = 0;
+        base::millis updated_at = 0;
     };
 
-    std::map<base::trainer_id, version_row> newest_;
+    std::map<base::trainer_id, known_version> newest_;
 };
 
 } // namespace hibiscus::cluster
--- a/packages/cluster/src/claim_fold.cpp
+++ b/packages/cluster/src/claim_state_machine.cpp
@@ -1,4 +1,4 @@
-#include "hibiscus/cluster/claim_fold.hpp"
+#include "hibiscus/cluster/claim_state_machine.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -8,33 +8,34 @@
 namespace {
 
 /// Writers without claims that a snapshot still names.
-constexpr std::size_t most_idle_writers = 256;
+constexpr std::size_t max_idle_writers = 256;
 
 } // namespace
 
 std::vector<base::request_id>
-claim_fold::apply(wire::log_offset offset, const wire::claim_record& record) {
-    if (offset < next_) {
+claim_state_machine::apply(wire::log_offset offset,
+                           const wire::claim_record& record) {
+    if (offset < next_offset_) {
         return {};
     }
-    next_ = offset + 1;
-    if (!missing_) {
-        collect(record);
-        return apply_now(offset, record);
+    next_offset_ = offset + 1;
+    if (!gap_) {
+        collect_snapshot_part(record);
+        return apply_record(offset, record);
     }
-    missing_->waiting.emplace_back(offset, record);
-    collect(record);
-    if (missing_ && next_ >= missing_->end) {
-        give_up();
+    gap_->deferred_records.emplace_back(offset, record);
+    collect_snapshot_part(record);
+    if (gap_ && next_offset_ >= gap_->end) {
+        resume_without_snapshot();
     }
     return {};
 }
 
 std::vector<base::request_id>
-claim_fold::apply_now(wire::log_offset offset,
-                      const wire::claim_record& record) {
+claim_state_machine::apply_record(wire::log_offset offset,
+                                  const wire::claim_record& record) {
     std::vector<base::request_id> claimed;
-    if (repeated(offset, record)) {
+    if (is_duplicate(offset, record)) {
         return claimed;
     }
     if (record.starts_epoch) {
@@ -48,26 +49,26 @@
     return claimed;
 }
 
-void claim_fold::start_epoch(wire::log_offset offset,
-                             const wire::claim_record& record) {
+void claim_state_machine::start_epoch(wire::log_offset offset,
+                                      const wire::claim_record& record) {
     // After a loss this may be a copy of a record that is gone. Those who read
     // the first one drop it and go on under another epoch; a holder by this
     // fold would then run what they run.
-    if (uncertain_ && (record.node != uncertain_->node ||
-                       record.incarnation != uncertain_->incarnation ||
-                       record.sequence <= uncertain_->sequence)) {
+    if (epoch_barrier_ && (record.node != epoch_barrier_->node ||
+                           record.incarnation != epoch_barrier_->incarnation ||
+                           record.sequence <= epoch_barrier_->sequence)) {
         return;
     }
-    uncertain_.reset();
+    epoch_barrier_.reset();
     epoch_ = shard_epoch{offset, record.node, record.incarnation};
 }
 
-bool claim_fold::repeated(wire::log_offset offset,
-                          const wire::claim_record& record) {
+bool claim_state_machine::is_duplicate(wire::log_offset offset,
+                                       const wire::claim_record& record) {
     // A late copy of a release would free a key that was claimed again since,
     // and the request would run twice. A writer has one append on its way at a
     // time, so a number that does not grow is a copy.
-    auto& last = written_[{record.node, record.incarnation}];
+    auto& last = writers_[{record.node, record.incarnation}];
     if (record.sequence <= last.sequence) {
         return true;
     }
@@ -75,49 +76,53 @@
     return false;
 }
 
-void claim_fold::skip_to(wire::log_offset first, wire::log_offset end,
-                         base::millis created_before_ms,
-                         const wire::claim_writer& self) {
-    if (first <= next_) {
+void claim_state_machine::handle_truncation(wire::log_offset first,
+                                            wire::log_offset end,
+                                            base::millis created_before_ms,
+                                            const wire::claim_writer& self) {
+    if (first <= next_offset_) {
         return;
     }
     // A claim among the lost records may stand for a request that ran. Until a
     // snapshot tells, no key can be said to be free.
-    next_ = first;
+    next_offset_ = first;
     epoch_.reset();
-    partial_ = {};
-    uncertain_.reset();
-    missing_ = missing_records{first, end, created_before_ms, self, {}};
+    partial_snapshot_ = {};
+    epoch_barrier_.reset();
+    gap_ = log_gap{first, end, created_before_ms, self, {}};
     if (first >= end) {
-        give_up();
+        resume_without_snapshot();
     }
 }
 
-void claim_fold::collect(const wire::claim_record& record) {
-    if (!record.snapshot || record.snapshot->covers < partial_.covers ||
-        (missing_ && record.snapshot->covers < missing_->first)) {
+void claim_state_machine::collect_snapshot_part(
+    const wire::claim_record& record) {
+    if (!record.snapshot ||
+        record.snapshot->covers < partial_snapshot_.covers ||
+        (gap_ && record.snapshot->covers < gap_->first)) {
         return;
     }
     const auto& part = *record.snapshot;
-    if (part.covers != partial_.covers || record.node != partial_.node ||
-        record.incarnation != partial_.incarnation) {
-        partial_ = {part.covers, record.node, record.incarnation, {}};
+    if (part.covers != partial_snapshot_.covers ||
+        record.node != partial_snapshot_.node ||
+        record.incarnation != partial_snapshot_.incarnation) {
+        partial_snapshot_ = {part.covers, record.node, record.incarnation, {}};
     }
-    partial_.parts[part.part] = missing_ ? part : wire::claim_snapshot{};
-    if (partial_.parts.size() < part.parts) {
+    partial_snapshot_.parts[part.part] = gap_ ? part : wire::claim_snapshot{};
+    if (partial_snapshot_.parts.size() < part.parts) {
         return;
     }
-    covered_ = std::max(covered_, part.covers);
-    const auto complete = std::exchange(partial_, {});
-    partial_.covers = complete.covers;
-    if (missing_) {
-        restore(complete);
+    snapshot_offset_ = std::max(snapshot_offset_, part.covers);
+    const auto complete = std::exchange(partial_snapshot_, {});
+    partial_snapshot_.covers = complete.covers;
+    if (gap_) {
+        restore_snapshot(complete);
     }
 }
 
-void claim_fold::restore(const partial_snapshot& complete) {
+void claim_state_machine::restore_snapshot(const partial_snapshot& complete) {
     claims_.clear();
-    written_.clear();
+    writers_.clear();
     for (const auto& [number, part] : complete.parts) {
         for (const auto& item : part.claims) {
             const bool known = item.kind == wire::claim_kind::outcome;
@@ -126,38 +131,38 @@
                                        : std::nullopt};
         }
         for (const auto& w : part.writers) {
-            written_[{w.node, w.incarnation}] = {w.sequence, w.at};
+            writers_[{w.node, w.incarnation}] = {w.sequence, w.at};
         }
         if (part.epoch >= 0) {
             epoch_ = shard_epoch{part.epoch, part.holder, part.incarnation};
         }
-        forgotten_before_ = std::max(forgotten_before_, part.forgotten_before);
+        dropped_before_ = std::max(dropped_before_, part.forgotten_before);
     }
-    resume(complete.covers);
+    apply_deferred_records(complete.covers);
 }
 
-void claim_fold::resume(wire::log_offset from) {
-    const auto waiting = std::move(missing_->waiting);
-    missing_.reset();
+void claim_state_machine::apply_deferred_records(wire::log_offset from) {
+    const auto waiting = std::move(gap_->deferred_records);
+    gap_.reset();
     for (const auto& [offset, record] : waiting) {
         if (offset >= from) {
-            apply_now(offset, record);
+            apply_record(offset, record);
         }
     }
 }
 
-void claim_fold::give_up() {
-    forgotten_before_ =
-        std::max(forgotten_before_, missing_->created_before_ms);
-    uncertain_ = missing_->self;
-    resume(missing_->first);
+void claim_state_machine::resume_without_snapshot() {
+    dropped_before_ = std::max(dropped_before_, gap_->created_before_ms);
+    epoch_barrier_ = gap_->self;
+    apply_deferred_records(gap_->first);
 }
 
-std::vector<wire::claim_snapshot> claim_fold::snapshot(std::size_t most) const {
+std::vector<wire::claim_snapshot>
+claim_state_machine::make_snapshot(std::size_t most) const {
     wire::claim_snapshot head;
-    head.covers = next_;
-    head.forgotten_before = forgotten_before_;
-    auto oldest = next_;
+    head.covers = next_offset_;
+    head.forgotten_before = dropped_before_;
+    auto oldest = next_offset_;
     if (epoch_) {
         head.epoch = epoch_->number;
         head.holder = epoch_->node;
@@ -178,13 +183,13 @@
     // all writers stay that have claims, and of the others the latest, whose
     // copies may still be on their way.
     std::vector<wire::claim_writer> writers;
-    for (const auto& [writer, last] : written_) {
+    for (const auto& [writer, last] : writers_) {
         writers.push_back(
-            {writer.first, writer.second, last.sequence, last.at});
+            {writer.first, writer.second, last.sequence, last.offset});
     }
     std::sort(writers.begin(), writers.end(),
               [](const auto& a, const auto& b) { return a.at > b.at; });
-    while (writers.size() > most_idle_writers && writers.back().at < oldest) {
+    while (writers.size() > max_idle_writers && writers.back().at < oldest) {
         writers.pop_back();
     }
     parts.front().writers = std::move(writers);
@@ -195,12 +200,12 @@
     return parts;
 }
 
-bool claim_fold::apply_item(const wire::claim_item& item) {
+bool claim_state_machine::apply_item(const wire::claim_item& item) {
     const auto at = claims_.find(item.key);
     switch (item.kind) {
     case wire::claim_kind::claim:
         // Without an epoch to judge by, each claim may be one that runs.
-        if (uncertain_ && at == claims_.end()) {
+        if (epoch_barrier_ && at == claims_.end()) {
             claims_[item.key] = {item.epoch, item.created_ms, std::nullopt};
             return false;
         }
@@ -226,17 +231,18 @@
     return false;
 }
 
-const claim_row* claim_fold::find(const base::request_id& key) const {
+const claim_entry*
+claim_state_machine::find(const base::request_id& key) const {
     const auto at = claims_.find(key);
     return at == claims_.end() ? nullptr : &at->second;
 }
 
-const shard_epoch* claim_fold::epoch() const {
+const shard_epoch* claim_state_machine::current_epoch() const {
     return epoch_ ? &*epoch_ : nullptr;
 }
 
-void claim_fold::forget(base::millis created_before_ms) {
-    forgotten_before_ = std::max(forgotten_before_, created_before_ms);
+void claim_state_machine::drop_claims_before(base::millis created_before_ms) {
+    dropped_before_ = std::max(dropped_before_, created_before_ms);
     for (auto at = claims_.begin(); at != claims_.end();) {
         at = at->second.created_ms < created_before_ms ? claims_.erase(at)
                                                        : std::next(at);
--- a/packages/cluster/src/engine_table.cpp
+++ b/packages/cluster/src/engine_table.cpp
@@ -5,24 +5,24 @@
 
 namespace hibiscus::cluster {
 
-int engine_row::load() const {
-    int sum = digest.admitted;
-    for (const auto& [trainer, count] : placed_since) {
+int engine_entry::estimated_load() const {
+    int sum = status.admitted;
+    for (const auto& [trainer, count] : placed_since_status) {
         sum += count;
     }
     return sum;
 }
 
-int engine_row::load_of(const base::trainer_id& trainer) const {
-    const auto placed = placed_since.find(trainer);
-    int sum = placed == placed_since.end() ? 0 : placed->second;
-    for (const auto& row : digest.streams) {
+int engine_entry::estimated_load_of(const base::trainer_id& trainer) const {
+    const auto placed = placed_since_status.find(trainer);
+    int sum = placed == placed_since_status.end() ? 0 : placed->second;
+    for (const auto& row : status.streams) {
         sum += row.trainer == trainer ? row.admitted : 0;
     }
     return sum;
 }
 
-void engine_table::update(const wire::instance_page& page) {
+void engine_table::update_instances(const wire::instance_list& page) {
     std::set<base::engine_id> named;
     for (const auto& i : page.instances) {
         if (i.role != wire::instance_role::engine) {
@@ -30,60 +30,61 @@
         }
         const base::engine_id id(i.id);
         named.insert(id);
-        auto& row = rows_[id];
+        auto& row = engines_[id];
         row.id = id;
         row.pool = base::pool_id(i.group);
         row.zone = i.zone;
         row.address = i.address;
         row.leaving = i.state == wire::instance_state::leaving;
     }
-    for (auto at = rows_.begin(); at != rows_.end();) {
-        at = named.count(at->first) == 0 ? rows_.erase(at) : std::next(at);
+    for (auto at = engines_.begin(); at != engines_.end();) {
+        at = named.count(at->first) == 0 ? engines_.erase(at) : std::next(at);
     }
 }
 
-void engine_table::hear(base::millis now, const wire::engine_digest& digest) {
-    const auto at = rows_.find(digest.engine);
-    if (at == rows_.end()) {
+void engine_table::update_status(base::millis now,
+                                 const wire::engine_status& digest) {
+    const auto at = engines_.find(digest.engine);
+    if (at == engines_.end()) {
         return;
     }
-    at->second.digest = digest;
-    at->second.digest_at = now;
-    at->second.placed_since.clear();
+    at->second.status = digest;
+    at->second.status_at = now;
+    at->second.placed_since_status.clear();
 }
 
 void engine_table::note_placed(const base::engine_id& engine,
                                const base::trainer_id& trainer) {
-    const auto at = rows_.find(engine);
-    if (at != rows_.end()) {
-        ++at->second.placed_since[trainer];
+    const auto at = engines_.find(engine);
+    if (at != engines_.end()) {
+        ++at->second.placed_since_status[trainer];
     }
 }
 
 void engine_table::note_ended(const base::engine_id& engine,
                               const base::trainer_id& trainer) {
-    const auto at = rows_.find(engine);
-    if (at != rows_.end() && at->second.load_of(trainer) > 0) {
-        --at->second.placed_since[trainer];
+    const auto at = engines_.find(engine);
+    if (at != engines_.end() && at->second.estimated_load_of(trainer) > 0) {
+        --at->second.placed_since_status[trainer];
     }
 }
 
-const engine_row* engine_table::find(const base::engine_id& engine) const {
-    const auto at = rows_.find(engine);
-    return at == rows_.end() ? nullptr : &at->second;
+const engine_entry* engine_table::find(const base::engine_id& engine) const {
+    const auto at = engines_.find(engine);
+    return at == engines_.end() ? nullptr : &at->second;
 }
 
-std::vector<const engine_row*>
-engine_table::usable(const base::pool_id& pool) const {
-    std::vector<const engine_row*> rows;
-    std::vector<const engine_row*> ejected;
-    for (const auto& [id, row] : rows_) {
+std::vector<const engine_entry*>
+engine_table::placement_candidates(const base::pool_id& pool) const {
+    std::vector<const engine_entry*> rows;
+    std::vector<const engine_entry*> ejected;
+    for (const auto& [id, row] : engines_) {
         if (row.pool != pool || row.leaving) {
             continue;
         }
-        if (row.digest.healthy) {
+        if (row.status.healthy) {
             rows.push_back(&row);
-        } else if (row.digest_at > 0) {
+        } else if (row.status_at > 0) {
             ejected.push_back(&row);
         }
     }
@@ -91,8 +92,8 @@
     // once; without a limit the steps would stand still for it. The engine's
     // home still refuses what it cannot start.
     std::stable_sort(ejected.begin(), ejected.end(),
-                     [](const engine_row* a, const engine_row* b) {
-                         return a->digest_at > b->digest_at;
+                     [](const engine_entry* a, const engine_entry* b) {
+                         return a->status_at > b->status_at;
                      });
     const auto known = rows.size() + ejected.size();
     for (auto at = ejected.begin(); rows.size() * 2 < known; ++at) {
--- a/packages/cluster/src/stream_name.cpp
+++ b/packages/cluster/src/stream_id.cpp
@@ -1,4 +1,4 @@
-#include "hibiscus/cluster/stream_name.hpp"
+#include "hibiscus/cluster/stream_id.hpp"
 
 #include <charconv>
 
@@ -9,7 +9,7 @@
 /// Reads the number after the last '/' of `text` and cuts it off. Returns
 /// false if there is none.
 template <class T>
-bool cut_number(std::string_view& text, T& number) {
+bool consume_number(std::string_view& text, T& number) {
     const auto slash = text.rfind('/');
     if (slash == std::string_view::npos) {
         return false;
@@ -23,19 +23,19 @@
 
 } // namespace
 
-base::stream_id stream_of(const base::trainer_id& trainer,
-                          wire::step_number step, wire::slot_index slot,
-                          std::uint32_t attempt) {
+base::stream_id make_stream_id(const base::trainer_id& trainer,
+                               wire::step_number step, wire::slot_index slot,
+                               std::uint32_t attempt) {
     return base::stream_id(trainer.str() + "/" + std::to_string(step) + "/" +
                            std::to_string(slot) + "/" +
                            std::to_string(attempt));
 }
 
-std::optional<stream_name> parse_stream(const base::stream_id& id) {
-    stream_name name;
+std::optional<stream_id_parts> parse_stream_id(const base::stream_id& id) {
+    stream_id_parts name;
     std::string_view text = id.str();
-    if (!cut_number(text, name.attempt) || !cut_number(text, name.slot) ||
-        !cut_number(text, name.step)) {
+    if (!consume_number(text, name.attempt) ||
+        !consume_number(text, name.slot) || !consume_number(text, name.step)) {
         return std::nullopt;
     }
     name.trainer = base::trainer_id(std::string(text));
--- a/packages/cluster/src/version_table.cpp
+++ b/packages/cluster/src/version_table.cpp
@@ -2,8 +2,8 @@
 
 namespace hibiscus::cluster {
 
-bool version_table::learn(base::millis now, const base::trainer_id& trainer,
-                          wire::weight_version version) {
+bool version_table::update(base::millis now, const base::trainer_id& trainer,
+                           wire::weight_version version) {
     auto& known = newest_[trainer];
     if (version <= known.version) {
         return false;
@@ -18,9 +18,9 @@
     return at == newest_.end() ? 0 : at->second.version;
 }
 
-base::millis version_table::learnt_at(const base::trainer_id& trainer) const {
+base::millis version_table::updated_at(const base::trainer_id& trainer) const {
     const auto at = newest_.find(trainer);
-    return at == newest_.end() ? 0 : at->second.learnt_at;
+    return at == newest_.end() ? 0 : at->second.updated_at;
 }
 
 std::vector<wire::trainer_version> version_table::all() const {
--- a/packages/cluster/test/claim_fuzz_test.cpp
+++ b/packages/cluster/test/claim_fuzz_test.cpp
@@ -14,12 +14,12 @@
                       claim_model model;
                       std::string wrong;
                       for (const auto& c : commands) {
-                          wrong = model.step(c);
+                          wrong = model.execute(c);
                           if (!wrong.empty()) {
                               break;
                           }
                       }
-                      const auto& reached = model.reached();
+                      const auto& reached = model.coverage_so_far();
                       steps += commands.size();
                       all.attempts += reached.attempts;
                       all.runs += reached.runs;
@@ -40,7 +40,7 @@
     claim_model model;
     std::string wrong;
     for (const auto& c : commands) {
-        wrong = wrong.empty() ? model.step(c) : wrong;
+        wrong = wrong.empty() ? model.execute(c) : wrong;
     }
     return wrong;
 }
--- a/packages/cluster/test/claim_model.hpp
+++ b/packages/cluster/test/claim_model.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "hibiscus/cluster/claim_home.hpp"
+#include "hibiscus/cluster/claim_coordinator.hpp"
 
 #include "support/fuzz.hpp"
 
@@ -18,13 +18,13 @@
 public:
     claim_model() {
         for (std::size_t n = 0; n < nodes_.size(); ++n) {
-            start(n);
+            restart_node(n);
             assign(n, static_cast<int>(n));
         }
     }
 
     /// Carries out a command. Returns what is wrong, or "".
-    std::string step(const testing::fuzz_command& c) {
+    std::string execute(const testing::fuzz_command& c) {
         const auto n = static_cast<std::size_t>(c.a) % nodes_.size();
         const auto shard = static_cast<shard_number>(c.b) % shards;
         if (c.kind < 20) {
@@ -34,7 +34,7 @@
         } else if (c.kind < 46) {
             finish_append(c);
         } else if (c.kind < 60) {
-            read(n, shard, c.c % 12 + 1);
+            deliver_records(n, shard, c.c % 12 + 1);
         } else if (c.kind < 72) {
             finish_run(c);
         } else if (c.kind < 75) {
@@ -44,17 +44,17 @@
         } else if (c.kind < 81) {
             nodes_[n].paused = !nodes_[n].paused;
         } else if (c.kind < 82) {
-            start(n);
+            restart_node(n);
         } else if (c.kind < 84) {
             outage_ = !outage_;
         } else if (c.kind < 86) {
-            drop_records(shard, c.c % 14 + 1);
+            trim_log(shard, c.c % 14 + 1);
         } else if (c.kind < 87) {
-            nodes_[n].home->set_keep(c.c % 2 == 0 ? 5000 : 20000);
+            nodes_[n].home->set_claim_retention(c.c % 2 == 0 ? 5000 : 20000);
         } else {
-            settle(n, c);
+            run_quiet_period(n, c);
         }
-        return wrong_;
+        return failure_;
     }
 
     /// What a run reached; a run that reaches nothing proves nothing.
@@ -67,7 +67,7 @@
     };
 
     /// Returns what was reached so far.
-    const coverage& reached() const { return reached_; }
+    const coverage& coverage_so_far() const { return coverage_; }
 
 private:
     static constexpr shard_number shards = 2;
@@ -87,58 +87,59 @@
         bool ran = false;
     };
 
-    struct node_row {
-        std::unique_ptr<claim_home> home;
+    struct node_state {
+        std::unique_ptr<claim_coordinator> home;
         std::uint64_t incarnation = 0;
         bool paused = false;
         std::set<shard_number> assigned;
     };
 
     /// An append between the home and the log.
-    struct sent_append {
+    struct pending_append {
         std::size_t node = 0;
         std::uint64_t incarnation = 0;
         append_claims effect;
         /// False for a copy whose home has given up on an answer.
-        bool awaited = true;
+        bool awaits_response = true;
     };
 
     /// A dispatch between the home and the service.
-    struct sent_run {
+    struct pending_run {
         std::size_t node = 0;
         std::uint64_t incarnation = 0;
         std::string key;
     };
 
-    struct stream {
+    struct shard_log {
         wire::log_offset first = 0;
         std::vector<wire::claim_record> records;
     };
 
     base::millis wall() const { return wall_start + now_; }
 
-    void fail(const std::string& what) {
-        if (wrong_.empty()) {
-            wrong_ = what;
+    void record_violation(const std::string& what) {
+        if (failure_.empty()) {
+            failure_ = what;
         }
     }
 
-    void start(std::size_t n) {
+    void restart_node(std::size_t n) {
         auto& node = nodes_[n];
-        node.incarnation = ++incarnations_;
-        claim_times times;
-        times.keep = 10000;
-        times.snapshot_records = 6;
-        times.snapshot_age = 4000;
-        node.home = std::make_unique<claim_home>(
+        node.incarnation = ++last_incarnation_;
+        claim_options times;
+        times.claim_retention = 10000;
+        times.snapshot_interval_records = 6;
+        times.max_snapshot_age = 4000;
+        node.home = std::make_unique<claim_coordinator>(
             base::node_id("n" + std::to_string(n)), node.incarnation, times);
         node.paused = false;
         node.assigned.clear();
     }
 
     /// Returns the node that wrote the last epoch of a shard, or `otherwise`.
-    std::size_t holder(shard_number shard, std::size_t otherwise) const {
-        const auto& records = streams_[shard].records;
+    std::size_t find_epoch_holder(shard_number shard,
+                                  std::size_t otherwise) const {
+        const auto& records = logs_[shard].records;
         for (auto at = records.rbegin(); at != records.rend(); ++at) {
             if (at->starts_epoch) {
                 return static_cast<std::size_t>(at->node.str()[1] - '0');
@@ -162,16 +163,16 @@
         r.deadline_ms = 50 + c.a % 7 * 400;
         r.created_ms = created;
         // Most callers find the home, as entries do; the rest go astray.
-        n = c.a % 10 < 7 ? holder(shard_of(r.id, shards), n) : n;
+        n = c.a % 10 < 7 ? find_epoch_holder(shard_of(r.id, shards), n) : n;
         if (nodes_[n].paused) {
             return;
         }
         const auto waiter = attempts_.size();
-        ++reached_.attempts;
+        ++coverage_.attempts;
         attempts_.push_back({key, n, nodes_[n].incarnation,
                              now_ + r.deadline_ms, false, false, false});
         nodes_[n].home->submit(now_, wall(), waiter, shard_of(r.id, shards), r);
-        collect(n);
+        collect_effects(n);
     }
 
     void tick(std::size_t n) {
@@ -180,17 +181,18 @@
             return;
         }
         nodes_[n].home->tick(now_, wall());
-        collect(n);
+        collect_effects(n);
         constexpr base::millis grace = 250;
         for (const auto& a : attempts_) {
             if (a.node == n && a.incarnation == nodes_[n].incarnation &&
                 !a.answered && now_ >= a.deadline + grace) {
-                fail("a caller of " + a.key + " waits past its deadline");
+                record_violation("a caller of " + a.key +
+                                 " waits past its deadline");
             }
         }
     }
 
-    void collect(std::size_t n) {
+    void collect_effects(std::size_t n) {
         const auto incarnation = nodes_[n].incarnation;
         for (auto& effect : nodes_[n].home->take_effects()) {
             if (auto* append = std::get_if<append_claims>(&effect)) {
@@ -198,29 +200,30 @@
             } else if (auto* run = std::get_if<dispatch_request>(&effect)) {
                 runs_.push_back({n, incarnation, run->request.id.str()});
             } else {
-                judge(std::get<answer_request>(effect));
+                check_response(std::get<send_response>(effect));
             }
         }
     }
 
-    void judge(const answer_request& answer) {
+    void check_response(const send_response& answer) {
         auto& a = attempts_[answer.waiter];
         if (a.answered) {
-            fail(a.key + " was answered twice");
+            record_violation(a.key + " was answered twice");
         }
         a.answered = true;
-        const auto result = answer.answer.result;
-        reached_.completed += result == wire::outcome::completed ? 1U : 0U;
-        reached_.unknown += result == wire::outcome::unknown ? 1U : 0U;
-        reached_.not_run += result == wire::outcome::not_run ? 1U : 0U;
-        a.not_run = answer.answer.result == wire::outcome::not_run;
+        const auto result = answer.response.result;
+        coverage_.completed += result == wire::outcome::completed ? 1U : 0U;
+        coverage_.unknown += result == wire::outcome::unknown ? 1U : 0U;
+        coverage_.not_run += result == wire::outcome::not_run ? 1U : 0U;
+        a.not_run = answer.response.result == wire::outcome::not_run;
         if (a.not_run && a.ran) {
-            fail(a.key + " ran, and its caller was told not_run");
+            record_violation(a.key + " ran, and its caller was told not_run");
         }
-        const auto body = bodies_.find(a.key);
-        if (answer.answer.result == wire::outcome::completed &&
-            (body == bodies_.end() || body->second != answer.answer.body)) {
-            fail(a.key + " was answered with a body of no run");
+        const auto body = response_bodies_.find(a.key);
+        if (answer.response.result == wire::outcome::completed &&
+            (body == response_bodies_.end() ||
+             body->second != answer.response.body)) {
+            record_violation(a.key + " was answered with a body of no run");
         }
     }
 
@@ -233,11 +236,11 @@
         auto sent = appends_[i];
         const int how = c.b % 10;
         const bool lands = !outage_ && how < 8;
-        if (!sent.awaited) {
+        if (!sent.awaits_response) {
             // A copy that was under way all the time lands late, or never.
             appends_.erase(appends_.begin() + static_cast<std::ptrdiff_t>(i));
             if (lands) {
-                land(sent);
+                append_to_stream(sent);
             }
             return;
         }
@@ -246,7 +249,7 @@
         }
         auto outcome = append_outcome::appended;
         if (lands) {
-            land(sent);
+            append_to_stream(sent);
             outcome =
                 how < 6 ? append_outcome::appended : append_outcome::unknown;
         } else {
@@ -254,40 +257,40 @@
                 how == 9 ? append_outcome::unknown : append_outcome::refused;
         }
         if (!lands && outcome == append_outcome::unknown) {
-            appends_[i].awaited = false;
+            appends_[i].awaits_response = false;
         } else {
             appends_.erase(appends_.begin() + static_cast<std::ptrdiff_t>(i));
         }
         if (nodes_[sent.node].incarnation == sent.incarnation) {
-            nodes_[sent.node].home->appended(sent.effect.shard, sent.effect.id,
-                                             outcome, now_ + c.c % 200);
-            collect(sent.node);
+            nodes_[sent.node].home->on_append_result(
+                sent.effect.shard, sent.effect.id, outcome, now_ + c.c % 200);
+            collect_effects(sent.node);
         }
     }
 
-    void land(const sent_append& sent) {
-        streams_[sent.effect.shard].records.push_back(sent.effect.record);
+    void append_to_stream(const pending_append& sent) {
+        logs_[sent.effect.shard].records.push_back(sent.effect.record);
     }
 
-    void read(std::size_t n, shard_number shard, int most) {
+    void deliver_records(std::size_t n, shard_number shard, int most) {
         auto& node = nodes_[n];
         if (node.paused || outage_) {
             return;
         }
-        const auto& s = streams_[shard];
+        const auto& s = logs_[shard];
         const auto end = static_cast<wire::log_offset>(s.records.size());
-        for (const auto& [which, from] : node.home->reading()) {
+        for (const auto& [which, from] : node.home->shards_to_read()) {
             if (which != shard) {
                 continue;
             }
-            node.home->bounds(now_, wall(), shard, s.first, end);
+            node.home->on_stream_bounds(now_, wall(), shard, s.first, end);
             for (auto at = std::max(from, s.first); at < end && most > 0;
                  ++at, --most) {
-                node.home->read(now_, shard, at,
-                                s.records[static_cast<std::size_t>(at)]);
+                node.home->apply_record(
+                    now_, shard, at, s.records[static_cast<std::size_t>(at)]);
             }
         }
-        collect(n);
+        collect_effects(n);
     }
 
     /// Lets the service run a request or not, and answer or not.
@@ -304,26 +307,26 @@
         }
         runs_.erase(runs_.begin() + static_cast<std::ptrdiff_t>(i));
         const int how = c.b % 5;
-        wire::answer answer;
+        wire::service_response answer;
         answer.id = base::request_id(run.key);
         answer.result = how < 3   ? wire::outcome::completed
                         : how < 4 ? wire::outcome::not_run
                                   : wire::outcome::unknown;
         if (how < 3 || (how == 4 && c.c % 2 == 0)) {
-            answer.body = run_key(run);
+            answer.body = record_run(run);
         }
         if (alive) {
-            node.home->dispatched(shard_of(answer.id, shards), answer);
-            collect(run.node);
+            node.home->on_service_response(shard_of(answer.id, shards), answer);
+            collect_effects(run.node);
         }
     }
 
-    std::string run_key(const sent_run& run) {
+    std::string record_run(const pending_run& run) {
         auto body = run.key + " by " + std::to_string(run.incarnation);
-        if (!bodies_.emplace(run.key, body).second) {
-            fail(run.key + " ran twice");
+        if (!response_bodies_.emplace(run.key, body).second) {
+            record_violation(run.key + " ran twice");
         }
-        ++reached_.runs;
+        ++coverage_.runs;
         bool wanted = false;
         for (auto& a : attempts_) {
             if (a.key == run.key) {
@@ -333,7 +336,7 @@
             }
         }
         if (!wanted) {
-            fail(run.key + " ran after not_run, without a retry");
+            record_violation(run.key + " ran after not_run, without a retry");
         }
         return body;
     }
@@ -349,18 +352,18 @@
             }
         }
         nodes_[n].assigned = ours;
-        nodes_[n].home->assign(ours);
-        collect(n);
+        nodes_[n].home->assign_shards(ours);
+        collect_effects(n);
     }
 
-    void drop_records(shard_number shard, int keep) {
-        auto& s = streams_[shard];
+    void trim_log(shard_number shard, int keep) {
+        auto& s = logs_[shard];
         s.first = std::max(
             s.first, static_cast<wire::log_offset>(s.records.size()) - keep);
     }
 
     /// Gives a node some quiet time in which it can take its shards and serve.
-    void settle(std::size_t n, const testing::fuzz_command& c) {
+    void run_quiet_period(std::size_t n, const testing::fuzz_command& c) {
         nodes_[n].paused = false;
         outage_ = false;
         if (nodes_[n].assigned.empty()) {
@@ -370,27 +373,28 @@
             now_ += 15;
             tick(n);
             for (std::size_t at = appends_.size(); at > 0; --at) {
-                if (appends_[at - 1].node == n && appends_[at - 1].awaited) {
+                if (appends_[at - 1].node == n &&
+                    appends_[at - 1].awaits_response) {
                     finish_append({0, static_cast<int>(at - 1), 0, 0});
                 }
             }
-            read(n, 0, 1000);
-            read(n, 1, 1000);
+            deliver_records(n, 0, 1000);
+            deliver_records(n, 1, 1000);
         }
     }
 
-    std::array<node_row, 3> nodes_;
-    std::array<stream, shards> streams_;
+    std::array<node_state, 3> nodes_;
+    std::array<shard_log, shards> logs_;
     std::vector<std::pair<std::string, base::millis>> keys_;
     std::vector<attempt> attempts_;
-    std::vector<sent_append> appends_;
-    std::vector<sent_run> runs_;
-    std::map<std::string, std::string> bodies_;
-    std::uint64_t incarnations_ = 0;
+    std::vector<pending_append> appends_;
+    std::vector<pending_run> runs_;
+    std::map<std::string, std::string> response_bodies_;
+    std::uint64_t last_incarnation_ = 0;
     base::millis now_ = 0;
     bool outage_ = false;
-    std::string wrong_;
-    coverage reached_;
+    std::string failure_;
+    coverage coverage_;
 };
 
 } // namespace hibiscus::cluster
--- a/packages/cluster/test/claim_fold_test.cpp
+++ b/packages/cluster/test/claim_state_machine_test.cpp
@@ -1,4 +1,4 @@
-#include "hibiscus/cluster/claim_fold.hpp"
+#include "hibiscus/cluster/claim_state_machine.hpp"
 
 #include <gtest/gtest.h>
 
@@ -24,7 +24,7 @@
         return {kind, key, epoch, 0, "done"};
     }
 
-    claim_fold fold_;
+    claim_state_machine fold_;
     wire::log_offset offset_ = 0;
 };
 
@@ -78,11 +78,11 @@
     apply("a", 1, true, {});
     apply("a", 2, false, {item(wire::claim_kind::claim, 0)});
     apply("a", 3, false, {item(wire::claim_kind::outcome, 0)});
-    const auto parts = fold_.snapshot(10);
+    const auto parts = fold_.make_snapshot(10);
     ASSERT_EQ(parts.size(), 1U);
 
-    claim_fold fresh;
-    fresh.skip_to(3, 6, 5000, {base::node_id("b"), 1, 0, 0});
+    claim_state_machine fresh;
+    fresh.handle_truncation(3, 6, 5000, {base::node_id("b"), 1, 0, 0});
     const wire::claim_item late{wire::claim_kind::claim,
                                 base::request_id("late"), 0, 0, ""};
     fresh.apply(3, {base::node_id("a"), 1, 4, false, {late}, std::nullopt});
@@ -90,36 +90,36 @@
     ASSERT_NE(fresh.find(key), nullptr);
     EXPECT_TRUE(fresh.find(key)->body.has_value());
     EXPECT_NE(fresh.find(late.key), nullptr);
-    ASSERT_NE(fresh.epoch(), nullptr);
-    EXPECT_EQ(fresh.epoch()->number, 0);
-    EXPECT_EQ(fresh.forgotten_before(), 0);
+    ASSERT_NE(fresh.current_epoch(), nullptr);
+    EXPECT_EQ(fresh.current_epoch()->number, 0);
+    EXPECT_EQ(fresh.dropped_before(), 0);
 }
 
 // The log dropped records and holds no whole snapshot of them. Any request
 // that was made before may have run, so the fold must not call its key free.
 TEST_F(claim_fold_test, lost_records_without_a_snapshot_bar_older_requests) {
-    claim_fold fresh;
-    fresh.skip_to(3, 4, 5000, {base::node_id("b"), 1, 0, 0});
-    EXPECT_EQ(fresh.forgotten_before(), 0);
+    claim_state_machine fresh;
+    fresh.handle_truncation(3, 4, 5000, {base::node_id("b"), 1, 0, 0});
+    EXPECT_EQ(fresh.dropped_before(), 0);
     fresh.apply(3, {base::node_id("b"), 1, 1, true, {}, std::nullopt});
-    EXPECT_EQ(fresh.forgotten_before(), 5000);
-    ASSERT_NE(fresh.epoch(), nullptr);
-    EXPECT_EQ(fresh.epoch()->number, 3);
+    EXPECT_EQ(fresh.dropped_before(), 5000);
+    ASSERT_NE(fresh.current_epoch(), nullptr);
+    EXPECT_EQ(fresh.current_epoch()->number, 3);
 }
 
 // An append of an epoch record is sent twice and the first copy is dropped by
 // retention unread. Those who read it drop the second; a node that went by it
 // would hold the shard beside the true holder.
 TEST_F(claim_fold_test, after_a_loss_a_copy_of_an_epoch_record_starts_none) {
-    claim_fold fresh;
-    fresh.skip_to(3, 4, 5000, {base::node_id("b"), 1, 7, 0});
+    claim_state_machine fresh;
+    fresh.handle_truncation(3, 4, 5000, {base::node_id("b"), 1, 7, 0});
     fresh.apply(3, {base::node_id("b"), 1, 7, true, {}, std::nullopt});
-    EXPECT_EQ(fresh.epoch(), nullptr);
+    EXPECT_EQ(fresh.current_epoch(), nullptr);
     fresh.apply(4, {base::node_id("a"), 1, 9, true, {}, std::nullopt});
-    EXPECT_EQ(fresh.epoch(), nullptr);
+    EXPECT_EQ(fresh.current_epoch(), nullptr);
     fresh.apply(5, {base::node_id("b"), 1, 8, true, {}, std::nullopt});
-    ASSERT_NE(fresh.epoch(), nullptr);
-    EXPECT_EQ(fresh.epoch()->number, 5);
+    ASSERT_NE(fresh.current_epoch(), nullptr);
+    EXPECT_EQ(fresh.current_epoch()->number, 5);
 }
 
 } // namespace
--- a/packages/cluster/test/engine_home_test.cpp
+++ b/packages/cluster/test/engine_coordinator_test.cpp
@@ -1,4 +1,4 @@
-#include "hibiscus/cluster/engine_home.hpp"
+#include "hibiscus/cluster/engine_coordinator.hpp"
 
 #include <gtest/gtest.h>
 
@@ -16,57 +16,57 @@
 protected:
     engine_home_test() : home_(self, {}) {
         traits_.slots = 2;
-        traits_.queue = 1;
+        traits_.queue_limit = 1;
         traits_.trainers = {trainer};
         assign();
-        say({});
+        respond_to_poll({});
     }
 
     /// Makes this node the engine's home.
-    void assign() { home_.assign(now_, {{engine, traits_}}); }
+    void assign() { home_.assign_engines(now_, {{engine, traits_}}); }
 
     /// Lets the engine answer a poll; it serves `serving_`.
-    void say(std::vector<wire::stream_news> streams) {
-        wire::engine_news news;
+    void respond_to_poll(std::vector<wire::stream_update> streams) {
+        wire::engine_poll_response news;
         news.streams = std::move(streams);
         news.serving = {{trainer, serving_}};
-        home_.news(now_, engine, news);
+        home_.on_poll_response(now_, engine, news);
     }
 
-    wire::place_answer place(const base::stream_id& id,
-                             const base::node_id& home = trainers_home) {
+    wire::place_response place(const base::stream_id& id,
+                               const base::node_id& home = trainers_home) {
         wire::stream_start start;
         start.stream = id;
         start.trainer = trainer;
-        const auto answer = home_.place(now_, {engine, home, start});
-        keep();
+        const auto answer = home_.admit_stream(now_, {engine, home, start});
+        collect_effects();
         return answer;
     }
 
     /// Places the stream and lets the engine take it.
     void run_stream() {
         place(stream);
-        home_.start_ended(engine, stream, true);
+        home_.on_start_result(engine, stream, true);
     }
 
     /// Lets time pass in ticks of 20 ms; the engine answers if `alive`.
-    void pass(base::millis ms, bool alive = true) {
+    void advance_time(base::millis ms, bool alive = true) {
         for (const auto end = now_ + ms; now_ < end; now_ += 20) {
             if (alive) {
-                say({});
+                respond_to_poll({});
             }
             home_.tick(now_, wanted_);
-            keep();
+            collect_effects();
         }
     }
 
-    void keep() {
+    void collect_effects() {
         for (auto& effect : home_.take_effects()) {
             if (auto* s = std::get_if<start_at_engine>(&effect)) {
                 starts_.push_back(s->start);
             } else if (auto* c = std::get_if<stop_at_engine>(&effect)) {
                 stops_.push_back(c->stream);
-            } else if (auto* o = std::get_if<order_engine>(&effect)) {
+            } else if (auto* o = std::get_if<send_order>(&effect)) {
                 orders_.push_back(o->order);
             } else if (auto* r = std::get_if<send_report>(&effect)) {
                 reported_to_ = r->to;
@@ -79,8 +79,8 @@
         }
     }
 
-    static wire::stream_news news_of(wire::stream_state state,
-                                     std::vector<wire::chunk> chunks) {
+    static wire::stream_update make_update(wire::stream_state state,
+                                           std::vector<wire::chunk> chunks) {
         return {stream, state, std::move(chunks)};
     }
 
@@ -97,7 +97,7 @@
     std::vector<wire::stream_report> reports_;
     base::node_id reported_to_;
     int epochs_asked_ = 0;
-    engine_home home_;
+    engine_coordinator home_;
 };
 
 TEST_F(engine_home_test, streams_beyond_the_slots_and_the_queue_are_refused) {
@@ -117,7 +117,7 @@
     EXPECT_EQ(place(stream, base::node_id("n3")).result,
               wire::outcome::completed);
     EXPECT_EQ(starts_.size(), 1U);
-    pass(40);
+    advance_time(40);
     EXPECT_EQ(reported_to_.str(), "n3");
 }
 
@@ -134,13 +134,13 @@
 // arrives the sample is told again; after that never.
 TEST_F(engine_home_test, a_finished_sample_is_told_until_acknowledged) {
     run_stream();
-    say({news_of(done, {{0, 1, "a"}, {1, 1, "b"}})});
-    pass(600);
+    respond_to_poll({make_update(done, {{0, 1, "a"}, {1, 1, "b"}})});
+    advance_time(600);
     const auto told = reports_.size();
     EXPECT_GE(told, 2U);
     EXPECT_EQ(reports_.back().chunks.size(), 2U);
-    home_.acknowledge({{stream}});
-    pass(600);
+    home_.acknowledge_reports({{stream}});
+    advance_time(600);
     EXPECT_EQ(reports_.size(), told);
 }
 
@@ -148,9 +148,9 @@
 // is told to forget it. Its memory would grow with each step.
 TEST_F(engine_home_test, an_acknowledged_stream_is_dropped_at_the_engine) {
     run_stream();
-    say({news_of(done, {{0, 1, "a"}})});
-    home_.acknowledge({{stream}});
-    keep();
+    respond_to_poll({make_update(done, {{0, 1, "a"}})});
+    home_.acknowledge_reports({{stream}});
+    collect_effects();
     ASSERT_EQ(stops_.size(), 1U);
     EXPECT_EQ(stops_[0], stream);
 }
@@ -160,16 +160,17 @@
 // it is, the sample would lack its beginning.
 TEST_F(engine_home_test, a_sample_without_its_beginning_is_read_again) {
     run_stream();
-    say({news_of(done, {{2, 1, "c"}})});
-    pass(300);
+    respond_to_poll({make_update(done, {{2, 1, "c"}})});
+    advance_time(300);
     for (const auto& r : reports_) {
         EXPECT_NE(r.state, done);
     }
-    const auto poll = home_.poll_of(engine);
+    const auto poll = home_.next_poll(engine);
     ASSERT_EQ(poll.streams.size(), 1U);
     EXPECT_EQ(poll.streams[0].from, 0U);
-    say({news_of(done, {{0, 1, "a"}, {1, 1, "b"}, {2, 1, "c"}})});
-    pass(300);
+    respond_to_poll(
+        {make_update(done, {{0, 1, "a"}, {1, 1, "b"}, {2, 1, "c"}})});
+    advance_time(300);
     EXPECT_EQ(reports_.back().chunks.size(), 3U);
 }
 
@@ -178,10 +179,11 @@
 // together they are a text that no engine ever produced.
 TEST_F(engine_home_test, chunks_of_two_runs_are_not_mixed) {
     run_stream();
-    say({news_of(running, {{0, 1, "old0"}, {1, 1, "old1"}})});
-    say({news_of(done, {{2, 2, "new2"}})});
-    say({news_of(done, {{0, 2, "new0"}, {1, 2, "new1"}, {2, 2, "new2"}})});
-    pass(300);
+    respond_to_poll({make_update(running, {{0, 1, "old0"}, {1, 1, "old1"}})});
+    respond_to_poll({make_update(done, {{2, 2, "new2"}})});
+    respond_to_poll(
+        {make_update(done, {{0, 2, "new0"}, {1, 2, "new1"}, {2, 2, "new2"}})});
+    advance_time(300);
     ASSERT_EQ(reports_.back().state, done);
     EXPECT_EQ(reports_.back().chunks[0].text, "new0");
     EXPECT_EQ(reports_.back().oldest, std::optional<wire::weight_version>(2));
@@ -191,9 +193,9 @@
 // streams run: the trainer's home would wait for them for ever.
 TEST_F(engine_home_test, streams_of_a_dead_engine_are_told_to_be_missing) {
     run_stream();
-    home_.poll_failed(engine);
-    home_.poll_failed(engine);
-    pass(6000, false);
+    home_.on_poll_failed(engine);
+    home_.on_poll_failed(engine);
+    advance_time(6000, false);
     ASSERT_FALSE(reports_.empty());
     EXPECT_EQ(reports_.back().state, wire::stream_state::missing);
     EXPECT_LT(reports_.size(), 30U);
@@ -203,10 +205,10 @@
 // missing at once, the sample would run unseen and take a slot.
 TEST_F(engine_home_test, a_start_without_an_answer_is_asked_about) {
     place(stream);
-    home_.start_ended(engine, stream, false);
-    ASSERT_EQ(home_.poll_of(engine).streams.size(), 1U);
-    say({news_of(done, {{0, 1, "a"}})});
-    pass(300);
+    home_.on_start_result(engine, stream, false);
+    ASSERT_EQ(home_.next_poll(engine).streams.size(), 1U);
+    respond_to_poll({make_update(done, {{0, 1, "a"}})});
+    advance_time(300);
     EXPECT_EQ(reports_.back().state, done);
 }
 
@@ -219,10 +221,10 @@
     cancel.engine = engine;
     cancel.streams = {stream};
     cancel.home = trainers_home;
-    home_.cancel(cancel);
+    home_.cancel_streams(cancel);
     EXPECT_EQ(home_.engines().at(engine).streams.size(), 1U);
     cancel.home = base::node_id("n3");
-    home_.cancel(cancel);
+    home_.cancel_streams(cancel);
     EXPECT_EQ(home_.engines().at(engine).streams.size(), 0U);
 }
 
@@ -235,7 +237,7 @@
 }
 
 TEST_F(engine_home_test, an_engine_of_another_home_is_refused) {
-    home_.assign(now_, {});
+    home_.assign_engines(now_, {});
     EXPECT_EQ(place(stream).why, wire::reason::home_moved);
 }
 
@@ -243,15 +245,15 @@
 // same order again would load the same weights twice.
 TEST_F(engine_home_test, an_order_that_was_done_is_not_repeated_at_once) {
     wanted_ = {{trainer, 2}};
-    pass(40);
-    home_.epoch_taken(9);
-    pass(40);
+    advance_time(40);
+    home_.on_epoch_appended(9);
+    advance_time(40);
     ASSERT_EQ(orders_.size(), 1U);
-    home_.ordered(now_, engine, wire::order_verdict::done);
-    pass(500);
+    home_.on_order_result(now_, engine, wire::order_result::done);
+    advance_time(500);
     EXPECT_EQ(orders_.size(), 1U);
     serving_ = 2;
-    pass(6000);
+    advance_time(6000);
     EXPECT_EQ(orders_.size(), 1U);
 }
 
@@ -259,11 +261,11 @@
 // must be ordered again, and not in every tick.
 TEST_F(engine_home_test, an_engine_that_serves_another_version_is_reordered) {
     wanted_ = {{trainer, 2}};
-    pass(40);
-    home_.epoch_taken(9);
-    pass(40);
-    home_.ordered(now_, engine, wire::order_verdict::done);
-    pass(6000);
+    advance_time(40);
+    home_.on_epoch_appended(9);
+    advance_time(40);
+    home_.on_order_result(now_, engine, wire::order_result::done);
+    advance_time(6000);
     EXPECT_EQ(orders_.size(), 2U);
 }
 
@@ -271,13 +273,13 @@
 // that it can serve, so the pauses between the tries grow.
 TEST_F(engine_home_test, a_failed_swap_backs_off) {
     wanted_ = {{trainer, 2}};
-    pass(40);
-    home_.epoch_taken(9);
+    advance_time(40);
+    home_.on_epoch_appended(9);
     for (int i = 0; i < 100; ++i) {
         const auto before = orders_.size();
-        pass(100);
+        advance_time(100);
         if (orders_.size() > before) {
-            home_.ordered(now_, engine, wire::order_verdict::failed);
+            home_.on_order_result(now_, engine, wire::order_result::failed);
         }
     }
     EXPECT_GE(orders_.size(), 4U);
@@ -288,16 +290,16 @@
 // engine that refused an order must get the next one under a newer epoch.
 TEST_F(engine_home_test, a_fenced_home_takes_a_new_epoch) {
     wanted_ = {{trainer, 2}};
-    pass(40);
+    advance_time(40);
     EXPECT_EQ(epochs_asked_, 1);
-    home_.epoch_taken(9);
-    pass(40);
-    home_.ordered(now_, engine, wire::order_verdict::fenced);
-    pass(1000);
+    home_.on_epoch_appended(9);
+    advance_time(40);
+    home_.on_order_result(now_, engine, wire::order_result::fenced);
+    advance_time(1000);
     EXPECT_EQ(epochs_asked_, 2);
     EXPECT_EQ(orders_.size(), 1U);
-    home_.epoch_taken(12);
-    pass(1000);
+    home_.on_epoch_appended(12);
+    advance_time(1000);
     ASSERT_EQ(orders_.size(), 2U);
     EXPECT_EQ(orders_[1].number.epoch, 12);
 }
@@ -306,11 +308,11 @@
 // stay on its version for ever.
 TEST_F(engine_home_test, an_epoch_that_failed_is_asked_for_again) {
     wanted_ = {{trainer, 2}};
-    pass(40);
-    home_.epoch_failed(now_ + 300);
-    pass(200);
+    advance_time(40);
+    home_.on_epoch_append_failed(now_ + 300);
+    advance_time(200);
     EXPECT_EQ(epochs_asked_, 1);
-    pass(200);
+    advance_time(200);
     EXPECT_EQ(epochs_asked_, 2);
 }
 
@@ -318,20 +320,20 @@
 // had before must still follow new versions.
 TEST_F(engine_home_test, a_takeover_that_waits_does_not_hold_up_other_engines) {
     wanted_ = {{trainer, 2}};
-    pass(40);
-    home_.epoch_taken(9);
-    pass(40);
-    home_.ordered(now_, engine, wire::order_verdict::done);
+    advance_time(40);
+    home_.on_epoch_appended(9);
+    advance_time(40);
+    home_.on_order_result(now_, engine, wire::order_result::done);
     serving_ = 2;
     const base::engine_id other("e2");
-    home_.assign(now_, {{engine, traits_}, {other, traits_}});
-    home_.news(now_, other, {});
+    home_.assign_engines(now_, {{engine, traits_}, {other, traits_}});
+    home_.on_poll_response(now_, other, {});
     wanted_ = {{trainer, 3}};
-    pass(100);
+    advance_time(100);
     ASSERT_EQ(orders_.size(), 2U);
     EXPECT_EQ(orders_[1].number.epoch, 9);
-    home_.epoch_taken(12);
-    pass(100);
+    home_.on_epoch_appended(12);
+    advance_time(100);
     ASSERT_EQ(orders_.size(), 3U);
     EXPECT_EQ(orders_[2].number.epoch, 12);
 }
@@ -340,14 +342,14 @@
 // on its way. Ours must come after it, or the engine ends on the old version.
 TEST_F(engine_home_test, an_engine_that_ignores_fencing_is_ordered_later) {
     traits_.checks_fencing = false;
-    home_.assign(now_, {});
+    home_.assign_engines(now_, {});
     assign();
     wanted_ = {{trainer, 2}};
-    pass(40);
-    home_.epoch_taken(9);
-    pass(4800);
+    advance_time(40);
+    home_.on_epoch_appended(9);
+    advance_time(4800);
     EXPECT_TRUE(orders_.empty());
-    pass(400);
+    advance_time(400);
     EXPECT_EQ(orders_.size(), 1U);
 }
 
@@ -357,15 +359,15 @@
     traits_.checks_fencing = false;
     assign();
     wanted_ = {{trainer, 2}};
-    pass(5100);
-    home_.epoch_taken(9);
-    pass(40);
+    advance_time(5100);
+    home_.on_epoch_appended(9);
+    advance_time(40);
     ASSERT_EQ(orders_.size(), 1U);
-    home_.ordered(now_, engine, std::nullopt);
+    home_.on_order_result(now_, engine, std::nullopt);
     wanted_ = {{trainer, 3}};
-    pass(4800);
+    advance_time(4800);
     EXPECT_EQ(orders_.size(), 1U);
-    pass(400);
+    advance_time(400);
     EXPECT_EQ(orders_.size(), 2U);
 }
 
--- a/packages/cluster/test/step_stragglers_test.cpp
+++ b/packages/cluster/test/step_stragglers_test.cpp
@@ -1,5 +1,5 @@
-#include "hibiscus/cluster/engine_home.hpp"
-#include "hibiscus/cluster/step_home.hpp"
+#include "hibiscus/cluster/engine_coordinator.hpp"
+#include "hibiscus/cluster/step_coordinator.hpp"
 
 #include <gtest/gtest.h>
 
@@ -12,17 +12,17 @@
 class step_stragglers_test : public ::testing::Test {
 protected:
     /// Opens the step under `policy` and lets all but its last slot arrive.
-    void bring_to_last_slot(straggler_policy policy) {
+    void finish_all_but_last_slot(straggler_policy policy) {
         policy_ = policy;
-        home_.open(now_, {trainer, 1, {1, {{"prompt", 10, 8}}}});
+        home_.open_step(now_, {trainer, 1, {1, {{"prompt", 10, 8}}}});
         home_.tick(now_);
         home_.take_effects();
-        home_.pull(now_, 1, {trainer, 1, {1, 1, {{0, 8}}, 0, 10000}});
+        home_.pull_samples(now_, 1, {trainer, 1, {1, 1, {{0, 8}}, 0, 10000}});
         home_.take_effects();
     }
 
     /// Ticks for `ms` and returns what was placed and cancelled.
-    void pass(base::millis ms) {
+    void advance_time(base::millis ms) {
         for (const auto end = now_ + ms; now_ < end; now_ += 20) {
             home_.tick(now_);
             for (auto& effect : home_.take_effects()) {
@@ -40,7 +40,7 @@
     straggler_policy policy_ = straggler_none{};
     std::vector<place_stream> placed_;
     std::vector<base::stream_id> cancelled_;
-    step_home home_{
+    step_coordinator home_{
         base::node_id("n1"),
         {},
         [this](const placement_query&) {
@@ -51,18 +51,18 @@
 };
 
 TEST_F(step_stragglers_test, nothing_is_done_without_a_policy) {
-    bring_to_last_slot(straggler_none{});
-    pass(1000);
+    finish_all_but_last_slot(straggler_none{});
+    advance_time(1000);
     EXPECT_TRUE(placed_.empty());
 }
 
 // One sample waits in an engine's queue behind those of other steps, and the
 // trainer stands idle for it. Its start is repeated, once, with more priority.
 TEST_F(step_stragglers_test, the_last_slot_is_raised_once) {
-    bring_to_last_slot(straggler_raise_priority{});
-    pass(1000);
+    finish_all_but_last_slot(straggler_raise_priority{});
+    advance_time(1000);
     ASSERT_EQ(placed_.size(), 1U);
-    EXPECT_EQ(placed_[0].start.stream, stream_of(trainer, 1, 9, 0));
+    EXPECT_EQ(placed_[0].start.stream, make_stream_id(trainer, 1, 9, 0));
     EXPECT_EQ(placed_[0].start.priority, 1007);
     EXPECT_TRUE(cancelled_.empty());
 }
@@ -70,29 +70,29 @@
 // The engine is so full that the last sample does not begin. It is stopped
 // there and runs elsewhere under a new id, so that it cannot come twice.
 TEST_F(step_stragglers_test, a_slot_that_does_not_begin_is_moved) {
-    bring_to_last_slot(straggler_move{});
+    finish_all_but_last_slot(straggler_move{});
     engine_ = "e2";
-    pass(1000);
+    advance_time(1000);
     ASSERT_EQ(cancelled_.size(), 1U);
-    EXPECT_EQ(cancelled_[0], stream_of(trainer, 1, 9, 0));
+    EXPECT_EQ(cancelled_[0], make_stream_id(trainer, 1, 9, 0));
     EXPECT_EQ(placed_.back().engine.str(), "e2");
-    EXPECT_EQ(placed_.back().start.stream, stream_of(trainer, 1, 9, 1));
+    EXPECT_EQ(placed_.back().start.stream, make_stream_id(trainer, 1, 9, 1));
 }
 
 TEST(engine_home_priority_test, a_raised_stream_is_started_again_with_it) {
     const base::engine_id engine("e1");
-    engine_home home(base::node_id("n1"), {});
-    home.assign(0, {{engine, {}}});
+    engine_coordinator home(base::node_id("n1"), {});
+    home.assign_engines(0, {{engine, {}}});
     wire::stream_start start;
     start.stream = base::stream_id("t/1/0/0");
-    home.place(0, {engine, base::node_id("n2"), start});
+    home.admit_stream(0, {engine, base::node_id("n2"), start});
     start.priority = 1000;
-    home.place(0, {engine, base::node_id("n2"), start});
-    home.place(0, {engine, base::node_id("n2"), start});
+    home.admit_stream(0, {engine, base::node_id("n2"), start});
+    home.admit_stream(0, {engine, base::node_id("n2"), start});
     const auto effects = home.take_effects();
     ASSERT_EQ(effects.size(), 2U);
     EXPECT_EQ(std::get<start_at_engine>(effects[1]).start.priority, 1000);
-    EXPECT_EQ(home.engines().at(engine).admitted(), 1);
+    EXPECT_EQ(home.engines().at(engine).admitted_count(), 1);
 }
 
 } // namespace
--- a/packages/ctl/include/hibiscus/ctl/commands.hpp
+++ b/packages/ctl/include/hibiscus/ctl/commands.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "hibiscus/base/endpoint.hpp"
-#include "hibiscus/document/config_fold.hpp"
+#include "hibiscus/document/config_state_machine.hpp"
 
 #include <iosfwd>
 #include <string>
@@ -24,8 +24,8 @@
 
 /// Where a command speaks to, and how it writes.
 struct command_context {
-    base::endpoint log;
-    base::endpoint entry;
+    base::endpoint log_address;
+    base::endpoint entry_address;
     output_format format = output_format::text;
     std::ostream& out;
     std::ostream& error;
--- a/packages/ctl/include/hibiscus/ctl/explain.hpp
+++ b/packages/ctl/include/hibiscus/ctl/explain.hpp
@@ -24,8 +24,8 @@
 /// Reads the JSON lines of `log` and appends to `found` what they say about
 /// `name`: decisions with that subject or choice, and events that name it.
 /// Lines that are cut off or no JSON are passed over.
-void collect(std::istream& log, const std::string& name,
-             std::vector<explanation>& found);
+void collect_explanations(std::istream& log, const std::string& name,
+                          std::vector<explanation>& found);
 
 /// Orders explanations by their time, and writes them as text.
 void write_text(std::ostream& out, std::vector<explanation> found);
--- a/packages/ctl/src/session.cpp
+++ b/packages/ctl/src/blocking_client.cpp
@@ -1,4 +1,4 @@
-#include "session.hpp"
+#include "blocking_client.hpp"
 
 namespace hibiscus::ctl {
 
@@ -9,27 +9,27 @@
 
 } // namespace
 
-session::session()
+blocking_client::blocking_client()
     : guard_(io_.get_executor()), http_(io_, connect_ms),
       thread_([this] { io_.run(); }) {}
 
-session::~session() {
+blocking_client::~blocking_client() {
     io_.stop();
     thread_.join();
 }
 
-net::http_result session::send(const base::endpoint& to,
-                               net::http_request request) {
+net::http_result blocking_client::send(const base::endpoint& to,
+                                       net::http_request request) {
     std::promise<net::http_result> promise;
-    http_.send(to, std::move(request), timeout_ms, net::reuse::never,
+    http_.send(to, std::move(request), timeout_ms, net::connection_reuse::never,
                [&](net::http_result r) { promise.set_value(std::move(r)); });
     return promise.get_future().get();
 }
 
-platform::append_result session::append(const base::endpoint& log,
-                                        const std::string& stream,
-                                        const base::append_id& id,
-                                        const std::string& data) {
+platform::append_result blocking_client::append(const base::endpoint& log,
+                                                const std::string& stream,
+                                                const base::append_id& id,
+                                                const std::string& data) {
     std::promise<platform::append_result> promise;
     platform::log_client client(http_, log);
     client.append(stream, id, data, [&](const platform::append_result& r) {
@@ -38,10 +38,10 @@
     return promise.get_future().get();
 }
 
-platform::read_result session::read(const base::endpoint& log,
-                                    const std::string& stream,
-                                    wire::log_offset from,
-                                    base::millis wait_ms) {
+platform::read_result blocking_client::read(const base::endpoint& log,
+                                            const std::string& stream,
+                                            wire::log_offset from,
+                                            base::millis wait_ms) {
     std::promise<platform::read_result> promise;
     platform::log_client client(http_, log);
     client.read(stream, from, wait_ms, [&](platform::read_result r) {
--- a/packages/ctl/src/session.hpp
+++ b/packages/ctl/src/blocking_client.hpp
@@ -12,13 +12,13 @@
 namespace hibiscus::ctl {
 
 /// Speaks HTTP for a command, which waits for each answer.
-class session {
+class blocking_client {
 public:
-    session();
-    ~session();
+    blocking_client();
+    ~blocking_client();
 
-    session(const session&) = delete;
-    session& operator=(const session&) = delete;
+    blocking_client(const blocking_client&) = delete;
+    blocking_client& operator=(const blocking_client&) = delete;
 
     /// Sends a request and waits for what comes of it.
     net::http_result send(const base::endpoint& to, net::http_request request);
--- a/packages/ctl/src/commands.cpp
+++ b/packages/ctl/src/commands.cpp
@@ -1,9 +1,9 @@
 #include "hibiscus/ctl/commands.hpp"
 
+#include "blocking_client.hpp"
 #include "hibiscus/ctl/explain.hpp"
 #include "hibiscus/document/diff.hpp"
 #include "hibiscus/wire/codec.hpp"
-#include "session.hpp"
 
 #include <nlohmann/json.hpp>
 
@@ -20,7 +20,7 @@
 
 using nlohmann::json;
 
-constexpr int most_appends = 3;
+constexpr int max_append_attempts = 3;
 constexpr int status_ok = 200;
 
 std::optional<std::string> read_file(const command_context& context,
@@ -42,7 +42,7 @@
     const bool valid = errors == nullptr;
     json rows = json::array();
     for (const auto& e : valid ? document::parse_errors{} : *errors) {
-        const auto fault = std::string(base::name_of(e.what));
+        const auto fault = std::string(base::name_of(e.kind));
         rows.push_back(
             {{"fault", fault}, {"path", e.path}, {"expected", e.expected}});
         if (context.format == output_format::text) {
@@ -58,33 +58,33 @@
 
 /// Folds the stream from where `fold` stands to its end. Returns false if it
 /// cannot be read.
-bool follow(session& s, const base::endpoint& log,
-            document::config_fold& fold) {
+bool read_config_stream(blocking_client& s, const base::endpoint& log,
+                        document::config_state_machine& fold) {
     while (true) {
         const auto result =
-            s.read(log, platform::config_stream, fold.next(), 0);
+            s.read(log, platform::config_stream, fold.next_offset(), 0);
         const auto* page = std::get_if<wire::log_page>(&result);
         if (page == nullptr) {
             return false;
         }
-        fold.skip_to(page->first);
+        fold.handle_truncation(page->first);
         for (const auto& record : page->records) {
             const auto read = wire::from_json<wire::config_record>(record.data);
             if (const auto* content = base::value_if(read)) {
                 fold.apply(record.offset, *content);
             } else {
-                fold.skip_invalid(record.offset);
+                fold.skip_invalid_record(record.offset);
             }
         }
-        if (fold.next() >= page->end || page->records.empty()) {
-            return fold.next() >= page->end;
+        if (fold.next_offset() >= page->end || page->records.empty()) {
+            return fold.next_offset() >= page->end;
         }
     }
 }
 
-exit_code tell_verdict(const command_context& context,
-                       const std::string& publish_id,
-                       const document::config_fold& fold) {
+exit_code report_verdict(const command_context& context,
+                         const std::string& publish_id,
+                         const document::config_state_machine& fold) {
     const auto verdict = fold.verdict(publish_id);
     const auto name = std::string(base::name_of(verdict));
     const auto* now = fold.in_force();
@@ -115,7 +115,7 @@
     if (context.format == output_format::json) {
         json rows = json::array();
         for (const auto& c : changes) {
-            rows.push_back({{"change", std::string(base::name_of(c.what))},
+            rows.push_back({{"change", std::string(base::name_of(c.kind))},
                             {"path", c.path},
                             {"before", c.before},
                             {"after", c.after}});
@@ -126,7 +126,7 @@
     context.out << "against revision " << number << ": " << changes.size()
                 << " changes\n";
     for (const auto& c : changes) {
-        context.out << base::name_of(c.what) << ' ' << c.path << ": "
+        context.out << base::name_of(c.kind) << ' ' << c.path << ": "
                     << (c.before.empty() ? "-" : c.before) << " -> "
                     << (c.after.empty() ? "-" : c.after) << '\n';
     }
@@ -187,42 +187,42 @@
         check(context, *text);
         return exit_code::refused;
     }
-    session s;
-    document::config_fold fold;
-    if (!follow(s, context.log, fold)) {
+    blocking_client s;
+    document::config_state_machine fold;
+    if (!read_config_stream(s, context.log_address, fold)) {
         context.error << "the log does not answer; nothing was published\n";
         return exit_code::unavailable;
     }
     if (fold.verdict(publish_id) != document::publish_verdict::unknown) {
-        return tell_verdict(context, publish_id, fold);
+        return report_verdict(context, publish_id, fold);
     }
-    if (!fold.complete()) {
+    if (!fold.is_complete()) {
         // Old records are gone and no node has repeated the document yet. A
         // publish without its true base would be refused by every node.
         context.error << "the log does not show the revision in force; nothing "
                          "was published; try again in some seconds\n";
         return exit_code::unavailable;
     }
-    const auto* now = fold.accepted();
+    const auto* now = fold.accepted_revision();
     const wire::config_record record{
         1, publish_id, now != nullptr ? now->number : 0, *text, 0, 0};
     // An append whose answer was lost may have taken effect; the record's id
     // makes a second copy harmless, so it is sent again.
-    for (int i = 0; i < most_appends; ++i) {
+    for (int i = 0; i < max_append_attempts; ++i) {
         const auto result =
-            s.append(context.log, platform::config_stream,
+            s.append(context.log_address, platform::config_stream,
                      base::append_id(publish_id), wire::to_json(record));
-        if (std::holds_alternative<wire::append_answer>(result)) {
+        if (std::holds_alternative<wire::append_response>(result)) {
             break;
         }
     }
-    if (!follow(s, context.log, fold)) {
+    if (!read_config_stream(s, context.log_address, fold)) {
         context.error << "it is unknown whether publish " << publish_id
                       << " took effect; ask again with --publish_id="
                       << publish_id << '\n';
         return exit_code::unknown;
     }
-    return tell_verdict(context, publish_id, fold);
+    return report_verdict(context, publish_id, fold);
 }
 
 exit_code diff(const command_context& context, const std::string& file) {
@@ -236,13 +236,14 @@
         check(context, *text);
         return exit_code::refused;
     }
-    session s;
-    document::config_fold fold;
-    if (!follow(s, context.log, fold) || !fold.complete()) {
+    blocking_client s;
+    document::config_state_machine fold;
+    if (!read_config_stream(s, context.log_address, fold) ||
+        !fold.is_complete()) {
         context.error << "the log does not show the revision in force\n";
         return exit_code::unavailable;
     }
-    const auto* now = fold.accepted();
+    const auto* now = fold.accepted_revision();
     const auto changes = document::diff(
         now != nullptr ? now->content : document::document{}, *wanted);
     write_diff(context, now != nullptr ? now->number : 0, changes);
@@ -258,7 +259,7 @@
             context.error << "cannot read " << file << '\n';
             return exit_code::usage;
         }
-        collect(in, name, found);
+        collect_explanations(in, name, found);
     }
     const bool any = !found.empty();
     if (context.format == output_format::json) {
@@ -273,10 +274,10 @@
 }
 
 exit_code status(const command_context& context) {
-    session s;
+    blocking_client s;
     net::http_request request;
     request.target = "/v1/status";
-    const auto result = s.send(context.entry, std::move(request));
+    const auto result = s.send(context.entry_address, std::move(request));
     const auto* response = std::get_if<net::http_response>(&result);
     if (response == nullptr || response->status != status_ok) {
         context.error << "the entry does not answer\n";
--- a/packages/ctl/src/explain.cpp
+++ b/packages/ctl/src/explain.cpp
@@ -19,7 +19,7 @@
     return at != line.end() && at->is_string() ? at->get<std::string>() : "";
 }
 
-bool names(const json& line, const std::string& name) {
+bool mentions(const json& line, const std::string& name) {
     return std::any_of(line.begin(), line.end(), [&](const json& value) {
         return value.is_string() && value.get<std::string>() == name;
     });
@@ -42,7 +42,7 @@
 
 std::optional<explanation> explain_line(const json& line,
                                         const std::string& name) {
-    if (!line.is_object() || !names(line, name)) {
+    if (!line.is_object() || !mentions(line, name)) {
         return std::nullopt;
     }
     explanation e;
@@ -66,7 +66,7 @@
     return e;
 }
 
-void order(std::vector<explanation>& found) {
+void sort_by_time(std::vector<explanation>& found) {
     std::stable_sort(found.begin(), found.end(),
                      [](const explanation& a, const explanation& b) {
                          return a.time < b.time;
@@ -75,8 +75,8 @@
 
 } // namespace
 
-void collect(std::istream& log, const std::string& name,
-             std::vector<explanation>& found) {
+void collect_explanations(std::istream& log, const std::string& name,
+                          std::vector<explanation>& found) {
     std::string text;
     while (std::getline(log, text)) {
         const auto line = json::parse(text, nullptr, false);
@@ -87,7 +87,7 @@
 }
 
 void write_text(std::ostream& out, std::vector<explanation> found) {
-    order(found);
+    sort_by_time(found);
     for (const auto& e : found) {
         out << e.time << ' ' << e.node << ": " << e.kind;
         if (!e.subject.empty()) {
@@ -107,7 +107,7 @@
 }
 
 void write_json(std::ostream& out, std::vector<explanation> found) {
-    order(found);
+    sort_by_time(found);
     json rows = json::array();
     for (const auto& e : found) {
         rows.push_back({{"time_ms", e.time},
--- a/packages/ctl/test/explain_test.cpp
+++ b/packages/ctl/test/explain_test.cpp
@@ -24,7 +24,7 @@
     std::vector<explanation> found;
     for (const auto& line : lines) {
         std::istringstream log(line + "\n");
-        collect(log, name, found);
+        collect_explanations(log, name, found);
     }
     std::ostringstream out;
     write_text(out, found);
--- a/packages/document/include/hibiscus/document/config_fold.hpp
+++ b/packages/document/include/hibiscus/document/config_state_machine.hpp
@@ -32,7 +32,7 @@
 /// Folds the `config` stream. All nodes that fold the same records have the
 /// same document in force, so no other agreement is needed. What a peer hands
 /// over is kept apart from the fold; the higher revision of the two counts.
-class config_fold {
+class config_state_machine {
 public:
     /// Applies one record. Records are applied in the order of their offsets;
     /// a record at or before the last one is skipped.
@@ -41,58 +41,60 @@
     /// Notes that retention dropped the records before `first`. If some of
     /// them were not applied, what follows is judged only once a repeated
     /// record tells which revision it builds on.
-    void skip_to(wire::log_offset first);
+    void handle_truncation(wire::log_offset first);
 
     /// Passes over the record at `offset`, which no node can read.
-    void skip_invalid(wire::log_offset offset) {
-        next_ = std::max(next_, offset + 1);
+    void skip_invalid_record(wire::log_offset offset) {
+        next_offset_ = std::max(next_offset_, offset + 1);
     }
 
     /// Takes over a document that a peer has accepted. Returns true if it is
     /// newer than the one in force; an older one changes nothing.
-    bool adopt(wire::log_offset number, const std::string& text);
+    bool adopt_from_peer(wire::log_offset number, const std::string& text);
 
     /// Returns the document in force, or null before the first.
     const revision* in_force() const;
 
     /// Returns true unless records are missing that decide what is accepted.
-    bool complete() const { return !missing_from_; }
+    bool is_complete() const { return !gap_end_; }
 
     /// Returns the revision that the stream has accepted, or null before the
     /// first. The next publish must name it as its base.
-    const revision* accepted() const;
+    const revision* accepted_revision() const;
 
     /// Returns the record that repeats the accepted document, so that the
     /// records before next() are not needed any more. Only if complete().
-    wire::config_record repeat() const;
+    wire::config_record make_snapshot() const;
 
     /// Returns the offset from which on the stream explains itself, 0 if only
     /// from its start.
-    wire::log_offset covered() const { return covered_; }
+    wire::log_offset snapshot_offset() const { return snapshot_offset_; }
 
     /// Returns what became of the publish `publish_id`.
     publish_verdict verdict(const std::string& publish_id) const;
 
     /// Returns the offset after the last record that was applied.
-    wire::log_offset next() const { return next_; }
+    wire::log_offset next_offset() const { return next_offset_; }
 
 private:
-    void judge(wire::log_offset offset, const wire::config_record& record);
-    void take_repeat(wire::log_offset offset,
-                     const wire::config_record& record);
-    void resume(const wire::config_record& repeat);
-    void note(const std::string& publish_id, publish_verdict verdict);
+    void evaluate_publish(wire::log_offset offset,
+                          const wire::config_record& record);
+    void apply_snapshot(wire::log_offset offset,
+                        const wire::config_record& record);
+    void resume_from_snapshot(const wire::config_record& repeat);
+    void record_verdict(const std::string& publish_id, publish_verdict verdict);
 
     std::optional<revision> accepted_;
     std::optional<revision> adopted_;
-    std::string accepted_publish_;
+    std::string accepted_publish_id_;
     std::map<std::string, publish_verdict> verdicts_;
     std::deque<std::string> verdict_order_;
     /// The first offset after the records that are missing.
-    std::optional<wire::log_offset> missing_from_;
-    std::vector<std::pair<wire::log_offset, wire::config_record>> waiting_;
-    wire::log_offset covered_ = 0;
-    wire::log_offset next_ = 0;
+    std::optional<wire::log_offset> gap_end_;
+    std::vector<std::pair<wire::log_offset, wire::config_record>>
+        deferred_records_;
+    wire::log_offset snapshot_offset_ = 0;
+    wire::log_offset next_offset_ = 0;
 };
 
 } // namespace hibiscus::document
--- a/packages/document/include/hibiscus/document/diff.hpp
+++ b/packages/document/include/hibiscus/document/diff.hpp
@@ -16,7 +16,7 @@
 
 /// One value that differs between two documents.
 struct change {
-    change_kind what = change_kind::changed;
+    change_kind kind = change_kind::changed;
     /// Where, by name: "/trainers/tagger/weight".
     std::string path;
     std::string before;
--- a/packages/document/include/hibiscus/document/parse.hpp
+++ b/packages/document/include/hibiscus/document/parse.hpp
@@ -8,7 +8,7 @@
 namespace hibiscus::document {
 
 /// What is wrong with a part of a document.
-enum class fault {
+enum class parse_error_kind {
     not_json,       ///< The text is not JSON.
     unknown_schema, ///< The schema is newer than this program.
     wrong_type,     ///< A value of another type was expected.
@@ -21,7 +21,7 @@
 
 /// One error of a document.
 struct parse_error {
-    fault what = fault::not_json;
+    parse_error_kind kind = parse_error_kind::not_json;
     /// Where, as a JSON pointer: "/trainers/0/pool".
     std::string path;
     std::string expected;
@@ -38,17 +38,18 @@
 namespace hibiscus::base {
 
 template <>
-struct enum_names<document::fault> {
-    static constexpr std::array<enum_name<document::fault>, 8> table{{
-        {document::fault::not_json, "not_json"},
-        {document::fault::unknown_schema, "unknown_schema"},
-        {document::fault::wrong_type, "wrong_type"},
-        {document::fault::out_of_range, "out_of_range"},
-        {document::fault::missing, "missing"},
-        {document::fault::unknown_key, "unknown_key"},
-        {document::fault::unknown_name, "unknown_name"},
-        {document::fault::repeated_name, "repeated_name"},
-    }};
+struct enum_names<document::parse_error_kind> {
+    static constexpr std::array<enum_name<document::parse_error_kind>, 8> table{
+        {
+            {document::parse_error_kind::not_json, "not_json"},
+            {document::parse_error_kind::unknown_schema, "unknown_schema"},
+            {document::parse_error_kind::wrong_type, "wrong_type"},
+            {document::parse_error_kind::out_of_range, "out_of_range"},
+            {document::parse_error_kind::missing, "missing"},
+            {document::parse_error_kind::unknown_key, "unknown_key"},
+            {document::parse_error_kind::unknown_name, "unknown_name"},
+            {document::parse_error_kind::repeated_name, "repeated_name"},
+        }};
 };
 
 } // namespace hibiscus::base
--- a/packages/document/src/config_fold.cpp
+++ b/packages/document/src/config_state_machine.cpp
@@ -1,4 +1,4 @@
-#include "hibiscus/document/config_fold.hpp"
+#include "hibiscus/document/config_state_machine.hpp"
 
 #include "hibiscus/base/result.hpp"
 
@@ -10,9 +10,9 @@
 
 /// Verdicts kept for operators who ask again; at 17,000 changes a day those
 /// of about six hours.
-constexpr std::size_t most_verdicts = 4096;
+constexpr std::size_t max_verdicts = 4096;
 
-bool is_repeat(const wire::config_record& record) {
+bool is_snapshot(const wire::config_record& record) {
     return record.revision != 0 || record.covers != 0;
 }
 
@@ -34,23 +34,23 @@
 
 } // namespace
 
-void config_fold::apply(wire::log_offset offset,
-                        const wire::config_record& record) {
-    if (offset < next_) {
+void config_state_machine::apply(wire::log_offset offset,
+                                 const wire::config_record& record) {
+    if (offset < next_offset_) {
         return;
     }
-    next_ = offset + 1;
-    if (is_repeat(record)) {
-        take_repeat(offset, record);
-    } else if (missing_from_) {
-        waiting_.emplace_back(offset, record);
+    next_offset_ = offset + 1;
+    if (is_snapshot(record)) {
+        apply_snapshot(offset, record);
+    } else if (gap_end_) {
+        deferred_records_.emplace_back(offset, record);
     } else {
-        judge(offset, record);
+        evaluate_publish(offset, record);
     }
 }
 
-void config_fold::skip_to(wire::log_offset first) {
-    if (first <= next_) {
+void config_state_machine::handle_truncation(wire::log_offset first) {
+    if (first <= next_offset_) {
         return;
     }
     // A publish among the lost records may have been accepted. Judged against
@@ -60,46 +60,47 @@
         adopted_ = std::move(accepted_);
     }
     accepted_.reset();
-    waiting_.clear();
-    missing_from_ = first;
-    next_ = first;
+    deferred_records_.clear();
+    gap_end_ = first;
+    next_offset_ = first;
 }
 
-void config_fold::take_repeat(wire::log_offset offset,
-                              const wire::config_record& record) {
+void config_state_machine::apply_snapshot(wire::log_offset offset,
+                                          const wire::config_record& record) {
     if (record.covers > offset) {
         return;
     }
-    if (missing_from_ && record.covers >= *missing_from_) {
-        resume(record);
+    if (gap_end_ && record.covers >= *gap_end_) {
+        resume_from_snapshot(record);
     }
-    if (!missing_from_) {
-        covered_ = std::max(covered_, record.covers);
+    if (!gap_end_) {
+        snapshot_offset_ = std::max(snapshot_offset_, record.covers);
     }
     if (!record.publish_id.empty()) {
-        note(record.publish_id, publish_verdict::accepted);
+        record_verdict(record.publish_id, publish_verdict::accepted);
     }
 }
 
-void config_fold::resume(const wire::config_record& repeat) {
+void config_state_machine::resume_from_snapshot(
+    const wire::config_record& repeat) {
     if (repeat.revision != 0) {
         accepted_ = make_revision(repeat.revision, repeat.document);
         if (!accepted_) {
             return;
         }
-        accepted_publish_ = repeat.publish_id;
+        accepted_publish_id_ = repeat.publish_id;
     }
-    missing_from_.reset();
+    gap_end_.reset();
     // Publishes may have come between the repeat's making and its append.
-    for (const auto& [offset, record] : std::exchange(waiting_, {})) {
+    for (const auto& [offset, record] : std::exchange(deferred_records_, {})) {
         if (offset >= repeat.covers) {
-            judge(offset, record);
+            evaluate_publish(offset, record);
         }
     }
 }
 
-void config_fold::judge(wire::log_offset offset,
-                        const wire::config_record& record) {
+void config_state_machine::evaluate_publish(wire::log_offset offset,
+                                            const wire::config_record& record) {
     // An append whose answer was lost is sent again with the same id, and the
     // operator would see the second one refused as superseded by the first.
     // The first record decides.
@@ -107,32 +108,34 @@
         return;
     }
     if (record.base != number_of(accepted_)) {
-        note(record.publish_id, publish_verdict::superseded);
+        record_verdict(record.publish_id, publish_verdict::superseded);
         return;
     }
     // Offsets start at 0 and revision 0 means none, hence one more.
     auto made = make_revision(offset + 1, record.document);
     if (!made) {
-        note(record.publish_id, publish_verdict::invalid);
+        record_verdict(record.publish_id, publish_verdict::invalid);
         return;
     }
     accepted_ = std::move(made);
-    accepted_publish_ = record.publish_id;
-    note(record.publish_id, publish_verdict::accepted);
+    accepted_publish_id_ = record.publish_id;
+    record_verdict(record.publish_id, publish_verdict::accepted);
 }
 
-void config_fold::note(const std::string& publish_id, publish_verdict verdict) {
+void config_state_machine::record_verdict(const std::string& publish_id,
+                                          publish_verdict verdict) {
     if (!verdicts_.emplace(publish_id, verdict).second) {
         return;
     }
     verdict_order_.push_back(publish_id);
-    if (verdict_order_.size() > most_verdicts) {
+    if (verdict_order_.size() > max_verdicts) {
         verdicts_.erase(verdict_order_.front());
         verdict_order_.pop_front();
     }
 }
 
-bool config_fold::adopt(wire::log_offset number, const std::string& text) {
+bool config_state_machine::adopt_from_peer(wire::log_offset number,
+                                           const std::string& text) {
     const auto* now = in_force();
     if (now != nullptr && now->number >= number) {
         return false;
@@ -145,29 +148,30 @@
     return true;
 }
 
-const revision* config_fold::in_force() const {
+const revision* config_state_machine::in_force() const {
     if (number_of(adopted_) > number_of(accepted_)) {
         return &*adopted_;
     }
-    return accepted();
+    return accepted_revision();
 }
 
-const revision* config_fold::accepted() const {
+const revision* config_state_machine::accepted_revision() const {
     return accepted_ ? &*accepted_ : nullptr;
 }
 
-wire::config_record config_fold::repeat() const {
+wire::config_record config_state_machine::make_snapshot() const {
     wire::config_record record;
-    record.covers = next_;
+    record.covers = next_offset_;
     if (accepted_) {
-        record.publish_id = accepted_publish_;
+        record.publish_id = accepted_publish_id_;
         record.document = accepted_->text;
         record.revision = accepted_->number;
     }
     return record;
 }
 
-publish_verdict config_fold::verdict(const std::string& publish_id) const {
+publish_verdict
+config_state_machine::verdict(const std::string& publish_id) const {
     const auto at = verdicts_.find(publish_id);
     return at == verdicts_.end() ? publish_verdict::unknown : at->second;
 }
--- a/packages/document/src/diff.cpp
+++ b/packages/document/src/diff.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// The values of a document by their paths.
-using values = std::map<std::string, std::string>;
+using value_map = std::map<std::string, std::string>;
 
 std::string text_of(bool value) {
     return value ? "true" : "false";
@@ -31,29 +31,29 @@
 }
 
 /// Notes the values of one row.
-class row_writer {
+class value_writer {
 public:
-    row_writer(values& target, std::string path)
+    value_writer(value_map& target, std::string path)
         : target_(target), path_(std::move(path)) {}
 
     /// Notes one value of the row.
     template <class T>
-    row_writer& put(const char* key, const T& value) {
+    value_writer& put(const char* key, const T& value) {
         target_[path_ + "/" + key] = text_of(value);
         return *this;
     }
 
 private:
-    values& target_;
+    value_map& target_;
     std::string path_;
 };
 
-void write(values& to, const owner& o) {
-    row_writer(to, "/owners/" + o.name.str()).put("weight", o.weight);
+void write(value_map& to, const owner& o) {
+    value_writer(to, "/owners/" + o.name.str()).put("weight", o.weight);
 }
 
-void write(values& to, const pool& p) {
-    row_writer(to, "/pools/" + p.name.str())
+void write(value_map& to, const pool& p) {
+    value_writer(to, "/pools/" + p.name.str())
         .put("owner", p.owner)
         .put("slots_per_engine", p.slots_per_engine)
         .put("queue_share", p.queue_share)
@@ -63,8 +63,8 @@
         .put("start_version", p.start_version);
 }
 
-void write(values& to, const trainer& t) {
-    row_writer(to, "/trainers/" + t.name.str())
+void write(value_map& to, const trainer& t) {
+    value_writer(to, "/trainers/" + t.name.str())
         .put("owner", t.owner)
         .put("pool", t.pool)
         .put("weight", t.weight)
@@ -73,15 +73,15 @@
         .put("stragglers", t.stragglers);
 }
 
-void write(values& to, const service& s) {
-    row_writer(to, "/services/" + s.name.str())
+void write(value_map& to, const service& s) {
+    value_writer(to, "/services/" + s.name.str())
         .put("owner", s.owner)
         .put("max_in_flight", s.max_in_flight)
         .put("hedge", s.hedge);
 }
 
-void write(values& to, const limits& l) {
-    row_writer(to, "/limits")
+void write(value_map& to, const limits& l) {
+    value_writer(to, "/limits")
         .put("entries_ttl_ms", l.entries_ttl_ms)
         .put("claim_window_ms", l.claim_window_ms)
         .put("pull_wait_ms", l.pull_wait_ms)
@@ -90,14 +90,14 @@
 }
 
 template <class Row>
-void write_all(values& to, const std::vector<Row>& rows) {
+void write_all(value_map& to, const std::vector<Row>& rows) {
     for (const auto& row : rows) {
         write(to, row);
     }
 }
 
-values values_of(const document& d) {
-    values result;
+value_map values_of(const document& d) {
+    value_map result;
     write_all(result, d.owners);
     write_all(result, d.pools);
     write_all(result, d.trainers);
--- a/packages/document/src/parse.cpp
+++ b/packages/document/src/parse.cpp
@@ -11,8 +11,8 @@
 
 using nlohmann::json;
 
-constexpr int newest_schema = 1;
-constexpr std::size_t longest_name = 128;
+constexpr int latest_schema = 1;
+constexpr std::size_t max_name_bytes = 128;
 
 /// Reads the keys of one object and notes what is wrong with them. Every
 /// value that is wrong keeps its default, so that reading can go on and
@@ -23,18 +23,19 @@
     object_reader(const json& object, std::string path, parse_errors& errors)
         : object_(object), path_(std::move(path)), errors_(errors) {
         if (!object_.is_object()) {
-            note(fault::wrong_type, "", "an object");
+            add_error(parse_error_kind::wrong_type, "", "an object");
         }
     }
 
     /// Notes the keys that were not asked for.
-    void finish() {
+    void check_unknown_keys() {
         if (!object_.is_object()) {
             return;
         }
         for (const auto& [key, value] : object_.items()) {
-            if (asked_.count(key) == 0) {
-                note(fault::unknown_key, key, "a key of the schema");
+            if (known_keys_.count(key) == 0) {
+                add_error(parse_error_kind::unknown_key, key,
+                          "a key of the schema");
             }
         }
     }
@@ -44,12 +45,13 @@
     void name(const char* key, Id& target) {
         const json* value = find(key);
         if (value == nullptr) {
-            note(fault::missing, key, "a name");
+            add_error(parse_error_kind::missing, key, "a name");
             return;
         }
         if (!value->is_string() || value->get<std::string>().empty() ||
-            value->get<std::string>().size() > longest_name) {
-            note(fault::wrong_type, key, "a string of 1 to 128 bytes");
+            value->get<std::string>().size() > max_name_bytes) {
+            add_error(parse_error_kind::wrong_type, key,
+                      "a string of 1 to 128 bytes");
             return;
         }
         target = Id(value->get<std::string>());
@@ -64,13 +66,14 @@
         }
         const auto range = std::to_string(low) + " to " + std::to_string(high);
         if (!value->is_number_integer()) {
-            note(fault::wrong_type, key, "a whole number, " + range);
+            add_error(parse_error_kind::wrong_type, key,
+                      "a whole number, " + range);
             return;
         }
         const double number = value->get<double>();
         if (number < static_cast<double>(low) ||
             number > static_cast<double>(high)) {
-            note(fault::out_of_range, key, range);
+            add_error(parse_error_kind::out_of_range, key, range);
             return;
         }
         target = value->get<T>();
@@ -83,12 +86,12 @@
             return;
         }
         if (!value->is_number()) {
-            note(fault::wrong_type, key, "a number");
+            add_error(parse_error_kind::wrong_type, key, "a number");
             return;
         }
         if (value->get<double>() < low || value->get<double>() > high) {
-            note(fault::out_of_range, key,
-                 std::to_string(low) + " to " + std::to_string(high));
+            add_error(parse_error_kind::out_of_range, key,
+                      std::to_string(low) + " to " + std::to_string(high));
             return;
         }
         target = value->get<double>();
@@ -101,7 +104,7 @@
             return;
         }
         if (!value->is_boolean()) {
-            note(fault::wrong_type, key, "true or false");
+            add_error(parse_error_kind::wrong_type, key, "true or false");
             return;
         }
         target = value->get<bool>();
@@ -118,7 +121,7 @@
                                ? base::from_name<E>(value->get<std::string>())
                                : std::nullopt;
         if (!named) {
-            note(fault::unknown_name, key, names_of<E>());
+            add_error(parse_error_kind::unknown_name, key, names_of<E>());
             return;
         }
         target = *named;
@@ -126,20 +129,20 @@
 
     /// Reads an array of objects, if it is there, with `read` for each.
     template <class Row, class F>
-    void rows(const char* key, std::vector<Row>& target, F read) {
+    void array(const char* key, std::vector<Row>& target, F read) {
         const json* value = find(key);
         if (value == nullptr) {
             return;
         }
         if (!value->is_array()) {
-            note(fault::wrong_type, key, "an array");
+            add_error(parse_error_kind::wrong_type, key, "an array");
             return;
         }
         for (std::size_t i = 0; i < value->size(); ++i) {
-            const auto path = join(key) + "/" + std::to_string(i);
+            const auto path = path_to(key) + "/" + std::to_string(i);
             object_reader reader((*value)[i], path, errors_);
             target.push_back(read(reader));
-            reader.finish();
+            reader.check_unknown_keys();
         }
     }
 
@@ -150,9 +153,9 @@
         if (value == nullptr) {
             return;
         }
-        object_reader reader(*value, join(key), errors_);
+        object_reader reader(*value, path_to(key), errors_);
         read(reader);
-        reader.finish();
+        reader.check_unknown_keys();
     }
 
 private:
@@ -167,7 +170,7 @@
     }
 
     const json* find(const char* key) {
-        asked_.insert(key);
+        known_keys_.insert(key);
         if (!object_.is_object()) {
             return nullptr;
         }
@@ -175,22 +178,23 @@
         return at == object_.end() ? nullptr : &*at;
     }
 
-    std::string join(const std::string& key) const {
+    std::string path_to(const std::string& key) const {
         return key.empty() ? path_ : path_ + "/" + key;
     }
 
-    void note(fault what, const std::string& key, std::string expected) {
-        errors_.push_back({what, join(key), std::move(expected)});
+    void add_error(parse_error_kind what, const std::string& key,
+                   std::string expected) {
+        errors_.push_back({what, path_to(key), std::move(expected)});
     }
 
     const json& object_;
     std::string path_;
     parse_errors& errors_;
-    std::set<std::string> asked_;
+    std::set<std::string> known_keys_;
 };
 
 constexpr double max_weight = 1000.0;
-constexpr base::millis hour = 3600000;
+constexpr base::millis one_hour_ms = 3600000;
 
 owner read_owner(object_reader& in) {
     owner row;
@@ -235,9 +239,9 @@
 
 void read_limits(object_reader& in, limits& target) {
     in.integer("entries_ttl_ms", target.entries_ttl_ms, base::millis{100},
-               hour);
+               one_hour_ms);
     in.integer("claim_window_ms", target.claim_window_ms, base::millis{1000},
-               24 * hour);
+               24 * one_hour_ms);
     in.integer("pull_wait_ms", target.pull_wait_ms, base::millis{10},
                base::millis{60000});
     in.number("retry_ratio", target.retry_ratio, 0.0, 1.0);
@@ -247,25 +251,25 @@
 
 document read_document(object_reader& in) {
     document d;
-    in.integer("schema", d.schema, 1, newest_schema);
-    in.rows("owners", d.owners, read_owner);
-    in.rows("pools", d.pools, read_pool);
-    in.rows("trainers", d.trainers, read_trainer);
-    in.rows("services", d.services, read_service);
+    in.integer("schema", d.schema, 1, latest_schema);
+    in.array("owners", d.owners, read_owner);
+    in.array("pools", d.pools, read_pool);
+    in.array("trainers", d.trainers, read_trainer);
+    in.array("services", d.services, read_service);
     in.object("limits", [&](object_reader& l) { read_limits(l, d.limit); });
-    in.finish();
+    in.check_unknown_keys();
     return d;
 }
 
 /// Notes each name in `rows` that stands twice.
 template <class Row>
-void check_repeated(const std::vector<Row>& rows, const std::string& section,
-                    parse_errors& errors) {
+void check_unique_names(const std::vector<Row>& rows,
+                        const std::string& section, parse_errors& errors) {
     std::set<std::string> seen;
     for (std::size_t i = 0; i < rows.size(); ++i) {
         const auto& name = rows[i].name.str();
         if (!name.empty() && !seen.insert(name).second) {
-            errors.push_back({fault::repeated_name,
+            errors.push_back({parse_error_kind::repeated_name,
                               section + "/" + std::to_string(i) + "/name",
                               "a name that no other entry has"});
         }
@@ -274,16 +278,17 @@
 
 /// Notes each row whose `member` names none of `targets`.
 template <class Row, class Id, class Target>
-void check_refers(const std::vector<Row>& rows, const std::string& section,
-                  const char* key, Id Row::*member,
-                  const std::vector<Target>& targets, parse_errors& errors) {
+void check_references(const std::vector<Row>& rows, const std::string& section,
+                      const char* key, Id Row::*member,
+                      const std::vector<Target>& targets,
+                      parse_errors& errors) {
     for (std::size_t i = 0; i < rows.size(); ++i) {
         const auto& name = rows[i].*member;
         const bool known =
             std::any_of(targets.begin(), targets.end(),
                         [&](const Target& t) { return t.name == name; });
         if (!name.empty() && !known) {
-            errors.push_back({fault::unknown_name,
+            errors.push_back({parse_error_kind::unknown_name,
                               section + "/" + std::to_string(i) + "/" + key,
                               std::string("the name of a ") + key});
         }
@@ -291,25 +296,26 @@
 }
 
 void check_names(const document& d, parse_errors& errors) {
-    check_repeated(d.owners, "/owners", errors);
-    check_repeated(d.pools, "/pools", errors);
-    check_repeated(d.trainers, "/trainers", errors);
-    check_repeated(d.services, "/services", errors);
-    check_refers(d.pools, "/pools", "owner", &pool::owner, d.owners, errors);
-    check_refers(d.trainers, "/trainers", "owner", &trainer::owner, d.owners,
-                 errors);
-    check_refers(d.trainers, "/trainers", "pool", &trainer::pool, d.pools,
-                 errors);
-    check_refers(d.services, "/services", "owner", &service::owner, d.owners,
-                 errors);
+    check_unique_names(d.owners, "/owners", errors);
+    check_unique_names(d.pools, "/pools", errors);
+    check_unique_names(d.trainers, "/trainers", errors);
+    check_unique_names(d.services, "/services", errors);
+    check_references(d.pools, "/pools", "owner", &pool::owner, d.owners,
+                     errors);
+    check_references(d.trainers, "/trainers", "owner", &trainer::owner,
+                     d.owners, errors);
+    check_references(d.trainers, "/trainers", "pool", &trainer::pool, d.pools,
+                     errors);
+    check_references(d.services, "/services", "owner", &service::owner,
+                     d.owners, errors);
 }
 
 /// Returns true if `root` says that it follows a schema of the future, whose
 /// other errors would be noise.
-bool newer_schema(const json& root) {
+bool has_newer_schema(const json& root) {
     const auto at = root.is_object() ? root.find("schema") : root.end();
     return root.is_object() && at != root.end() && at->is_number_integer() &&
-           at->get<double>() > newest_schema;
+           at->get<double>() > latest_schema;
 }
 
 } // namespace
@@ -317,11 +323,11 @@
 base::result<document, parse_errors> parse(std::string_view text) {
     const json root = json::parse(text, nullptr, false);
     if (root.is_discarded()) {
-        return parse_errors{{fault::not_json, "", "JSON"}};
+        return parse_errors{{parse_error_kind::not_json, "", "JSON"}};
     }
-    if (newer_schema(root)) {
-        return parse_errors{{fault::unknown_schema, "/schema",
-                             std::to_string(newest_schema) + " at most"}};
+    if (has_newer_schema(root)) {
+        return parse_errors{{parse_error_kind::unknown_schema, "/schema",
+                             std::to_string(latest_schema) + " at most"}};
     }
     parse_errors errors;
     object_reader reader(root, "", errors);
