--- a/packages/document/test/config_fuzz_test.cpp
+++ b/packages/document/test/config_fuzz_test.cpp
@@ -1,4 +1,4 @@
-#include "hibiscus/document/config_fold.hpp"
+#include "hibiscus/document/config_state_machine.hpp"
 
 #include "support/fuzz.hpp"
 
@@ -12,21 +12,21 @@
 class config_model {
 public:
     /// Carries out a command. Returns what is wrong, or "".
-    std::string step(const testing::fuzz_command& c) {
+    std::string execute(const testing::fuzz_command& c) {
         auto& node = nodes_[static_cast<std::size_t>(c.a) % nodes_.size()];
         if (c.kind < 25) {
             publish(c);
         } else if (c.kind < 50) {
-            land(c);
+            append_pending(c);
         } else if (c.kind < 75) {
             read(node, c.c % 5 + 1);
         } else if (c.kind < 82) {
-            if (node.fold.complete() && node.fold.next() > 0) {
-                sent_.push_back(node.fold.repeat());
+            if (node.fold.is_complete() && node.fold.next_offset() > 0) {
+                pending_appends_.push_back(node.fold.make_snapshot());
             }
         } else if (c.kind < 90) {
-            hand_over(node,
-                      nodes_[static_cast<std::size_t>(c.b) % nodes_.size()]);
+            send_document(
+                node, nodes_[static_cast<std::size_t>(c.b) % nodes_.size()]);
         } else if (c.kind < 94) {
             node = {};
         } else {
@@ -34,22 +34,22 @@
             first_ = std::max<wire::log_offset>(first_, end - c.b % 9);
         }
         check(node);
-        return wrong_;
+        return failure_;
     }
 
     /// Lets one that has read all repeat the document, and everyone read on.
     std::string converge() {
-        records_.push_back(truth_.repeat());
-        truth_.apply(end() - 1, records_.back());
+        records_.push_back(reference_.make_snapshot());
+        reference_.apply(end() - 1, records_.back());
         for (auto& node : nodes_) {
             read(node, end());
             check(node);
-            if (!node.fold.complete() ||
-                number(node.fold.in_force()) != number(truth_.in_force())) {
+            if (!node.fold.is_complete() ||
+                number(node.fold.in_force()) != number(reference_.in_force())) {
                 fail("a node does not come to the document in force");
             }
         }
-        return wrong_;
+        return failure_;
     }
 
     /// Returns the number of publishes that were accepted.
@@ -57,7 +57,7 @@
 
 private:
     struct node_row {
-        config_fold fold;
+        config_state_machine fold;
         wire::log_offset seen = 0;
     };
 
@@ -70,8 +70,8 @@
     }
 
     void fail(const std::string& what) {
-        if (wrong_.empty()) {
-            wrong_ = what;
+        if (failure_.empty()) {
+            failure_ = what;
         }
     }
 
@@ -79,7 +79,7 @@
     void publish(const testing::fuzz_command& c) {
         node_row publisher;
         read(publisher, end());
-        if (!publisher.fold.complete()) {
+        if (!publisher.fold.is_complete()) {
             return;
         }
         const auto count = ++publishes_;
@@ -87,42 +87,43 @@
         const std::string text =
             c.b % 8 == 0 ? "{\"x\": 1}"
                          : "{\"limits\": {\"entries_ttl_ms\": " + ttl + "}}";
-        sent_.push_back({1, "p" + std::to_string(count),
-                         number(publisher.fold.accepted()), text, 0, 0});
+        pending_appends_.push_back({1, "p" + std::to_string(count),
+                                    number(publisher.fold.accepted_revision()),
+                                    text, 0, 0});
     }
 
     /// Lets the log take an append; one whose answer is lost comes again.
-    void land(const testing::fuzz_command& c) {
-        if (sent_.empty()) {
+    void append_pending(const testing::fuzz_command& c) {
+        if (pending_appends_.empty()) {
             return;
         }
         const auto at = static_cast<std::ptrdiff_t>(
-            static_cast<std::size_t>(c.a) % sent_.size());
-        records_.push_back(sent_[static_cast<std::size_t>(at)]);
+            static_cast<std::size_t>(c.a) % pending_appends_.size());
+        records_.push_back(pending_appends_[static_cast<std::size_t>(at)]);
         if (c.b % 4 != 0) {
-            sent_.erase(sent_.begin() + at);
+            pending_appends_.erase(pending_appends_.begin() + at);
         }
-        const auto before = number(truth_.accepted());
-        truth_.apply(end() - 1, records_.back());
-        const auto* now = truth_.accepted();
+        const auto before = number(reference_.accepted_revision());
+        reference_.apply(end() - 1, records_.back());
+        const auto* now = reference_.accepted_revision();
         if (number(now) != before) {
             ++accepted_;
             texts_[now->number] = now->text;
         }
-        history_.push_back(number(now));
+        accepted_history_.push_back(number(now));
     }
 
     void read(node_row& node, wire::log_offset most) const {
-        node.fold.skip_to(first_);
-        for (; most > 0 && node.fold.next() < end(); --most) {
-            const auto at = node.fold.next();
+        node.fold.handle_truncation(first_);
+        for (; most > 0 && node.fold.next_offset() < end(); --most) {
+            const auto at = node.fold.next_offset();
             node.fold.apply(at, records_[static_cast<std::size_t>(at)]);
         }
     }
 
-    static void hand_over(const node_row& from, node_row& to) {
+    static void send_document(const node_row& from, node_row& to) {
         if (const auto* r = from.fold.in_force()) {
-            to.fold.adopt(r->number, r->text);
+            to.fold.adopt_from_peer(r->number, r->text);
         }
     }
 
@@ -135,31 +136,33 @@
         if (now != nullptr && texts_[now->number] != now->text) {
             fail("a node follows a document that was not accepted");
         }
-        const auto next = static_cast<std::size_t>(node.fold.next());
-        if (node.fold.complete() && next > 0 && next <= history_.size() &&
-            number(node.fold.accepted()) != history_[next - 1]) {
+        const auto next = static_cast<std::size_t>(node.fold.next_offset());
+        if (node.fold.is_complete() && next > 0 &&
+            next <= accepted_history_.size() &&
+            number(node.fold.accepted_revision()) !=
+                accepted_history_[next - 1]) {
             fail("a node judges otherwise than one that read all");
         }
         for (int i = 1; i <= publishes_; ++i) {
             const auto id = "p" + std::to_string(i);
             if (node.fold.verdict(id) == publish_verdict::accepted &&
-                truth_.verdict(id) != publish_verdict::accepted) {
+                reference_.verdict(id) != publish_verdict::accepted) {
                 fail("a refused publish is shown as accepted");
             }
         }
     }
 
     std::array<node_row, 3> nodes_;
-    config_fold truth_;
+    config_state_machine reference_;
     std::vector<wire::config_record> records_;
-    std::vector<wire::config_record> sent_;
+    std::vector<wire::config_record> pending_appends_;
     /// The accepted revision after each record.
-    std::vector<wire::log_offset> history_;
+    std::vector<wire::log_offset> accepted_history_;
     std::map<wire::log_offset, std::string> texts_;
     wire::log_offset first_ = 0;
     int publishes_ = 0;
     std::size_t accepted_ = 0;
-    std::string wrong_;
+    std::string failure_;
 };
 
 // Operators race each other, answers are lost, retention passes, nodes come
@@ -172,7 +175,7 @@
                       config_model model;
                       std::string wrong;
                       for (const auto& c : commands) {
-                          wrong = model.step(c);
+                          wrong = model.execute(c);
                           if (!wrong.empty()) {
                               return wrong;
                           }
--- a/packages/document/test/config_fold_test.cpp
+++ b/packages/document/test/config_state_machine_test.cpp
@@ -1,4 +1,4 @@
-#include "hibiscus/document/config_fold.hpp"
+#include "hibiscus/document/config_state_machine.hpp"
 
 #include <gtest/gtest.h>
 
@@ -16,7 +16,7 @@
         return fold_.verdict(id);
     }
 
-    config_fold fold_;
+    config_state_machine fold_;
     wire::log_offset offset_ = 0;
 };
 
@@ -52,7 +52,7 @@
 TEST_F(config_fold_test, an_older_document_from_a_peer_changes_nothing) {
     publish("a", 0);
     publish("b", 1);
-    EXPECT_FALSE(fold_.adopt(1, empty_document));
+    EXPECT_FALSE(fold_.adopt_from_peer(1, empty_document));
     EXPECT_EQ(fold_.in_force()->number, 2);
 }
 
@@ -60,7 +60,7 @@
 // Judged against the newer document, the publishes of before would all be
 // shown as superseded, and an operator would publish an accepted change again.
 TEST_F(config_fold_test, a_document_from_a_peer_changes_no_verdict) {
-    EXPECT_TRUE(fold_.adopt(2, empty_document));
+    EXPECT_TRUE(fold_.adopt_from_peer(2, empty_document));
     EXPECT_EQ(publish("a", 0), publish_verdict::accepted);
     EXPECT_EQ(fold_.in_force()->number, 2);
     EXPECT_EQ(publish("b", 1), publish_verdict::accepted);
@@ -73,35 +73,35 @@
 TEST_F(config_fold_test, a_fresh_node_resumes_from_a_repeated_record) {
     publish("a", 0);
     publish("b", 1);
-    const auto repeat = fold_.repeat();
+    const auto repeat = fold_.make_snapshot();
     EXPECT_EQ(publish("c", 2), publish_verdict::accepted);
     EXPECT_EQ(publish("d", 2), publish_verdict::superseded);
     fold_.apply(offset_, repeat);
 
-    config_fold fresh;
-    fresh.skip_to(2);
+    config_state_machine fresh;
+    fresh.handle_truncation(2);
     fresh.apply(2, {1, "c", 2, empty_document, 0, 0});
     fresh.apply(3, {1, "d", 2, empty_document, 0, 0});
-    EXPECT_FALSE(fresh.complete());
+    EXPECT_FALSE(fresh.is_complete());
     EXPECT_EQ(fresh.verdict("c"), publish_verdict::unknown);
     fresh.apply(4, repeat);
-    ASSERT_TRUE(fresh.complete());
+    ASSERT_TRUE(fresh.is_complete());
     EXPECT_EQ(fresh.in_force()->number, 3);
     EXPECT_EQ(fresh.verdict("b"), publish_verdict::accepted);
     EXPECT_EQ(fresh.verdict("c"), publish_verdict::accepted);
     EXPECT_EQ(fresh.verdict("d"), publish_verdict::superseded);
-    EXPECT_EQ(fresh.covered(), fold_.covered());
+    EXPECT_EQ(fresh.snapshot_offset(), fold_.snapshot_offset());
 }
 
 // The repeated record was made before records that are gone: a publish that
 // was accepted may be among them. Going by it would be a step back.
 TEST_F(config_fold_test, a_repeat_that_covers_too_little_is_not_enough) {
     publish("a", 0);
-    const auto repeat = fold_.repeat();
-    config_fold fresh;
-    fresh.skip_to(2);
+    const auto repeat = fold_.make_snapshot();
+    config_state_machine fresh;
+    fresh.handle_truncation(2);
     fresh.apply(2, repeat);
-    EXPECT_FALSE(fresh.complete());
+    EXPECT_FALSE(fresh.is_complete());
     EXPECT_EQ(fresh.in_force(), nullptr);
 }
 
@@ -109,12 +109,12 @@
 // on with the document that it has, and does not judge by it.
 TEST_F(config_fold_test, a_node_that_missed_records_keeps_its_document) {
     publish("a", 0);
-    fold_.skip_to(5);
+    fold_.handle_truncation(5);
     offset_ = 5;
     EXPECT_EQ(publish("late", 1), publish_verdict::unknown);
     ASSERT_NE(fold_.in_force(), nullptr);
     EXPECT_EQ(fold_.in_force()->number, 1);
-    EXPECT_TRUE(fold_.adopt(4, empty_document));
+    EXPECT_TRUE(fold_.adopt_from_peer(4, empty_document));
 }
 
 } // namespace
--- a/packages/document/test/diff_test.cpp
+++ b/packages/document/test/diff_test.cpp
@@ -12,7 +12,7 @@
     std::string result;
     for (const auto& c : diff(std::get<document>(parse(before)),
                               std::get<document>(parse(after)))) {
-        result += std::string(base::name_of(c.what)) + " " + c.path + " '" +
+        result += std::string(base::name_of(c.kind)) + " " + c.path + " '" +
                   c.before + "' '" + c.after + "'\n";
     }
     return result;
--- a/packages/document/test/parse_test.cpp
+++ b/packages/document/test/parse_test.cpp
@@ -11,7 +11,7 @@
     std::string paths;
     if (const auto* errors = std::get_if<parse_errors>(&parsed)) {
         for (const auto& e : *errors) {
-            paths += e.path + ":" + std::string(base::name_of(e.what)) + " ";
+            paths += e.path + ":" + std::string(base::name_of(e.kind)) + " ";
         }
     }
     return paths;
--- a/packages/entry/src/batch_api.hpp
+++ b/packages/entry/src/batch_api.hpp
@@ -1,12 +1,12 @@
 #pragma once
 
-#include "job_files.hpp"
+#include "job_store.hpp"
 #include "node_state.hpp"
 
 #include "hibiscus/base/enum_names.hpp"
-#include "hibiscus/store/follower.hpp"
-#include "hibiscus/transport/event_server.hpp"
-#include "platform/front.hpp"
+#include "hibiscus/store/partition_watcher.hpp"
+#include "hibiscus/transport/streaming_http_server.hpp"
+#include "platform/client_api.hpp"
 
 #include <array>
 #include <map>
@@ -17,7 +17,7 @@
 namespace hibiscus::entry {
 
 /// What a call about a job waits for.
-enum class waits_for { results, body, ending };
+enum class pending_call_kind { results, item_body, job_end };
 
 /// Answers the calls about batch jobs, at any node, from the ledger that it
 /// reads. What it can't be sure of it does not deny: "no such job" and
@@ -25,82 +25,85 @@
 class batch_api {
 public:
     batch_api(node_state& state, const store::log_store& store,
-              store::follower& journal, const job_files& files,
-              store::delay_function after);
+              store::partition_watcher& journal, const job_store& files,
+              store::run_after_function after);
 
     /// Starts to look after calls that wait.
     void start();
 
     /// A job was submitted. `deadline_ms` is the caller's patience.
     void submit(batch::job job, base::millis deadline_ms,
-                std::shared_ptr<transport::exchange> caller);
-    void read(const adapter::read_call& call,
-              std::shared_ptr<transport::exchange> caller);
-    void body(const adapter::body_call& call,
-              std::shared_ptr<transport::exchange> caller);
-    void end(const adapter::end_call& call,
-             std::shared_ptr<transport::exchange> caller);
+                std::shared_ptr<transport::response_writer> caller);
+    void read_results(const adapter::results_request& call,
+                      std::shared_ptr<transport::response_writer> caller);
+    void read_item_body(const adapter::item_body_request& call,
+                        std::shared_ptr<transport::response_writer> caller);
+    void end_job(const adapter::end_job_request& call,
+                 std::shared_ptr<transport::response_writer> caller);
 
     /// The ledger has changed: calls that wait may have their answer.
-    void ledger_changed();
+    void on_jobs_changed();
 
 private:
     struct submission {
         batch::job_header header;
         bool may_be_stored = false;
         base::millis started_at = 0;
-        base::millis due = 0;
-        std::shared_ptr<transport::exchange> caller;
+        base::millis deadline = 0;
+        std::shared_ptr<transport::response_writer> response;
     };
     /// What this node has told callers of a job.
-    struct told_job {
+    struct delivered_results {
         /// The position behind the last result.
-        std::size_t next = 0;
-        base::millis at = 0;
+        std::size_t next_position = 0;
+        base::millis delivered_at = 0;
     };
-    struct waiter {
-        waits_for what = waits_for::results;
+    struct pending_call {
+        pending_call_kind kind = pending_call_kind::results;
         batch::job_id job;
         batch::item_id item;
-        std::size_t after = 0;
-        base::millis came_at = 0;
+        std::size_t from_position = 0;
+        base::millis received_at = 0;
         /// Until then it waits for a result.
         base::millis wait_until = 0;
-        std::shared_ptr<transport::exchange> caller;
+        std::shared_ptr<transport::response_writer> response;
     };
 
-    void items_appended(const std::shared_ptr<submission>& s,
-                        const store::append_result& result);
+    void on_items_appended(const std::shared_ptr<submission>& s,
+                           const store::append_result& result);
     void append_header(const std::shared_ptr<submission>& s);
-    void header_appended(const std::shared_ptr<submission>& s,
-                         const store::append_result& result);
-    void refuse(const submission& s, const char* reason);
+    void on_header_appended(const std::shared_ptr<submission>& s,
+                            const store::append_result& result);
+    void reject(const submission& s, const char* reason);
     void accept(const submission& s, const char* reason);
-    bool settle(const waiter& w);
-    bool settle_read(const waiter& w, const batch::job_row& row);
-    void send_texts(const waiter& w, const batch::job_row& row);
-    void answer_texts(const waiter& w,
+    bool try_response(const pending_call& w);
+    bool try_response_read(const pending_call& w, const batch::job_row& row);
+    void load_results(const pending_call& w, const batch::job_row& row);
+    void send_results(const pending_call& w,
                       const std::optional<std::vector<store::record>>& texts);
-    void send_body(const waiter& w);
-    void unreachable(const waiter& w, const char* reason, int records = 0);
-    void deny_job(const waiter& w);
-    void deny_item(const waiter& w, const batch::job_row& row, int items);
-    void send_nothing(const waiter& w, const batch::job_row& row);
-    void log_missing(const char* event, const waiter& w,
-                     const batch::job_row* row, int items);
-    void note_reported(const batch::job_id& job, std::size_t next);
-    void store_end(const waiter& w, base::millis due, bool stored_maybe);
-    bool current_since(base::millis time) const;
-    void sweep();
-    void add(waiter w);
+    void send_item_body(const pending_call& w);
+    void reject_unavailable(const pending_call& w, const char* reason,
+                            int records = 0);
+    void send_job_not_found(const pending_call& w);
+    void send_item_not_found(const pending_call& w, const batch::job_row& row,
+                             int items);
+    void send_empty_results(const pending_call& w, const batch::job_row& row);
+    void log_not_found(const char* event, const pending_call& w,
+                       const batch::job_row* row, int items);
+    void record_delivery(const batch::job_id& job, std::size_t next);
+    void append_job_end(const pending_call& w, base::millis due,
+                        bool stored_maybe);
+    bool is_view_current_since(base::millis time) const;
+    void sweep_pending_calls();
+    void response_or_queue(pending_call w);
 
     node_state& state_;
-    const store::log_store& store_;
-    store::follower& journal_;
-    const job_files& files_;
-    store::delay_function after_;
-    std::vector<waiter> waiting_;
-    std::map<batch::job_id, told_job> told_;
+    const store::log_store& log_store_;
+    store::partition_watcher& journal_;
+    const job_store& job_store_;
+    store::run_after_function run_after_;
+    std::vector<pending_call> pending_calls_;
+    std::map<batch::job_id, delivered_results> delivered_;
 };
 
 } // namespace hibiscus::entry
@@ -108,11 +111,11 @@
 namespace hibiscus::base {
 
 template <>
-struct enum_names<entry::waits_for> {
-    static constexpr std::array<enum_name<entry::waits_for>, 3> table{{
-        {entry::waits_for::results, "results"},
-        {entry::waits_for::body, "body"},
-        {entry::waits_for::ending, "end"},
+struct enum_names<entry::pending_call_kind> {
+    static constexpr std::array<enum_name<entry::pending_call_kind>, 3> table{{
+        {entry::pending_call_kind::results, "results"},
+        {entry::pending_call_kind::item_body, "body"},
+        {entry::pending_call_kind::job_end, "end"},
     }};
 };
 
--- a/packages/entry/src/daemon.cpp
+++ b/packages/entry/src/daemon.cpp
@@ -1,18 +1,18 @@
 #include "hibiscus/entry/daemon.hpp"
 
 #include "batch_api.hpp"
-#include "directory.hpp"
 #include "forwarder.hpp"
 #include "hibiscus/base/result.hpp"
+#include "job_owner.hpp"
+#include "node_directory.hpp"
 #include "node_state.hpp"
-#include "owner.hpp"
+#include "platform/client_api.hpp"
 #include "platform/documents.hpp"
-#include "platform/front.hpp"
 #include "platform/sampler_calls.hpp"
 #include "platform/store_client.hpp"
-#include "registry.hpp"
 #include "reload_signal.hpp"
-#include "store_watch.hpp"
+#include "server_registry.hpp"
+#include "store_monitor.hpp"
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/post.hpp>
@@ -37,28 +37,28 @@
 /// How often nodes that don't own the jobs read the journal while there is
 /// something new, in ms. The owner appends up to 30 times a second, and each
 /// would be one read of every node; callers ask twice a second.
-constexpr base::millis journal_pace_ms = 60;
+constexpr base::millis journal_poll_interval_ms = 60;
 
 /// How long a read of the journal waits, in ms. An owner's silence shows only
 /// in reads that have ended, so that this adds to the time of a takeover.
-constexpr base::millis journal_wait_ms = 150;
+constexpr base::millis journal_read_wait_ms = 150;
 
 /// How often held log lines are written, in ms.
-constexpr base::millis flush_ms = 200;
+constexpr base::millis log_flush_interval_ms = 200;
 
 /// How long a node serves on after SIGTERM at least, in ms: callers keep an
 /// answer of the directory for two seconds, and some connect a little later.
-constexpr base::millis least_stop_ms = 3000;
+constexpr base::millis min_shutdown_ms = 3000;
 
 /// The part of the grace period that is left for the exit itself, in ms.
 constexpr base::millis exit_margin_ms = 1200;
 
 /// How long before the end of a stop connections are closed at the latest, in
 /// ms: longer than most requests take.
-constexpr base::millis closing_ms = 2000;
+constexpr base::millis connection_close_ms = 2000;
 
 /// How often a stopping node looks whether it may exit, in ms.
-constexpr base::millis stop_check_ms = 50;
+constexpr base::millis shutdown_poll_interval_ms = 50;
 
 /// How long callers keep an answer of the directory, in seconds. Longer ones
 /// would send callers to nodes that are gone.
@@ -66,11 +66,11 @@
 
 /// How soon a caller should come back to a node that has no configuration
 /// yet, in ms.
-constexpr base::millis start_retry_ms = 300;
+constexpr base::millis startup_retry_after_ms = 300;
 
 /// How often the settings file is looked at, in ms: a kilobyte, which is read
 /// far sooner than operators need a change in force.
-constexpr base::millis settings_check_ms = 2000;
+constexpr base::millis settings_poll_interval_ms = 2000;
 
 /// The default patience of a caller that names none, in ms.
 constexpr base::millis default_deadline_ms = 10000;
@@ -79,67 +79,80 @@
 class entry_node {
 public:
     entry_node(const node_settings& settings, std::string path)
-        : state_(settings), path_(std::move(path)), signals_(io_), client_(io_),
-          after_([this](base::millis ms, std::function<void()> f) {
-              after(ms, std::move(f));
+        : state_(settings), settings_path_(std::move(path)), signals_(io_),
+          client_(io_),
+          run_after_([this](base::millis ms, std::function<void()> f) {
+              run_after(ms, std::move(f));
           }),
-          watch_(state_, client_, after_,
-                 [this] { return directory_.nodes().peers(); }),
-          store_(adapter::make_log_store(client_, watch_.link())),
-          config_(store_, {adapter::operator_topic, 0}, state_.clock, after_,
-                  {}, {[this](const auto& c) { operator_changed(c); }, {}}),
-          registry_(state_, store_, after_),
-          journal_(store_, {adapter::journal_topic, 0}, state_.clock, after_,
-                   {journal_wait_ms, store::follower_times().retry,
-                    [this] { return owner_.owns() ? 0 : journal_pace_ms; }},
-                   {[this](const auto& c) { journal_changed(c); },
-                    [this](bool up) { owner_.contact(up); }}),
-          files_(store_, settings.partitions,
-                 {settings.record_bytes, settings.append_bytes}),
-          directory_(state_, store_, after_), requests_(state_, client_),
-          owner_(state_, store_, watch_.link(), journal_, files_, client_,
-                 requests_, after_),
-          batch_(state_, store_, journal_, files_, after_),
-          callers_(
+          store_monitor_(
+              state_, client_, run_after_,
+              [this] { return directory_.nodes().peer_addresses(); }),
+          log_store_(adapter::make_log_store(client_, store_monitor_.link())),
+          operator_follower_(
+              log_store_, {adapter::operator_topic, 0}, state_.clock,
+              run_after_, {},
+              {[this](const auto& c) { on_operator_records(c); }, {}}),
+          registry_(state_, log_store_, run_after_),
+          journal_(
+              log_store_, {adapter::journal_topic, 0}, state_.clock, run_after_,
+              {journal_read_wait_ms, store::watcher_times().retry_delay_ms,
+               [this] {
+                   return job_owner_.is_owner() ? 0 : journal_poll_interval_ms;
+               }},
+              {[this](const auto& c) { on_journal_changed(c); },
+               [this](bool up) { job_owner_.set_store_reachable(up); }}),
+          job_store_(log_store_, settings.partitions_per_topic,
+                     {settings.max_record_bytes, settings.max_append_bytes}),
+          directory_(state_, log_store_, run_after_),
+          forwarder_(state_, client_),
+          job_owner_(state_, log_store_, store_monitor_.link(), journal_,
+                     job_store_, client_, forwarder_, run_after_),
+          batch_api_(state_, log_store_, journal_, job_store_, run_after_),
+          caller_server_(
               io_, {},
-              [this](auto r, auto e) { on_caller(std::move(r), std::move(e)); },
-              {adapter::request_id_field,
-               [this](const auto& cut) { on_cut(cut); }}),
-          readiness_(io_, {},
-                     [this](const auto& r, auto e) { on_readiness(r, *e); }),
-          lookup_(io_, {},
-                  [this](const auto& r, auto e) { on_directory(r, *e); }),
-          metrics_(io_, {},
-                   [this](const auto& r, auto e) { on_internal(r, e); }) {}
-
-    std::optional<listen_failed> run() {
+              [this](auto r, auto e) {
+                  on_caller_request(std::move(r), std::move(e));
+              },
+              {adapter::request_id_header,
+               [this](const auto& cut) { on_request_aborted(cut); }}),
+          readiness_server_(
+              io_, {},
+              [this](const auto& r, auto e) { on_readiness_request(r, *e); }),
+          directory_server_(
+              io_, {},
+              [this](const auto& r, auto e) { on_directory_request(r, *e); }),
+          internal_server_(io_, {}, [this](const auto& r, auto e) {
+              on_internal_request(r, e);
+          }) {}
+
+    std::optional<listen_error> run() {
         wait_for_signal();
-        block_reloads(false);
+        set_reload_signal_blocked(false);
         if (auto failed = listen()) {
             return failed;
         }
-        state_.log.write("start",
-                         {{"zone", state_.config.zone},
-                          {"callers", to_string(state_.config.listen_callers)},
-                          {"store", to_string(state_.config.store)}});
-        config_.start();
+        state_.log.write(
+            "start", {{"zone", state_.settings.zone},
+                      {"callers", to_string(state_.settings.listen_callers)},
+                      {"store", to_string(state_.settings.store)}});
+        operator_follower_.start();
         registry_.start();
         journal_.start();
         directory_.start();
-        owner_.start();
-        batch_.start();
-        flush();
-        watch_.start();
-        settings_text_ = settings_text();
-        watch_settings();
+        job_owner_.start();
+        batch_api_.start();
+        flush_log();
+        store_monitor_.start();
+        settings_text_ = read_settings_file();
+        poll_settings_file();
         io_.run();
-        block_reloads(true);
+        set_reload_signal_blocked(true);
         state_.log.flush();
         return std::nullopt;
     }
 
 private:
-    void after(base::millis ms, std::function<void()> f) {
+    void run_after(base::millis ms, std::function<void()> f) {
         auto timer = std::make_shared<asio::steady_timer>(
             io_, std::chrono::milliseconds(ms));
         timer->async_wait([timer, f = std::move(f)](const auto& error) {
@@ -149,19 +162,19 @@
         });
     }
 
-    std::optional<listen_failed> listen() {
-        const auto& c = state_.config;
-        if (!callers_.listen(c.listen_callers)) {
-            return listen_failed{c.listen_callers};
+    std::optional<listen_error> listen() {
+        const auto& c = state_.settings;
+        if (!caller_server_.listen(c.listen_callers)) {
+            return listen_error{c.listen_callers};
         }
-        if (!readiness_.listen(c.listen_readiness)) {
-            return listen_failed{c.listen_readiness};
+        if (!readiness_server_.listen(c.listen_readiness)) {
+            return listen_error{c.listen_readiness};
         }
-        if (!lookup_.listen(c.listen_directory)) {
-            return listen_failed{c.listen_directory};
+        if (!directory_server_.listen(c.listen_directory)) {
+            return listen_error{c.listen_directory};
         }
-        if (!metrics_.listen(c.listen_metrics)) {
-            return listen_failed{c.listen_metrics};
+        if (!internal_server_.listen(c.listen_metrics)) {
+            return listen_error{c.listen_metrics};
         }
         return std::nullopt;
     }
@@ -175,10 +188,10 @@
                 return;
             }
             if (signal == SIGHUP) {
-                settings_text_ = settings_text();
-                reload("signal");
+                settings_text_ = read_settings_file();
+                reload_settings("signal");
             } else {
-                stop();
+                start_shutdown();
             }
             wait_for_signal();
         });
@@ -187,89 +200,91 @@
     /// Takes the bounds and the store's address from the settings file. What
     /// the process listens on can't change while it runs; a file that can't be
     /// read leaves the settings in force as they are.
-    void reload(const char* cause) {
-        const auto loaded = load_node_settings(path_);
+    void reload_settings(const char* cause) {
+        const auto loaded = load_node_settings(settings_path_);
         const auto* fresh = base::value_if(loaded);
         if (fresh == nullptr) {
             state_.log.write("reload", {{"cause", cause}, {"taken", false}});
             return;
         }
-        auto& now = state_.config;
+        auto& now = state_.settings;
         const bool store_moved = !(now.store == fresh->store);
-        now.lease_ms = fresh->lease_ms;
-        now.drain_ms = fresh->drain_ms;
-        now.cancel_ms = fresh->cancel_ms;
-        now.grace_ms = fresh->grace_ms;
-        now.status_ms = fresh->status_ms;
-        now.margin_ms = fresh->margin_ms;
-        now.fences_checked = fresh->fences_checked;
+        now.order_lease_ms = fresh->order_lease_ms;
+        now.server_drain_ms = fresh->server_drain_ms;
+        now.cancel_deadline_ms = fresh->cancel_deadline_ms;
+        now.shutdown_grace_ms = fresh->shutdown_grace_ms;
+        now.result_retention_ms = fresh->result_retention_ms;
+        now.retention_margin_ms = fresh->retention_margin_ms;
+        now.servers_check_fences = fresh->servers_check_fences;
         now.store = fresh->store;
         if (store_moved) {
-            watch_.link().move_to(now.store);
+            store_monitor_.link().set_store_address(now.store);
         }
         state_.log.write("reload",
                          {{"cause", cause},
                           {"taken", true},
                           {"store_moved", store_moved},
-                          {"needs_restart", listens_on_other(*fresh)}});
+                          {"needs_restart", listen_addresses_differ(*fresh)}});
     }
 
-    bool listens_on_other(const node_settings& fresh) const {
-        const auto& now = state_.config;
+    bool listen_addresses_differ(const node_settings& fresh) const {
+        const auto& now = state_.settings;
         return !(now.listen_callers == fresh.listen_callers &&
                  now.listen_readiness == fresh.listen_readiness &&
                  now.listen_directory == fresh.listen_directory &&
                  now.listen_metrics == fresh.listen_metrics);
     }
 
-    std::string settings_text() const {
-        std::ifstream in(path_);
+    std::string read_settings_file() const {
+        std::ifstream in(settings_path_);
         return {std::istreambuf_iterator<char>(in), {}};
     }
 
     /// The file may change without a signal.
-    void watch_settings() {
-        auto text = settings_text();
+    void poll_settings_file() {
+        auto text = read_settings_file();
         if (!text.empty() && text != settings_text_) {
             settings_text_ = std::move(text);
-            reload("file_changed");
+            reload_settings("file_changed");
         }
-        after(settings_check_ms, [this] { watch_settings(); });
+        run_after(settings_poll_interval_ms, [this] { poll_settings_file(); });
     }
 
-    void stop() {
+    void start_shutdown() {
         if (state_.stopping) {
             return;
         }
         state_.stopping = true;
-        stop_at_ = state_.clock.now();
-        state_.log.write("stopping",
-                         {{"in_flight", static_cast<int>(callers_.in_flight())},
-                          {"owns", owner_.owns()}});
-        directory_.leave();
-        owner_.hand_over([this] { handed_over_ = true; });
+        shutdown_started_at_ = state_.clock.now();
+        state_.log.write(
+            "stopping",
+            {{"in_flight",
+              static_cast<int>(caller_server_.requests_in_flight())},
+             {"owns", job_owner_.is_owner()}});
+        directory_.announce_shutdown();
+        job_owner_.start_handover([this] { handed_over_ = true; });
         for (auto* s : servers()) {
             s->drain();
         }
-        check_stop();
+        advance_shutdown();
     }
 
-    void check_stop() {
-        const auto since = state_.clock.now() - stop_at_;
-        const auto latest = state_.config.grace_ms - exit_margin_ms;
-        const auto close_by = latest - closing_ms;
-        if (since >= close_by || (handed_over_ && since >= least_stop_ms)) {
+    void advance_shutdown() {
+        const auto since = state_.clock.now() - shutdown_started_at_;
+        const auto latest = state_.settings.shutdown_grace_ms - exit_margin_ms;
+        const auto close_by = latest - connection_close_ms;
+        if (since >= close_by || (handed_over_ && since >= min_shutdown_ms)) {
             close_servers();
         }
-        if ((handed_over_ && all_closed()) || since >= latest) {
-            end_stop(since);
+        if ((handed_over_ && are_servers_closed()) || since >= latest) {
+            finish_shutdown(since);
             return;
         }
-        after(stop_check_ms, [this] { check_stop(); });
+        run_after(shutdown_poll_interval_ms, [this] { advance_shutdown(); });
     }
 
     void close_servers() {
-        if (std::exchange(closing_, true)) {
+        if (std::exchange(closing_servers_, true)) {
             return;
         }
         for (auto* s : servers()) {
@@ -277,39 +292,41 @@
         }
     }
 
-    bool all_closed() {
+    bool are_servers_closed() {
         const auto all = servers();
         return std::all_of(all.begin(), all.end(),
-                           [](const auto* s) { return s->closed(); });
+                           [](const auto* s) { return s->is_closed(); });
     }
 
-    void end_stop(base::millis took) {
-        state_.log.write("stop",
-                         {{"in_flight", static_cast<int>(callers_.in_flight())},
-                          {"handed_over", handed_over_},
-                          {"ms", took}});
+    void finish_shutdown(base::millis took) {
+        state_.log.write(
+            "stop", {{"in_flight",
+                      static_cast<int>(caller_server_.requests_in_flight())},
+                     {"handed_over", handed_over_},
+                     {"ms", took}});
         close_servers();
         // Requests that were read may wait for their handlers' turn.
         asio::post(io_, [this] {
             // A server may have run what is still open.
             constexpr int gateway_timeout = 504;
             for (auto* s : servers()) {
-                s->answer_open(gateway_timeout);
+                s->fail_open_requests(gateway_timeout);
             }
             io_.stop();
         });
     }
 
-    std::array<transport::event_server*, 4> servers() {
-        return {&callers_, &readiness_, &lookup_, &metrics_};
+    std::array<transport::streaming_http_server*, 4> servers() {
+        return {&caller_server_, &readiness_server_, &directory_server_,
+                &internal_server_};
     }
 
-    void flush() {
+    void flush_log() {
         state_.log.flush();
-        after(flush_ms, [this] { flush(); });
+        run_after(log_flush_interval_ms, [this] { flush_log(); });
     }
 
-    void operator_changed(const std::vector<store::change>& changes) {
+    void on_operator_records(const std::vector<store::change>& changes) {
         for (const auto& c : changes) {
             auto record = c.value
                               ? adapter::decode_operator_record(c.key, *c.value)
@@ -319,236 +336,247 @@
                                  {{"topic", "operator"}, {"key", c.key}});
                 continue;
             }
-            std::visit(base::overloaded{[&](gateway::configuration& n) {
-                                            take_configuration(std::move(n));
-                                        },
-                                        [&](const adapter::named_version& v) {
-                                            owner_.version_named(v.model,
-                                                                 v.version);
-                                        }},
-                       *record);
+            std::visit(
+                base::overloaded{[&](gateway::configuration& n) {
+                                     apply_configuration(std::move(n));
+                                 },
+                                 [&](const adapter::published_version& v) {
+                                     job_owner_.on_version_published(v.model,
+                                                                     v.version);
+                                 }},
+                *record);
         }
     }
 
-    void take_configuration(gateway::configuration next) {
-        if (state_.routes && next.version <= state_.routes->version) {
+    void apply_configuration(gateway::configuration next) {
+        if (state_.configuration &&
+            next.version <= state_.configuration->version) {
             return;
         }
         state_.log.write(
             "configuration",
             {{"version", next.version},
-             {"before", state_.routes ? state_.routes->version : 0},
+             {"before",
+              state_.configuration ? state_.configuration->version : 0},
              {"routes", static_cast<int>(next.routes.size())}});
         const auto& l = next.limits;
-        callers_.set_limits(
-            {l.header_bytes, l.body_bytes, l.header_ms, l.idle_ms});
-        for (const auto& s : next.token_services) {
-            state_.samplers.set_memory(samplers::service_name(s.name),
-                                       s.memory_tokens);
+        caller_server_.set_limits({l.max_header_bytes, l.max_body_bytes,
+                                   l.header_timeout_ms, l.idle_timeout_ms});
+        for (const auto& s : next.sampler_services) {
+            state_.samplers.set_memory_tokens(samplers::service_name(s.name),
+                                              s.kv_capacity_tokens);
         }
-        state_.routes = std::move(next);
+        state_.configuration = std::move(next);
     }
 
-    void journal_changed(const std::vector<store::change>& changes) {
+    void on_journal_changed(const std::vector<store::change>& changes) {
         std::set<batch::job_id> jobs;
         for (const auto& c : changes) {
             if (const auto id = state_.jobs.apply(c)) {
                 jobs.insert(*id);
             }
         }
-        owner_.ledger_changed(jobs);
-        batch_.ledger_changed();
+        job_owner_.on_jobs_changed(jobs);
+        batch_api_.on_jobs_changed();
     }
 
-    void on_readiness(const transport::inbound_request& request,
-                      transport::exchange& answer) {
-        const bool ready = adapter::is_ready_call(request) &&
-                           !state_.stopping && state_.routes &&
-                           registry_.loaded() && journal_.loaded();
-        answer.respond(adapter::plain_status(ready ? 200 : 503));
+    void on_readiness_request(const transport::inbound_request& request,
+                              transport::response_writer& answer) {
+        const bool ready = adapter::is_readiness_request(request) &&
+                           !state_.stopping && state_.configuration &&
+                           registry_.is_loaded() && journal_.is_loaded();
+        answer.send(adapter::status_response(ready ? 200 : 503));
     }
 
-    void on_directory(const transport::inbound_request& request,
-                      transport::exchange& answer) {
-        const auto call = adapter::parse_directory(request);
+    void on_directory_request(const transport::inbound_request& request,
+                              transport::response_writer& answer) {
+        const auto call = adapter::parse_resolve_request(request);
         if (!call) {
-            answer.respond(adapter::plain_status(404));
+            answer.send(adapter::status_response(404));
             return;
         }
         auto addresses =
-            directory_.nodes().addresses(base::zone_id(call->zone));
+            directory_.nodes().caller_addresses(base::zone_id(call->zone));
         if (addresses.empty() && !state_.stopping) {
-            addresses.push_back(state_.config.listen_callers);
+            addresses.push_back(state_.settings.listen_callers);
         }
-        answer.respond(adapter::resolved(addresses, directory_ttl_s));
+        answer.send(adapter::resolve_response(addresses, directory_ttl_s));
     }
 
     /// Answers other nodes, whose calls to the store it passes on, and the
     /// collector of metrics.
-    void on_internal(const transport::inbound_request& request,
-                     const std::shared_ptr<transport::exchange>& answer) {
-        if (!adapter::relay_to_store(client_, state_.config.store, request,
+    void on_internal_request(
+        const transport::inbound_request& request,
+        const std::shared_ptr<transport::response_writer>& answer) {
+        if (!adapter::relay_to_store(client_, state_.settings.store, request,
                                      answer)) {
-            on_metrics(*answer);
+            send_metrics(*answer);
         }
     }
 
-    void on_metrics(transport::exchange& answer) {
+    void send_metrics(transport::response_writer& answer) {
         const auto c = client_.counts();
         state_.counters.set("connections_opened",
-                            static_cast<double>(c.connections));
+                            static_cast<double>(c.connections_opened));
         state_.counters.set("connections_reused",
-                            static_cast<double>(c.reused));
-        state_.counters.set("stray_bytes", static_cast<double>(c.stray_bytes));
+                            static_cast<double>(c.connections_reused));
+        state_.counters.set("stray_bytes",
+                            static_cast<double>(c.unsolicited_reads));
         state_.counters.set("log_lines_dropped",
-                            static_cast<double>(state_.log.dropped()));
-        state_.counters.set("owner", owner_.owns() ? 1 : 0);
+                            static_cast<double>(state_.log.dropped_lines()));
+        state_.counters.set("owner", job_owner_.is_owner() ? 1 : 0);
         state_.counters.set("jobs",
                             static_cast<double>(state_.jobs.jobs().size()));
-        state_.counters.set("records_unreadable",
-                            static_cast<double>(state_.jobs.unreadable()));
-        answer.respond({200,
-                        {{"Content-Type", "text/plain"}},
-                        state_.counters.serialize()});
+        state_.counters.set(
+            "records_unreadable",
+            static_cast<double>(state_.jobs.unreadable_records()));
+        answer.send({200,
+                     {{"Content-Type", "text/plain"}},
+                     state_.counters.serialize()});
     }
 
-    void on_caller(transport::inbound_request request,
-                   std::shared_ptr<transport::exchange> answer) {
-        std::visit(base::overloaded{[&](const adapter::read_call& c) {
-                                        batch_.read(c, std::move(answer));
-                                    },
-                                    [&](const adapter::body_call& c) {
-                                        batch_.body(c, std::move(answer));
-                                    },
-                                    [&](const adapter::end_call& c) {
-                                        batch_.end(c, std::move(answer));
-                                    },
-                                    [&](const adapter::routed_call& c) {
-                                        on_routed(c, std::move(request),
-                                                  std::move(answer));
-                                    }},
-                   adapter::parse_front(request));
+    void on_caller_request(transport::inbound_request request,
+                           std::shared_ptr<transport::response_writer> answer) {
+        std::visit(base::overloaded{
+                       [&](const adapter::results_request& c) {
+                           batch_api_.read_results(c, std::move(answer));
+                       },
+                       [&](const adapter::item_body_request& c) {
+                           batch_api_.read_item_body(c, std::move(answer));
+                       },
+                       [&](const adapter::end_job_request& c) {
+                           batch_api_.end_job(c, std::move(answer));
+                       },
+                       [&](const adapter::routed_request& c) {
+                           on_routed_request(c, std::move(request),
+                                             std::move(answer));
+                       }},
+                   adapter::parse_client_request(request));
     }
 
     /// Tells of a request that has ended without a complete answer.
-    void on_cut(const transport::cut_request& cut) {
+    void on_request_aborted(const transport::aborted_request& cut) {
         const std::string cause(base::name_of(cut.cause));
-        state_.counters.count_answer("caller", "cut", cause);
-        state_.log.write("request_cut", {{"id", cut.id},
+        state_.counters.count_response("caller", "cut", cause);
+        state_.log.write("request_cut", {{"id", cut.request_id},
                                          {"target", cut.target},
                                          {"cause", cause},
                                          {"age_ms", cut.age_ms},
-                                         {"answer_began", cut.answer_began},
+                                         {"answer_began", cut.response_started},
                                          {"stopping", state_.stopping}});
     }
 
-    void on_routed(const adapter::routed_call& call,
-                   transport::inbound_request request,
-                   std::shared_ptr<transport::exchange> answer) {
-        if (!state_.routes) {
+    void on_routed_request(const adapter::routed_request& call,
+                           transport::inbound_request request,
+                           std::shared_ptr<transport::response_writer> answer) {
+        if (!state_.configuration) {
             // A node that knows no configuration can't say what does not
             // exist.
-            log_refusal(call, "no_configuration");
-            answer->respond(adapter::not_run(start_retry_ms));
+            log_rejection(call, "no_configuration");
+            answer->send(adapter::not_run_response(startup_retry_after_ms));
             return;
         }
-        const auto* r =
-            gateway::match(*state_.routes, call.host, request.target);
+        const auto* r = gateway::find_route(*state_.configuration, call.host,
+                                            request.target);
         if (r == nullptr) {
-            log_refusal(call, "no_route");
-            answer->respond(adapter::plain_status(404));
+            log_rejection(call, "no_route");
+            answer->send(adapter::status_response(404));
             return;
         }
         if (r->kind == gateway::route_kind::batch) {
             on_submission(call, request, std::move(answer));
             return;
         }
-        requests_.answer(to_forward(call, *r, std::move(request)),
-                         std::move(answer));
+        forwarder_.forward_to_caller(
+            make_forward_request(call, *r, std::move(request)),
+            std::move(answer));
     }
 
-    void log_refusal(const adapter::routed_call& call, const char* reason) {
+    void log_rejection(const adapter::routed_request& call,
+                       const char* reason) {
         state_.log.write(
             "refused",
             {{"id", call.id},
              {"host", call.host},
-             {"configuration", state_.routes ? state_.routes->version : 0},
+             {"configuration",
+              state_.configuration ? state_.configuration->version : 0},
              {"reason", reason}});
     }
 
-    void on_submission(const adapter::routed_call& call,
+    void on_submission(const adapter::routed_request& call,
                        const transport::inbound_request& request,
-                       std::shared_ptr<transport::exchange> answer) {
+                       std::shared_ptr<transport::response_writer> answer) {
         auto job = adapter::decode_job(request, call);
         if (!job) {
-            log_refusal(call, "no_job");
-            answer->respond(adapter::plain_status(400));
+            log_rejection(call, "no_job");
+            answer->send(adapter::status_response(400));
             return;
         }
-        batch_.submit(std::move(*job), call.deadline_ms, std::move(answer));
+        batch_api_.submit(std::move(*job), call.deadline_ms, std::move(answer));
     }
 
-    forward_request to_forward(const adapter::routed_call& call,
-                               const gateway::route& r,
-                               transport::inbound_request request) {
+    forward_request make_forward_request(const adapter::routed_request& call,
+                                         const gateway::route& r,
+                                         transport::inbound_request request) {
         forward_request f;
         f.id = call.id;
         f.kind = "request";
-        f.content.method = std::move(request.method);
-        f.content.target = std::move(request.target);
-        f.content.body = std::move(request.body);
-        f.content.fields.push_back({"Host", call.host});
+        f.http_request.method = std::move(request.method);
+        f.http_request.target = std::move(request.target);
+        f.http_request.body = std::move(request.body);
+        f.http_request.fields.push_back({"Host", call.host});
         for (auto& field : request.fields) {
             if (!transport::is_hop_by_hop(field.name)) {
-                f.content.fields.push_back(std::move(field));
+                f.http_request.fields.push_back(std::move(field));
             }
         }
-        f.service = samplers::service_name(choose_target(r, state_.draw()));
-        f.attempts = r.attempts;
-        f.streamed = r.kind == gateway::route_kind::streaming;
-        f.resumable = f.streamed && r.resumable;
-        f.repeatable = r.kind == gateway::route_kind::idempotent || f.resumable;
+        f.service =
+            samplers::service_name(choose_service(r, state_.random_fraction()));
+        f.max_attempts = r.max_attempts;
+        f.streaming = r.kind == gateway::route_kind::streaming;
+        f.resumable = f.streaming && r.resumable;
+        f.retryable = r.kind == gateway::route_kind::idempotent || f.resumable;
         auto time =
             call.deadline_ms > 0 ? call.deadline_ms : default_deadline_ms;
         if (r.timeout_ms > 0) {
             time = std::min(time, r.timeout_ms);
         }
-        f.due = state_.clock.now() + time;
-        f.objective_ms = r.objective_ms;
+        f.deadline = state_.clock.now() + time;
+        f.latency_target_ms = r.latency_target_ms;
         return f;
     }
 
     asio::io_context io_{1};
     node_state state_;
-    std::string path_;
+    std::string settings_path_;
     /// The settings file as it was last read.
     std::string settings_text_;
     asio::signal_set signals_;
     transport::upstream_client client_;
-    store::delay_function after_;
-    store_watch watch_;
-    store::log_store store_;
-    store::follower config_;
-    registry registry_;
-    store::follower journal_;
-    job_files files_;
-    directory directory_;
-    forwarder requests_;
-    owner owner_;
-    batch_api batch_;
-    transport::event_server callers_;
-    transport::event_server readiness_;
-    transport::event_server lookup_;
-    transport::event_server metrics_;
-    base::millis stop_at_ = 0;
+    store::run_after_function run_after_;
+    store_monitor store_monitor_;
+    store::log_store log_store_;
+    store::partition_watcher operator_follower_;
+    server_registry registry_;
+    store::partition_watcher journal_;
+    job_store job_store_;
+    node_directory directory_;
+    forwarder forwarder_;
+    job_owner job_owner_;
+    batch_api batch_api_;
+    transport::streaming_http_server caller_server_;
+    transport::streaming_http_server readiness_server_;
+    transport::streaming_http_server directory_server_;
+    transport::streaming_http_server internal_server_;
+    base::millis shutdown_started_at_ = 0;
     bool handed_over_ = false;
-    bool closing_ = false;
+    bool closing_servers_ = false;
 };
 
 } // namespace
 
-std::optional<listen_failed> run_node(const node_settings& settings,
-                                      const std::string& path) {
+std::optional<listen_error> run_node(const node_settings& settings,
+                                     const std::string& path) {
     entry_node node(settings, path);
     return node.run();
 }
--- a/packages/entry/src/forwarder.cpp
+++ b/packages/entry/src/forwarder.cpp
@@ -1,9 +1,9 @@
 #include "forwarder.hpp"
 
 #include "hibiscus/base/result.hpp"
-#include "hibiscus/samplers/placement.hpp"
+#include "hibiscus/samplers/plain_placement.hpp"
 #include "hibiscus/transport/event_stream.hpp"
-#include "platform/front.hpp"
+#include "platform/client_api.hpp"
 #include "platform/sampler_calls.hpp"
 
 #include <algorithm>
@@ -14,71 +14,71 @@
 
 /// How long one server may take before another is tried, in ms: a server
 /// works 25 to 80 ms on a request, and up to 600 on the longest.
-constexpr base::millis least_try_ms = 250;
-constexpr base::millis slowest_answers = 6;
+constexpr base::millis min_attempt_timeout_ms = 250;
+constexpr base::millis attempt_timeout_factor = 6;
 
 /// A connection to a server in the same region opens within 4 ms; one that
 /// does not open for so long leads nowhere.
-constexpr base::millis connect_ms = 200;
+constexpr base::millis connect_timeout_ms = 200;
 
 /// Time kept back for the way to the caller, in ms.
-constexpr base::millis margin_ms = 10;
+constexpr base::millis response_margin_ms = 10;
 
 /// How long a server that refused is left alone, in ms.
-constexpr base::millis refusal_ms = 60;
+constexpr base::millis refusal_backoff_ms = 60;
 
 /// A resumable stream whose server is silent for so long goes on at another,
 /// in ms: ten times the time between two events of a sound server, and half
 /// of the least gap after which callers abandon a stream.
-constexpr base::millis stream_silence_ms = 1000;
+constexpr base::millis stream_idle_timeout_ms = 1000;
 
 /// Sends to one server after the other until one answers.
-class attempt_series : public forwarding,
-                       public std::enable_shared_from_this<attempt_series> {
+class forward_attempts : public active_forward,
+                         public std::enable_shared_from_this<forward_attempts> {
 public:
-    attempt_series(node_state& state, transport::upstream_client& client,
-                   forward_request request,
-                   std::function<void(forward_result)> done,
-                   std::shared_ptr<transport::exchange> sink)
+    forward_attempts(node_state& state, transport::upstream_client& client,
+                     forward_request request,
+                     std::function<void(forward_result)> done,
+                     std::shared_ptr<transport::response_writer> sink)
         : state_(state), client_(client), request_(std::move(request)),
-          done_(std::move(done)), sink_(std::move(sink)),
-          started_(state.clock.now()) {}
+          on_done_(std::move(done)), response_(std::move(sink)),
+          started_at_(state.clock.now()) {}
 
-    void next() {
-        if (ended_) {
+    void try_next_server() {
+        if (finished_) {
             return;
         }
         const auto now = state_.clock.now();
-        const auto left = request_.due - now - margin_ms;
+        const auto left = request_.deadline - now - response_margin_ms;
         if (left <= 0) {
-            give_up(true);
+            fail(true);
             return;
         }
-        const auto to =
-            sent_ < request_.attempts
-                ? samplers::place_plain(state_.samplers, request_.service,
-                                        state_.config.zone, tried_, now)
-                : std::nullopt;
+        const auto to = attempts_ < request_.max_attempts
+                            ? samplers::choose_plain_server(
+                                  state_.samplers, request_.service,
+                                  state_.settings.zone, tried_, now)
+                            : std::nullopt;
         if (!to) {
-            give_up(false);
+            fail(false);
             return;
         }
         tried_.insert(*to);
-        ++sent_;
-        send_to(*to, left, request_.repeatable);
+        ++attempts_;
+        send_to(*to, left, request_.retryable);
     }
 
     void cancel() override {
-        if (!std::exchange(ended_, true)) {
+        if (!std::exchange(finished_, true)) {
             log("forward", "cancelled");
-            count("cancelled", "");
+            count_request("cancelled", "");
         }
-        done_ = nullptr;
-        sink_.reset();
+        on_done_ = nullptr;
+        response_.reset();
         if (call_) {
             call_->cancel();
             call_.reset();
-            state_.samplers.ended(server_);
+            state_.samplers.on_request_ended(server_);
         }
     }
 
@@ -86,227 +86,237 @@
     void send_to(const samplers::sampler_id& to, base::millis left,
                  bool reuse) {
         server_ = to;
-        sent_at_ = state_.clock.now();
+        attempt_sent_at_ = state_.clock.now();
         head_ = {};
         body_.clear();
-        gate_.reset();
-        on_stream_ = false;
+        event_assembler_.discard_partial_event();
+        forwarding_stream_ = false;
         const auto* row = state_.samplers.find(to);
-        auto content = request_.content;
-        if (!last_event_.empty()) {
-            adapter::resume_behind(content, last_event_);
+        auto content = request_.http_request;
+        if (!last_event_id_.empty()) {
+            adapter::set_resume_position(content, last_event_id_);
         }
-        adapter::address_to(content, to, left);
-        transport::call_options options;
-        options.connect_ms = std::min(connect_ms, left);
-        options.total_ms = left;
-        if (!request_.streamed && request_.repeatable &&
-            sent_ < request_.attempts) {
+        adapter::set_server_headers(content, to, left);
+        transport::upstream_call_options options;
+        options.connect_timeout_ms = std::min(connect_timeout_ms, left);
+        options.total_timeout_ms = left;
+        if (!request_.streaming && request_.retryable &&
+            attempts_ < request_.max_attempts) {
             const auto usual =
-                static_cast<base::millis>(row->answer_ms) * slowest_answers;
-            options.total_ms = std::min(left, std::max(least_try_ms, usual));
+                static_cast<base::millis>(row->mean_response_ms) *
+                attempt_timeout_factor;
+            options.total_timeout_ms =
+                std::min(left, std::max(min_attempt_timeout_ms, usual));
         }
-        if (request_.resumable && sent_ < request_.attempts) {
-            options.silence_ms = stream_silence_ms;
+        if (request_.resumable && attempts_ < request_.max_attempts) {
+            options.idle_timeout_ms = stream_idle_timeout_ms;
         }
-        options.reuse = reuse;
-        transport::upstream_events events;
-        events.head = [self = shared_from_this()](const auto& h) {
+        options.reuse_connection = reuse;
+        transport::upstream_callbacks events;
+        events.on_head = [self = shared_from_this()](const auto& h) {
             self->on_head(h);
         };
-        events.data = [self = shared_from_this()](std::string_view piece) {
+        events.on_data = [self = shared_from_this()](std::string_view piece) {
             self->on_data(piece);
         };
-        events.ended = [self = shared_from_this()](transport::call_end end) {
-            self->on_end(end);
-        };
-        state_.samplers.started(to);
+        events.on_end = [self = shared_from_this()](
+                            transport::call_outcome end) { self->on_end(end); };
+        state_.samplers.on_request_started(to);
         call_ =
             client_.start(row->registered.address, std::move(content), options,
-                          std::move(events), adapter::request_id_field);
+                          std::move(events), adapter::request_id_header);
     }
 
-    void on_head(const transport::upstream_head& head) {
+    void on_head(const transport::response_head& head) {
         head_ = head;
-        const auto a = adapter::read_answer(head);
-        if (request_.streamed && sink_ && head.status / 100 == 2 &&
+        const auto a = adapter::parse_response_head(head);
+        if (request_.streaming && response_ && head.status / 100 == 2 &&
             !a.signature.empty()) {
-            on_stream_ = true;
+            forwarding_stream_ = true;
             // A stream that goes on keeps the head of its first server.
-            if (!std::exchange(began_, true)) {
-                sink_->begin(head.status, answer_fields(head));
+            if (!std::exchange(response_started_, true)) {
+                response_->send_head(head.status, end_to_end_headers(head));
             }
         }
     }
 
     void on_data(std::string_view piece) {
-        if (!on_stream_) {
+        if (!forwarding_stream_) {
             body_ += piece;
         } else if (!request_.resumable) {
-            sink_->write(piece);
+            response_->write(piece);
         } else {
-            auto whole = gate_.feed(piece);
-            if (!whole.last_id.empty()) {
-                last_event_ = std::move(whole.last_id);
+            auto whole = event_assembler_.feed(piece);
+            if (!whole.last_event_id.empty()) {
+                last_event_id_ = std::move(whole.last_event_id);
             }
             if (!whole.bytes.empty()) {
-                wrote_ = true;
-                sink_->write(whole.bytes);
+                events_forwarded_ = true;
+                response_->write(whole.bytes);
             }
         }
     }
 
-    void on_end(transport::call_end end) {
-        reused_ = call_ && !call_->opened();
-        opened_ += reused_ ? 0 : 1;
+    void on_end(transport::call_outcome end) {
+        connection_reused_ = call_ && !call_->opened_connection();
+        connections_opened_ += connection_reused_ ? 0 : 1;
         call_.reset();
-        state_.samplers.ended(server_);
-        if (ended_) {
+        state_.samplers.on_request_ended(server_);
+        if (finished_) {
             return;
         }
-        const bool whole = end == transport::call_end::complete ||
-                           end == transport::call_end::closed;
-        if (on_stream_) {
-            end_stream(end);
+        const bool whole =
+            end == transport::call_outcome::complete ||
+            end == transport::call_outcome::closed_without_length;
+        if (forwarding_stream_) {
+            on_stream_end(end);
             return;
         }
         if (!whole) {
-            on_broken(end);
+            on_attempt_failed(end);
             return;
         }
-        on_answer();
+        on_response();
     }
 
-    void end_stream(transport::call_end end) {
+    void on_stream_end(transport::call_outcome end) {
         // A resumable stream without a length that ends with its connection
         // may have been cut between two events.
         const bool whole =
-            end == transport::call_end::complete ||
-            (end == transport::call_end::closed && !request_.resumable);
+            end == transport::call_outcome::complete ||
+            (end == transport::call_outcome::closed_without_length &&
+             !request_.resumable);
         if (whole) {
-            ended_ = true;
-            sink_->end();
-            may_have_run_ = true;
+            finished_ = true;
+            response_->finish();
+            may_have_executed_ = true;
             log("stream", "whole");
-            count("whole", "");
+            count_request("whole", "");
             count_attempt("answered");
             return;
         }
-        state_.samplers.failed(server_);
-        may_have_run_ = true;
+        state_.samplers.on_failure(server_);
+        may_have_executed_ = true;
         count_attempt(std::string(base::name_of(end)));
         // Events without an id can't be named to the next server; it would
         // send them again.
-        const bool can_go_on = !wrote_ || !last_event_.empty();
+        const bool can_go_on = !events_forwarded_ || !last_event_id_.empty();
         if (request_.resumable && can_go_on) {
             log("stream", "moves");
-            next();
+            try_next_server();
             return;
         }
-        break_off();
+        abort_stream();
     }
 
     /// Ends a stream that can't be finished so that it does not look whole.
-    void break_off() {
-        ended_ = true;
-        sink_->abort();
+    void abort_stream() {
+        finished_ = true;
+        response_->abort();
         log("stream", "cut");
-        count("cut", "");
+        count_request("cut", "");
     }
 
     /// Sends to the same server once more, on a new connection: a kept one
     /// that has ended says nothing about its server.
-    void send_again() {
+    void retry_same_server() {
         const auto* row = state_.samplers.find(server_);
-        const auto left = request_.due - state_.clock.now() - margin_ms;
+        const auto left =
+            request_.deadline - state_.clock.now() - response_margin_ms;
         if (row == nullptr || row->registered.draining || left <= 0) {
-            next();
+            try_next_server();
             return;
         }
         send_to(samplers::sampler_id(server_), left, false);
     }
 
-    void on_broken(transport::call_end end) {
-        may_have_run_ = may_have_run_ || end != transport::call_end::not_sent;
+    void on_attempt_failed(transport::call_outcome end) {
+        may_have_executed_ =
+            may_have_executed_ || end != transport::call_outcome::not_sent;
         log_attempt(std::string(base::name_of(end)));
-        if (end == transport::call_end::stale) {
-            send_again();
+        if (end == transport::call_outcome::stale_connection) {
+            retry_same_server();
             return;
         }
-        state_.samplers.failed(server_);
-        if (!may_have_run_ || request_.repeatable) {
-            next();
+        state_.samplers.on_failure(server_);
+        if (!may_have_executed_ || request_.retryable) {
+            try_next_server();
         } else {
-            give_up(end == transport::call_end::timed_out);
+            fail(end == transport::call_outcome::total_timeout);
         }
     }
 
-    void on_answer() {
-        const auto a = adapter::read_answer(head_);
-        if (a.not_run || a.other_server) {
-            state_.samplers.block(server_, refusal_ms);
+    void on_response() {
+        const auto a = adapter::parse_response_head(head_);
+        if (a.not_run || a.misdirected) {
+            state_.samplers.block(server_, refusal_backoff_ms);
             log_attempt("refused");
-            next();
+            try_next_server();
             return;
         }
-        if (began_ || (a.status / 100 == 2 && a.signature.empty())) {
+        if (response_started_ || (a.status / 100 == 2 && a.signature.empty())) {
             // Bytes that no server signed are not its answer, and what does
             // not go on with a stream is none to one that began.
-            on_broken(transport::call_end::broken);
+            on_attempt_failed(transport::call_outcome::broken);
             return;
         }
-        state_.samplers.answered(server_, state_.clock.now() - sent_at_);
-        may_have_run_ = true;
-        if (a.means_not_run && !request_.repeatable) {
+        state_.samplers.on_response(server_,
+                                    state_.clock.now() - attempt_sent_at_);
+        may_have_executed_ = true;
+        if (a.implies_not_run && !request_.retryable) {
             // Without the server's word that it did not run, callers must not
             // read so in the status.
             log_attempt("unclear");
-            give_up(false);
+            fail(false);
             return;
         }
         if (a.status >= 500) {
-            failures_ += a.status == 500 ? 1 : 0;
-            if (request_.retry_failures && request_.repeatable &&
-                sent_ < request_.attempts) {
+            failed_attempts_ += a.status == 500 ? 1 : 0;
+            if (request_.retry_server_errors && request_.retryable &&
+                attempts_ < request_.max_attempts) {
                 log_attempt("failed");
-                next();
+                try_next_server();
                 return;
             }
         }
         count_attempt("answered");
-        finish(forwarded{head_, std::move(body_), a.signature, failures_});
+        finish(forwarded_response{head_, std::move(body_), a.signature,
+                                  failed_attempts_});
     }
 
-    void give_up(bool timed_out) {
-        finish(not_forwarded{may_have_run_, timed_out, failures_});
+    void fail(bool timed_out) {
+        finish(
+            forward_failure{may_have_executed_, timed_out, failed_attempts_});
     }
 
     void finish(forward_result result) {
-        if (began_ && !ended_) {
-            break_off();
+        if (response_started_ && !finished_) {
+            abort_stream();
             return;
         }
-        if (std::exchange(ended_, true)) {
+        if (std::exchange(finished_, true)) {
             return;
         }
-        const bool answered = std::holds_alternative<forwarded>(result);
+        const bool answered =
+            std::holds_alternative<forwarded_response>(result);
         log("forward", answered ? "answered" : "given_up");
-        state_.counters.observe(request_.kind, state_.clock.now() - started_);
-        count(answered ? "answered" : "given_up",
-              answered ? std::to_string(head_.status) : "");
-        if (sink_) {
-            answer_sink(result);
-        } else if (done_) {
-            const auto done = std::exchange(done_, nullptr);
+        state_.counters.observe(request_.kind,
+                                state_.clock.now() - started_at_);
+        count_request(answered ? "answered" : "given_up",
+                      answered ? std::to_string(head_.status) : "");
+        if (response_) {
+            respond_to_caller(result);
+        } else if (on_done_) {
+            const auto done = std::exchange(on_done_, nullptr);
             done(std::move(result));
         }
     }
 
     /// Answers a caller of a stream that never began.
-    void answer_sink(const forward_result& result);
+    void respond_to_caller(const forward_result& result);
 
     static transport::headers
-    answer_fields(const transport::upstream_head& head) {
+    end_to_end_headers(const transport::response_head& head) {
         transport::headers out;
         for (const auto& f : head.fields) {
             if (!transport::is_hop_by_hop(f.name)) {
@@ -316,13 +326,13 @@
         return out;
     }
 
-    void count(const std::string& outcome, const std::string& reason) {
-        state_.counters.count_answer(request_.kind, outcome, reason);
+    void count_request(const std::string& outcome, const std::string& reason) {
+        state_.counters.count_response(request_.kind, outcome, reason);
     }
 
     void count_attempt(const std::string& outcome) {
-        state_.counters.count_answer("attempt", outcome,
-                                     reused_ ? "reused" : "opened");
+        state_.counters.count_response(
+            "attempt", outcome, connection_reused_ ? "reused" : "opened");
     }
 
     void log_attempt(const std::string& outcome) {
@@ -331,67 +341,69 @@
     }
 
     void log(const char* event, const std::string& outcome) {
-        state_.log.write(event, {{"kind", request_.kind},
-                                 {"id", request_.id},
-                                 {"service", request_.service},
-                                 {"server", server_},
-                                 {"sent", sent_},
-                                 {"connections", opened_},
-                                 {"reused", reused_},
-                                 {"may_have_run", may_have_run_},
-                                 {"status", head_.status},
-                                 {"ms", state_.clock.now() - started_},
-                                 {"left_ms", request_.due - state_.clock.now()},
-                                 {"outcome", outcome}});
+        state_.log.write(event,
+                         {{"kind", request_.kind},
+                          {"id", request_.id},
+                          {"service", request_.service},
+                          {"server", server_},
+                          {"sent", attempts_},
+                          {"connections", connections_opened_},
+                          {"reused", connection_reused_},
+                          {"may_have_run", may_have_executed_},
+                          {"status", head_.status},
+                          {"ms", state_.clock.now() - started_at_},
+                          {"left_ms", request_.deadline - state_.clock.now()},
+                          {"outcome", outcome}});
     }
 
     node_state& state_;
     transport::upstream_client& client_;
     forward_request request_;
-    std::function<void(forward_result)> done_;
-    std::shared_ptr<transport::exchange> sink_;
+    std::function<void(forward_result)> on_done_;
+    std::shared_ptr<transport::response_writer> response_;
     std::shared_ptr<transport::upstream_call> call_;
     std::set<samplers::sampler_id> tried_;
     samplers::sampler_id server_;
-    transport::upstream_head head_;
+    transport::response_head head_;
     std::string body_;
-    base::millis started_;
-    base::millis sent_at_ = 0;
-    int sent_ = 0;
+    base::millis started_at_;
+    base::millis attempt_sent_at_ = 0;
+    int attempts_ = 0;
     /// How many of the sends opened a connection.
-    int opened_ = 0;
+    int connections_opened_ = 0;
     /// Whether the last send went out on a kept connection.
-    bool reused_ = false;
-    int failures_ = 0;
-    bool may_have_run_ = false;
+    bool connection_reused_ = false;
+    int failed_attempts_ = 0;
+    bool may_have_executed_ = false;
     /// The answer of the present server is handed on as it comes.
-    bool on_stream_ = false;
+    bool forwarding_stream_ = false;
     /// The caller has got the head of a stream.
-    bool began_ = false;
+    bool response_started_ = false;
     /// Whether the caller has got events.
-    bool wrote_ = false;
+    bool events_forwarded_ = false;
     /// The id of the last event that was handed on.
-    std::string last_event_;
-    transport::event_gate gate_;
-    bool ended_ = false;
+    std::string last_event_id_;
+    transport::event_assembler event_assembler_;
+    bool finished_ = false;
 };
 
 /// How soon a caller whose request could not be placed should come back, in
 /// ms: a refusing server has a free place again after a request's work.
 constexpr base::millis retry_after_ms = 100;
 
-void attempt_series::answer_sink(const forward_result& result) {
+void forward_attempts::respond_to_caller(const forward_result& result) {
     std::visit(
         base::overloaded{
-            [&](const forwarded& f) {
-                sink_->respond({f.head.status, answer_fields(f.head), f.body});
+            [&](const forwarded_response& f) {
+                response_->send(
+                    {f.head.status, end_to_end_headers(f.head), f.body});
             },
-            [&](const not_forwarded& n) {
-                if (!n.may_have_run) {
-                    sink_->respond(adapter::not_run(retry_after_ms));
+            [&](const forward_failure& n) {
+                if (!n.may_have_executed) {
+                    response_->send(adapter::not_run_response(retry_after_ms));
                 } else {
-                    sink_->respond(
-                        adapter::plain_status(n.timed_out ? 504 : 502));
+                    response_->send(
+                        adapter::status_response(n.timed_out ? 504 : 502));
                 }
             }},
         result);
@@ -399,21 +411,22 @@
 
 } // namespace
 
-std::shared_ptr<forwarding>
+std::shared_ptr<active_forward>
 forwarder::send(forward_request request,
                 std::function<void(forward_result)> done) {
-    auto series = std::make_shared<attempt_series>(
+    auto series = std::make_shared<forward_attempts>(
         state_, client_, std::move(request), std::move(done), nullptr);
-    series->next();
+    series->try_next_server();
     return series;
 }
 
-void forwarder::answer(forward_request request,
-                       std::shared_ptr<transport::exchange> caller) {
-    auto series = std::make_shared<attempt_series>(
+void forwarder::forward_to_caller(
+    forward_request request,
+    std::shared_ptr<transport::response_writer> caller) {
+    auto series = std::make_shared<forward_attempts>(
         state_, client_, std::move(request), nullptr, caller);
-    caller->on_closed([series] { series->cancel(); });
-    series->next();
+    caller->on_disconnect([series] { series->cancel(); });
+    series->try_next_server();
 }
 
 } // namespace hibiscus::entry
--- a/packages/entry/src/forwarder.hpp
+++ b/packages/entry/src/forwarder.hpp
@@ -2,7 +2,7 @@
 
 #include "node_state.hpp"
 
-#include "hibiscus/transport/event_server.hpp"
+#include "hibiscus/transport/streaming_http_server.hpp"
 
 #include <functional>
 #include <memory>
@@ -16,49 +16,49 @@
     /// Its id and what it is about, for the log: "lookup" or "reward".
     std::string id;
     const char* kind = "request";
-    transport::upstream_request content;
+    transport::upstream_request http_request;
     samplers::service_name service;
     /// The most servers that it may be sent to.
-    int attempts = 1;
+    int max_attempts = 1;
     /// Whether it may run more than once.
-    bool repeatable = false;
+    bool retryable = false;
     /// Whether the answer is handed on as it comes.
-    bool streamed = false;
+    bool streaming = false;
     /// Whether a stream that breaks off goes on at another server.
     bool resumable = false;
     /// Whether a server's own failure is tried again elsewhere.
-    bool retry_failures = false;
+    bool retry_server_errors = false;
     /// When it must be answered, by the node's clock.
-    base::millis due = 0;
+    base::millis deadline = 0;
     /// Within which its answer is worth the most, in ms.
-    base::millis objective_ms = 0;
+    base::millis latency_target_ms = 0;
 };
 
 /// A server's whole answer.
-struct forwarded {
-    transport::upstream_head head;
+struct forwarded_response {
+    transport::response_head head;
     std::string body;
     std::string signature;
     /// How many servers answered that it failed there, this one included.
-    int failures = 0;
+    int failed_attempts = 0;
 };
 
 /// No server answered.
-struct not_forwarded {
+struct forward_failure {
     /// True if a server may have run it.
-    bool may_have_run = false;
+    bool may_have_executed = false;
     /// True if the time was over, not the servers.
     bool timed_out = false;
     /// How many servers answered that it failed there.
-    int failures = 0;
+    int failed_attempts = 0;
 };
 
-using forward_result = std::variant<forwarded, not_forwarded>;
+using forward_result = std::variant<forwarded_response, forward_failure>;
 
 /// A request under way; it ends when the last holder lets go or cancels.
-class forwarding {
+class active_forward {
 public:
-    virtual ~forwarding() = default;
+    virtual ~active_forward() = default;
     /// Gives the request up; nothing is called afterwards.
     virtual void cancel() = 0;
 };
@@ -71,13 +71,13 @@
         : state_(state), client_(client) {}
 
     /// Sends a request and calls `done` once with what came of it.
-    std::shared_ptr<forwarding> send(forward_request request,
-                                     std::function<void(forward_result)> done);
+    std::shared_ptr<active_forward>
+    send(forward_request request, std::function<void(forward_result)> done);
 
     /// Sends a request whose answer goes to a caller. It is given up if the
     /// caller leaves.
-    void answer(forward_request request,
-                std::shared_ptr<transport::exchange> caller);
+    void forward_to_caller(forward_request request,
+                           std::shared_ptr<transport::response_writer> caller);
 
 private:
     node_state& state_;
--- /dev/null
+++ b/packages/entry/src/job_owner.cpp
@@ -0,0 +1,388 @@
+#include "job_owner.hpp"
+
+#include "hibiscus/base/result.hpp"
+#include "platform/sampler_calls.hpp"
+#include "platform/store_client.hpp"
+
+#include <algorithm>
+
+namespace hibiscus::entry {
+
+namespace {
+
+/// How often waiting items and silent runs are looked at, in ms. Places that
+/// fall free are filled at once by the run's end itself.
+constexpr base::millis tick_interval_ms = batch::item_scheduler::tick_ms;
+
+/// How often open jobs are compared with their routes, in ms.
+constexpr base::millis service_update_interval_ms = 250;
+
+/// The pause before a job's items are read again, in ms.
+constexpr base::millis load_retry_delay_ms = 100;
+
+/// Epochs of texts under way that one owner may use: it starts texts anew
+/// only where versions must not mix.
+constexpr std::int64_t epochs_per_owner = 1000;
+
+/// New items start only while the store was heard within this share of the
+/// time in which the end of a job must take effect.
+constexpr base::millis cancel_deadline_divisor = 2;
+
+/// How many of an ended job's slowest items are logged.
+constexpr std::size_t max_slow_items_logged = 12;
+
+} // namespace
+
+job_owner::job_owner(node_state& state, const store::log_store& store,
+                     const store::store_router& link,
+                     store::partition_watcher& journal, const job_store& files,
+                     transport::upstream_client& client, forwarder& requests,
+                     store::run_after_function after)
+    : state_(state), log_store_(store), link_(link), journal_(journal),
+      job_store_(files), client_(client), forwarder_(requests),
+      run_after_(std::move(after)), work_(state.clock, state.samplers),
+      rollout_(state.clock),
+      incarnation_(std::to_string(state.random_engine()) + "-" +
+                   std::to_string(state.random_engine())),
+      ownership_(
+          state.clock, state.settings.node, incarnation_, {},
+          state.random_fraction(),
+          state.settings.features.is_enabled(base::feature::owner_by_size)
+              ? state.settings.cpu_share
+              : 1),
+      handover_(state.clock) {}
+
+void job_owner::start() {
+    tick();
+}
+
+bool job_owner::is_owner() const {
+    return !handover_.has_ended() && ownership_.is_held(state_.jobs);
+}
+
+void job_owner::set_store_reachable(bool up) {
+    ownership_.set_store_reachable(up);
+}
+
+bool job_owner::is_store_current() const {
+    const auto age = state_.clock.now() - journal_.current_as_of();
+    return journal_.is_loaded() &&
+           age < state_.settings.cancel_deadline_ms / cancel_deadline_divisor;
+}
+
+/// New items start only while this node would know if their job had ended.
+bool job_owner::may_start_items() const {
+    return !handover_.has_begun() &&
+           (is_store_current() || link_.is_store_down_for_all());
+}
+
+void job_owner::claim_ownership() {
+    if (appending_) {
+        return;
+    }
+    const auto& before = state_.jobs.owner();
+    state_.log.write(
+        "claim",
+        {{"before", before ? before->record.node.str() : ""},
+         {"silent_ms", before ? state_.clock.now() - before->last_seen_at : 0},
+         {"read_to", journal_.next_offset()}});
+    append_to_journal({make_owner_record(journal_.next_offset(), false)},
+                      [](bool) {});
+}
+
+void job_owner::on_jobs_changed(const std::set<batch::job_id>& jobs) {
+    const bool owns_now = is_owner();
+    if (owns_now != was_owner_) {
+        was_owner_ = owns_now;
+        on_ownership_changed(owns_now);
+        return;
+    }
+    if (!owns_now) {
+        return;
+    }
+    for (const auto& id : jobs) {
+        const auto* row = state_.jobs.find(id);
+        if (row != nullptr && row->has_ended) {
+            log_slow_items(id, *row);
+            apply_effects(work_.remove_job(id));
+            erase_progress(id);
+        } else if (row != nullptr) {
+            apply_effects(work_.on_committed(id, row->committed_items));
+        }
+    }
+    load_open_jobs();
+}
+
+void job_owner::on_ownership_changed(bool mine) {
+    const auto& o = state_.jobs.owner();
+    state_.log.write("owner", {{"mine", mine},
+                               {"node", o ? o->record.node.str() : ""},
+                               {"fence", o ? o->record.fencing_token : 0},
+                               {"read_to", journal_.next_offset()}});
+    if (mine) {
+        // Another owner's order may still be under way, and a server that
+        // does not check fences would carry it out after this owner's. Where
+        // they check, and for the first owner of all and one that follows on
+        // itself, there is nothing to wait for.
+        const bool alone = o->record.fencing_token == 0 ||
+                           previous_owner_ == state_.settings.node ||
+                           state_.settings.servers_check_fences;
+        orders_allowed_at_ =
+            state_.clock.now() + (alone ? 0 : state_.settings.order_lease_ms);
+        rollout_.reset();
+        state_.samplers.clear_all_loading();
+        load_open_jobs();
+        return;
+    }
+    apply_effects(work_.remove_all_jobs());
+    pending_rewards_.clear();
+    progress_keys_.clear();
+    loading_jobs_.clear();
+    for (auto& j : active_rewards_) {
+        j.second->cancel();
+    }
+    active_rewards_.clear();
+}
+
+/// Tells what an ended job waited for: its slowest items, one line each.
+void job_owner::log_slow_items(const batch::job_id& id,
+                               const batch::job_row& row) {
+    const auto lives = work_.item_timelines(id);
+    const auto age = state_.clock.now() - row.first_seen_at;
+    state_.counters.observe("job", age);
+    std::size_t told = 0;
+    for (const auto& l : lives) {
+        if (++told > max_slow_items_logged) {
+            return;
+        }
+        state_.log.write("slow_item",
+                         {{"job", id},
+                          {"step", row.header->step},
+                          {"job_ms", age},
+                          {"item", l.item_index},
+                          {"first_start_ms", l.first_start_ms},
+                          {"text_ms", l.text_complete_ms},
+                          {"ready_ms", l.ready_ms},
+                          {"runs", l.run_count},
+                          {"events", l.event_count},
+                          {"expected_tokens", l.expected_output_tokens}});
+    }
+}
+
+std::optional<batch::job_options>
+job_owner::find_job_terms(const batch::job_header& header) {
+    if (!state_.configuration) {
+        return std::nullopt;
+    }
+    const auto* r =
+        gateway::find_route(*state_.configuration, header.host, header.path);
+    if (r == nullptr) {
+        return std::nullopt;
+    }
+    batch::job_options t;
+    t.service =
+        samplers::service_name(choose_service(*r, state_.random_fraction()));
+    t.max_attempts = r->max_attempts;
+    t.single_version = r->single_version;
+    t.target_ms = r->batch_target_ms;
+    t.item_expiry_ms = r->batch_item_expiry_ms;
+    return t;
+}
+
+/// Takes up all open jobs that are not in work yet.
+void job_owner::load_open_jobs() {
+    for (const auto& [id, row] : state_.jobs.jobs()) {
+        if (row.has_ended || !row.header || work_.has_job(id) ||
+            loading_jobs_.count(id) != 0 || !find_job_terms(*row.header)) {
+            continue;
+        }
+        loading_jobs_.insert(id);
+        load_job(id);
+    }
+}
+
+/// Open jobs go where their routes go now: the service that was chosen when
+/// they were taken up may lose its servers.
+void job_owner::update_services() {
+    const auto now = state_.clock.now();
+    if (!state_.configuration ||
+        now - last_service_update_at_ < service_update_interval_ms) {
+        return;
+    }
+    last_service_update_at_ = now;
+    for (const auto& [id, row] : state_.jobs.jobs()) {
+        if (!row.has_ended && row.header && work_.has_job(id)) {
+            update_service(id, *row.header);
+        }
+    }
+}
+
+void job_owner::update_service(const batch::job_id& id,
+                               const batch::job_header& header) {
+    const auto* r =
+        gateway::find_route(*state_.configuration, header.host, header.path);
+    const auto before = work_.job_service(id);
+    const bool stays =
+        r == nullptr || (gateway::has_service(*r, before.str()) &&
+                         state_.samplers.has_model(before, header.model));
+    if (stays) {
+        return;
+    }
+    const samplers::service_name to(
+        choose_service(*r, state_.random_fraction()));
+    if (to == before || !state_.samplers.has_model(to, header.model)) {
+        return;
+    }
+    work_.set_job_service(id, to);
+    state_.log.write("job_moved",
+                     {{"job", id}, {"before", before}, {"service", to}});
+}
+
+/// Reads a job's items and what was saved of them.
+void job_owner::load_job(const batch::job_id& id) {
+    struct parts {
+        std::optional<std::vector<batch::item>> items;
+        std::optional<job_store::progress_by_item> progress;
+        int missing = 2;
+    };
+    auto got = std::make_shared<parts>();
+    const auto one_done = [this, id, got] {
+        if (--got->missing > 0) {
+            return;
+        }
+        if (!got->items || !got->progress) {
+            run_after_(load_retry_delay_ms,
+                       [this, id] { loading_jobs_.erase(id); });
+            return;
+        }
+        loading_jobs_.erase(id);
+        adopt_job(id, std::move(*got->items), *got->progress);
+    };
+    job_store_.load_items(id, [got, one_done](auto items) {
+        got->items = std::move(items);
+        one_done();
+    });
+    job_store_.load_progress(id, [got, one_done](auto progress) {
+        got->progress = std::move(progress);
+        one_done();
+    });
+}
+
+void job_owner::adopt_job(const batch::job_id& id,
+                          std::vector<batch::item> items,
+                          const job_store::progress_by_item& progress) {
+    const auto* row = state_.jobs.find(id);
+    if (!is_owner() || row == nullptr || row->has_ended || work_.has_job(id)) {
+        return;
+    }
+    const auto terms = find_job_terms(*row->header);
+    if (!terms || static_cast<int>(items.size()) != row->header->item_count) {
+        state_.log.write("job_waits",
+                         {{"job", id},
+                          {"items", static_cast<int>(items.size())},
+                          {"reason", terms ? "items_missing" : "no_route"}});
+        return;
+    }
+    const auto before = work_.counts();
+    const auto fence = state_.jobs.owner()->record.fencing_token;
+    apply_effects(
+        work_.add_job(*row, std::move(items), progress, *terms,
+                      static_cast<std::int64_t>(fence) * epochs_per_owner));
+    const auto& counts = work_.counts();
+    state_.log.write(
+        "job_taken_up",
+        {{"job", id},
+         {"step", row->header->step},
+         {"items", row->header->item_count},
+         {"listed", static_cast<int>(row->committed_items.size())},
+         {"saved", static_cast<int>(progress.size())},
+         {"least_version", row->header->min_version},
+         {"carried", counts.resubmitted_items - before.resubmitted_items},
+         {"reused", counts.reused_texts - before.reused_texts},
+         {"void_events", counts.discarded_events - before.discarded_events},
+         {"age_ms", state_.clock.now() - row->first_seen_at}});
+    apply_effects(work_.tick(may_start_items()));
+}
+
+void job_owner::on_version_published(const std::string& model,
+                                     std::int64_t version) {
+    rollout_.announce_version(model, version);
+    work_.announce_version(model, version);
+    state_.log.write("version_named", {{"model", model}, {"version", version}});
+}
+
+void job_owner::tick() {
+    advance_handover();
+    if (journal_.is_loaded() && !handover_.has_begun()) {
+        switch (ownership_.next_action(state_.jobs, journal_.current_as_of())) {
+        case batch::lease_action::none:
+            break;
+        case batch::lease_action::claim:
+            claim_ownership();
+            break;
+        case batch::lease_action::renew:
+            renew_due_ = true;
+            break;
+        }
+    }
+    if (const auto& o = state_.jobs.owner()) {
+        previous_owner_ = is_owner() ? previous_owner_ : o->record.node;
+    }
+    if (is_owner()) {
+        load_open_jobs();
+        update_services();
+        apply_effects(work_.tick(may_start_items()));
+        order_weight_loads();
+        renew_if_overdue();
+        commit_results();
+        save_progress_if_due();
+        erase_next_expired_job();
+        report_waiting_work();
+    }
+    run_after_(tick_interval_ms, [this] { tick(); });
+}
+
+void job_owner::start_handover(std::function<void()> done) {
+    handover_.begin();
+    on_handed_over_ = std::move(done);
+    if (is_owner()) {
+        save_progress(1, [this] {
+            handover_.on_texts_saved();
+            advance_handover();
+        });
+    }
+    advance_handover();
+}
+
+/// Says in the journal that the ownership is vacant, so that the next owner
+/// need not wait for this one's silence.
+void job_owner::advance_handover() {
+    switch (handover_.next_action(is_owner(), appending_)) {
+    case batch::handover_action::wait:
+        break;
+    case batch::handover_action::release:
+        append_to_journal({make_owner_record(
+                              state_.jobs.owner()->record.fencing_token, true)},
+                          [this](bool done) {
+                              if (!done) {
+                                  handover_.on_record_rejected();
+                              }
+                              advance_handover();
+                          });
+        break;
+    case batch::handover_action::end:
+        finish_handover();
+        break;
+    }
+}
+
+void job_owner::finish_handover() {
+    // Whatever the journal says, this process no longer acts as the owner.
+    if (std::exchange(was_owner_, false)) {
+        on_ownership_changed(false);
+    }
+    log_handover();
+    std::exchange(on_handed_over_, nullptr)();
+}
+
+} // namespace hibiscus::entry
--- /dev/null
+++ b/packages/entry/src/job_owner.hpp
@@ -0,0 +1,188 @@
+#pragma once
+
+#include "forwarder.hpp"
+#include "job_store.hpp"
+#include "node_state.hpp"
+
+#include "hibiscus/batch/commit_plan.hpp"
+#include "hibiscus/batch/handover.hpp"
+#include "hibiscus/batch/item_scheduler.hpp"
+#include "hibiscus/batch/owner_lease.hpp"
+#include "hibiscus/samplers/weight_rollout.hpp"
+#include "hibiscus/store/partition_watcher.hpp"
+#include "hibiscus/store/store_router.hpp"
+#include "hibiscus/transport/event_stream.hpp"
+#include "platform/sampler_calls.hpp"
+
+#include <deque>
+#include <functional>
+#include <map>
+#include <memory>
+#include <set>
+
+namespace hibiscus::entry {
+
+/// Runs the jobs while this node owns them, and orders loads of weights. The
+/// owner is named by a record in the journal, which it renews. All that
+/// matters is appended on the condition that the journal ends where this node
+/// has read to, so that of two owners at a time one always loses.
+class job_owner {
+public:
+    job_owner(node_state& state, const store::log_store& store,
+              const store::store_router& link,
+              store::partition_watcher& journal, const job_store& files,
+              transport::upstream_client& client, forwarder& requests,
+              store::run_after_function after);
+
+    /// Starts to take part.
+    void start();
+
+    /// The store was lost or is heard again.
+    void set_store_reachable(bool up);
+
+    /// The ledger has changed in these jobs, or in its owner.
+    void on_jobs_changed(const std::set<batch::job_id>& jobs);
+
+    /// A trainer named a version.
+    void on_version_published(const std::string& model, std::int64_t version);
+
+    /// Saves what is under way, stops it and lets the others take over, then
+    /// calls `done`, within a bounded time.
+    void start_handover(std::function<void()> done);
+
+    bool is_owner() const;
+
+private:
+    struct active_run {
+        std::shared_ptr<transport::upstream_call> call;
+        transport::event_stream_parser parser;
+        int status = 0;
+        bool not_executed = false;
+        bool wrong_server = false;
+        samplers::sampler_id server;
+        batch::job_id job;
+        int item_number = 0;
+        int event_count = 0;
+        base::millis started_at = 0;
+    };
+
+    /// A server's answer; status 0 stands for none.
+    struct server_response {
+        int status = 0;
+        std::string body;
+        transport::call_outcome outcome = transport::call_outcome::not_sent;
+    };
+
+    struct reward_task {
+        batch::job_id job;
+        int item_number = 0;
+        batch::reward_call call;
+    };
+
+    void claim_ownership();
+    store::record make_owner_record(store::log_offset fence, bool left);
+    void append_to_journal(const std::vector<store::record>& records,
+                           std::function<void(bool)> done);
+    void log_append_failure(const store::append_result& result,
+                            std::size_t records, base::millis ms);
+    void on_ownership_changed(bool mine);
+    void log_slow_items(const batch::job_id& id, const batch::job_row& row);
+    void load_job(const batch::job_id& id);
+    void adopt_job(const batch::job_id& id, std::vector<batch::item> items,
+                   const job_store::progress_by_item& progress);
+    void tick();
+    void load_open_jobs();
+    void update_services();
+    void update_service(const batch::job_id& id,
+                        const batch::job_header& header);
+    void apply_effects(const batch::effects& effects);
+    void start_run(const batch::start_run& r);
+    void on_run_ended(batch::run_number run, transport::call_outcome end);
+    void schedule_placement();
+    batch::run_outcome classify_run_end(const active_run& live,
+                                        transport::call_outcome end) const;
+    void start_rewards();
+    void send_reward(const reward_task& task);
+    std::size_t
+    max_concurrent_rewards(const samplers::service_name& service) const;
+    void renew_if_overdue();
+    void commit_results();
+    std::vector<batch::planned_commit> plan_ready_listings();
+    void on_texts_stored(std::vector<batch::planned_commit> lists,
+                         const std::set<batch::job_id>& unstored);
+    void append_listings(const std::vector<batch::planned_commit>& lists);
+    void save_progress_if_due();
+    void save_progress(int least, std::function<void()> done);
+    void report_waiting_work();
+    void log_waiting_items(const batch::waiting_group& waits);
+    void log_unadopted_jobs();
+    void log_handover();
+    void advance_handover();
+    void finish_handover();
+    void erase_next_expired_job();
+    void on_job_erased(const batch::job_id& id, bool done);
+    void erase_progress(const batch::job_id& id);
+    void order_weight_loads();
+    void request_report(
+        const samplers::sampler_id& id,
+        std::function<void(const std::optional<adapter::server_report>&)> done);
+    void on_load_done(const samplers::sampler_id& id,
+                      const adapter::server_report& report);
+    void on_order_report(const samplers::load_order& order,
+                         const std::optional<adapter::server_report>& report);
+    void send_load_order(const samplers::load_order& order,
+                         std::int64_t after_orders);
+    void call_server(const samplers::sampler_id& id,
+                     transport::upstream_request request,
+                     std::function<void(const server_response&)> done);
+    bool is_store_current() const;
+    bool may_start_items() const;
+    std::optional<batch::job_options>
+    find_job_terms(const batch::job_header& header);
+
+    node_state& state_;
+    const store::log_store& log_store_;
+    const store::store_router& link_;
+    store::partition_watcher& journal_;
+    const job_store& job_store_;
+    transport::upstream_client& client_;
+    forwarder& forwarder_;
+    store::run_after_function run_after_;
+    batch::item_scheduler work_;
+    samplers::weight_rollout rollout_;
+    std::string incarnation_;
+    batch::owner_lease ownership_;
+    std::set<batch::job_id> loading_jobs_;
+    std::map<batch::run_number, active_run> active_runs_;
+    std::deque<reward_task> pending_rewards_;
+    std::map<std::uint64_t, std::shared_ptr<active_forward>> active_rewards_;
+    std::uint64_t last_reward_number_ = 0;
+    std::int64_t renewals_ = 0;
+    std::uint64_t text_key_counter_ = 0;
+    base::node_id previous_owner_;
+    /// The keys of the texts under way that this owner saved, by open job.
+    std::map<batch::job_id, std::vector<std::string>> progress_keys_;
+    bool erasing_job_ = false;
+    base::millis next_erase_at_ = 0;
+    /// Saves of texts under way that the store has not answered.
+    int saves_in_flight_ = 0;
+    bool appending_ = false;
+    bool committing_ = false;
+    /// Jobs whose texts the store did not take, and until when they are left
+    /// out.
+    std::map<batch::job_id, base::millis> commit_retry_at_;
+    /// Set while what waits is about to be placed.
+    bool placement_scheduled_ = false;
+    bool renew_due_ = false;
+    base::millis last_overdue_renewal_at_ = 0;
+    bool was_owner_ = false;
+    batch::handover handover_;
+    std::function<void()> on_handed_over_;
+    base::millis orders_allowed_at_ = 0;
+    base::millis last_commit_at_ = 0;
+    base::millis last_progress_save_at_ = 0;
+    base::millis last_wait_report_at_ = 0;
+    base::millis last_service_update_at_ = 0;
+};
+
+} // namespace hibiscus::entry
--- a/packages/entry/src/owner_limits.hpp
+++ b/packages/entry/src/job_owner_limits.hpp
@@ -7,6 +7,6 @@
 
 /// How long a connection to a server may take to open, in ms: in
 /// one region it opens within a few ms.
-constexpr base::millis connect_ms = 250;
+constexpr base::millis server_connect_timeout_ms = 250;
 
 } // namespace hibiscus::entry
--- /dev/null
+++ b/packages/entry/src/job_owner_orders.cpp
@@ -0,0 +1,148 @@
+#include "job_owner.hpp"
+#include "job_owner_limits.hpp"
+#include "platform/sampler_calls.hpp"
+
+/// The orders of an owner to load weights.
+namespace hibiscus::entry {
+
+namespace {
+
+/// How long an order may take to be answered, in ms.
+constexpr base::millis order_timeout_ms = 800;
+
+} // namespace
+
+void job_owner::order_weight_loads() {
+    if (!is_store_current() || handover_.has_begun() ||
+        state_.clock.now() < orders_allowed_at_) {
+        return;
+    }
+    for (const auto& id : rollout_.take_due_checks()) {
+        request_report(id, [this, id](const auto& report) {
+            if (report && !report->busy) {
+                on_load_done(id, *report);
+            }
+        });
+    }
+    for (const auto& [model, places] : work_.update_wanted_slots()) {
+        rollout_.set_wanted_slots(model, places);
+    }
+    for (const auto& order : rollout_.take_due_orders(state_.samplers)) {
+        request_report(order.sampler, [this, order](const auto& report) {
+            on_order_report(order, report);
+        });
+    }
+}
+
+void job_owner::request_report(
+    const samplers::sampler_id& id,
+    std::function<void(const std::optional<adapter::server_report>&)> done) {
+    call_server(id, adapter::make_report_request(),
+                [done = std::move(done)](const server_response& reply) {
+                    done(reply.status == 200 ? adapter::parse_report(reply.body)
+                                             : std::nullopt);
+                });
+}
+
+void job_owner::on_load_done(const samplers::sampler_id& id,
+                             const adapter::server_report& report) {
+    rollout_.on_load_done(id, report.versions);
+    state_.samplers.clear_loading_of(id);
+    for (const auto& [model, version] : report.versions) {
+        state_.samplers.set_observed_version(id, model, version);
+    }
+}
+
+/// Orders on the condition that the server has accepted as many orders as it
+/// reports.
+void job_owner::on_order_report(
+    const samplers::load_order& order,
+    const std::optional<adapter::server_report>& report) {
+    if (!report || !is_owner() || !is_store_current() ||
+        handover_.has_begun()) {
+        rollout_.on_order_rejected(order);
+        state_.log.write("order_waits",
+                         {{"server", order.sampler},
+                          {"version", order.version},
+                          {"reason", report ? "not_holder" : "no_report"}});
+        return;
+    }
+    if (report->busy) {
+        rollout_.on_server_busy(order.sampler);
+        state_.samplers.set_loading(order.sampler, order.model,
+                                    rollout_.load_timeout_ms());
+        state_.log.write("order_waits", {{"server", order.sampler},
+                                         {"version", order.version},
+                                         {"reason", "busy"}});
+        return;
+    }
+    const auto has = report->versions.find(order.model);
+    if (has != report->versions.end() && has->second >= order.version) {
+        rollout_.on_load_not_needed(order.sampler);
+        on_load_done(order.sampler, *report);
+        return;
+    }
+    send_load_order(order, report->accepted_orders);
+}
+
+void job_owner::send_load_order(const samplers::load_order& order,
+                                std::int64_t after_orders) {
+    const auto fence = state_.jobs.owner()->record.fencing_token + 1;
+    call_server(
+        order.sampler,
+        adapter::make_order_request(order, state_.settings.node.str(), fence,
+                                    after_orders),
+        [this, order, after_orders, fence](const server_response& reply) {
+            const auto a = adapter::parse_order_result(reply.status);
+            if (a == adapter::order_result::accepted) {
+                rollout_.on_order_accepted(order);
+                state_.samplers.set_loading(order.sampler, order.model,
+                                            rollout_.load_timeout_ms());
+            } else if (a == adapter::order_result::already_held) {
+                rollout_.on_load_not_needed(order.sampler);
+                state_.samplers.set_observed_version(order.sampler, order.model,
+                                                     order.version);
+            } else {
+                rollout_.on_order_rejected(order);
+            }
+            state_.log.write("order", {{"server", order.sampler},
+                                       {"version", order.version},
+                                       {"after_orders", after_orders},
+                                       {"fence", fence},
+                                       {"status", reply.status},
+                                       {"how", base::name_of(reply.outcome)},
+                                       {"outcome", base::name_of(a)}});
+        });
+}
+
+void job_owner::call_server(const samplers::sampler_id& id,
+                            transport::upstream_request request,
+                            std::function<void(const server_response&)> done) {
+    auto reply = std::make_shared<server_response>();
+    const auto* row = state_.samplers.find(id);
+    if (row == nullptr) {
+        done(*reply);
+        return;
+    }
+    transport::upstream_call_options options;
+    options.connect_timeout_ms = server_connect_timeout_ms;
+    options.total_timeout_ms = order_timeout_ms;
+    transport::upstream_callbacks events;
+    events.on_head = [reply](const transport::response_head& h) {
+        reply->status = h.status;
+    };
+    events.on_data = [reply](std::string_view piece) { reply->body += piece; };
+    events.on_end = [reply,
+                     done = std::move(done)](transport::call_outcome end) {
+        reply->outcome = end;
+        if (end != transport::call_outcome::complete &&
+            end != transport::call_outcome::closed_without_length) {
+            reply->status = 0;
+        }
+        done(*reply);
+    };
+    client_.start(row->registered.address, std::move(request), options,
+                  std::move(events));
+}
+
+} // namespace hibiscus::entry
--- a/packages/entry/src/owner_retention.cpp
+++ b/packages/entry/src/job_owner_retention.cpp
@@ -1,6 +1,6 @@
 #include "hibiscus/base/result.hpp"
 #include "hibiscus/batch/retention.hpp"
-#include "owner.hpp"
+#include "job_owner.hpp"
 
 /// What an owner erases from the store.
 namespace hibiscus::entry {
@@ -10,42 +10,45 @@
 /// The pause between two jobs that are erased, in ms: one job's texts are read
 /// to find their keys, which takes a node with half a core some ten ms a
 /// megabyte (an estimate). Four trainers end one job a second.
-constexpr base::millis erase_pause_ms = 500;
+constexpr base::millis erase_interval_ms = 500;
 
 /// The pause after an erasure that the store did not take, in ms.
-constexpr base::millis erase_retry_ms = 5000;
+constexpr base::millis erase_retry_delay_ms = 5000;
 
 } // namespace
 
 /// Erases one job whose time is over: first its files, then, on the condition
 /// that this node is still the owner, what the journal has of it.
-void owner::expire() {
+void job_owner::erase_next_expired_job() {
     const auto now = state_.clock.now();
-    if (expiring_ || appending_ || hand_over_.begun() || now < next_expiry_) {
+    if (erasing_job_ || appending_ || handover_.has_begun() ||
+        now < next_erase_at_) {
         return;
     }
-    const auto id = batch::expired_job(
-        state_.jobs, now, state_.config.status_ms + state_.config.margin_ms);
+    const auto id =
+        batch::find_expired_job(state_.jobs, now,
+                                state_.settings.result_retention_ms +
+                                    state_.settings.retention_margin_ms);
     if (!id) {
-        next_expiry_ = now + erase_pause_ms;
+        next_erase_at_ = now + erase_interval_ms;
         return;
     }
-    expiring_ = true;
-    files_.erase(*id, [this, id = *id](bool files_gone) {
+    erasing_job_ = true;
+    job_store_.erase(*id, [this, id = *id](bool files_gone) {
         const auto* row = state_.jobs.find(id);
-        if (!files_gone || row == nullptr || !owns() || appending_) {
-            expired(id, false);
+        if (!files_gone || row == nullptr || !is_owner() || appending_) {
+            on_job_erased(id, false);
             return;
         }
-        append(batch::journal_erasures(id, *row),
-               [this, id](bool done) { expired(id, done); });
+        append_to_journal(batch::make_journal_erasures(id, *row),
+                          [this, id](bool done) { on_job_erased(id, done); });
     });
 }
 
-void owner::expired(const batch::job_id& id, bool done) {
-    expiring_ = false;
-    next_expiry_ =
-        state_.clock.now() + (done ? erase_pause_ms : erase_retry_ms);
+void job_owner::on_job_erased(const batch::job_id& id, bool done) {
+    erasing_job_ = false;
+    next_erase_at_ =
+        state_.clock.now() + (done ? erase_interval_ms : erase_retry_delay_ms);
     state_.log.write(
         "job_erased",
         {{"job", id},
@@ -55,7 +58,7 @@
 
 /// Erases the texts under way that this owner saved of a job that has ended:
 /// nobody goes on with them, and they are as large as its results.
-void owner::erase_progress(const batch::job_id& id) {
+void job_owner::erase_progress(const batch::job_id& id) {
     const auto saved = progress_keys_.find(id);
     if (saved == progress_keys_.end()) {
         return;
@@ -65,7 +68,7 @@
         erasures.push_back({key, ""});
     }
     progress_keys_.erase(saved);
-    files_.append_progress(
+    job_store_.append_progress(
         id, erasures, [this, id](const store::append_result& r) {
             if (base::value_if(r) == nullptr) {
                 // They go with the rest of the job, later.
--- /dev/null
+++ b/packages/entry/src/job_owner_runs.cpp
@@ -0,0 +1,264 @@
+#include "hibiscus/base/result.hpp"
+#include "job_owner.hpp"
+#include "job_owner_limits.hpp"
+#include "platform/sampler_calls.hpp"
+
+#include <algorithm>
+
+/// The runs and reward calls of an owner.
+namespace hibiscus::entry {
+
+namespace {
+
+/// The share of the places of a service that reward calls may take; callers'
+/// own requests to it come first.
+constexpr double reward_slot_share = 0.6;
+
+constexpr std::size_t min_concurrent_rewards = 2;
+
+/// How long a reward call may take, in ms: its servers work 80 ms on it, 600
+/// at most.
+constexpr base::millis reward_timeout_ms = 2000;
+
+/// How long after the end of a run its place is given to another one, in ms.
+constexpr base::millis placement_delay_ms = 5;
+
+} // namespace
+
+void job_owner::apply_effects(const batch::effects& effects) {
+    for (const auto& e : effects) {
+        std::visit(
+            base::overloaded{
+                [&](const batch::start_run& r) { start_run(r); },
+                [&](const batch::stop_run& s) {
+                    const auto live = active_runs_.find(s.run);
+                    if (live == active_runs_.end()) {
+                        return;
+                    }
+                    state_.log.write(
+                        "run_stopped",
+                        {{"job", live->second.job},
+                         {"item", live->second.item_number},
+                         {"server", live->second.server},
+                         {"events", live->second.event_count},
+                         {"status", live->second.status},
+                         {"ms", state_.clock.now() - live->second.started_at},
+                         {"connections",
+                          live->second.call->opened_connection() ? 1 : 0},
+                         {"reason", s.reason}});
+                    live->second.call->cancel();
+                    active_runs_.erase(live);
+                },
+                [&](const batch::start_reward& r) {
+                    pending_rewards_.push_back({r.job, r.item_index, *r.call});
+                }},
+            e);
+    }
+    start_rewards();
+}
+
+void job_owner::start_run(const batch::start_run& r) {
+    const auto* row = state_.samplers.find(r.sampler);
+    auto& live = active_runs_[r.run];
+    live.server = r.sampler;
+    live.job = r.job;
+    live.item_number = r.item_index;
+    live.started_at = state_.clock.now();
+    transport::upstream_call_options options;
+    options.connect_timeout_ms = server_connect_timeout_ms;
+    transport::upstream_callbacks events;
+    const auto run_id = r.run;
+    events.on_head = [this, run_id](const transport::response_head& h) {
+        const auto at = active_runs_.find(run_id);
+        if (at == active_runs_.end()) {
+            return;
+        }
+        const auto a = adapter::parse_response_head(h);
+        at->second.status = a.status;
+        at->second.not_executed = a.not_run;
+        at->second.wrong_server = a.misdirected;
+        if (a.status == 200 && a.first_weight_version) {
+            apply_effects(
+                work_.on_response_started(run_id, *a.first_weight_version));
+        }
+    };
+    events.on_data = [this, run_id](std::string_view piece) {
+        const auto at = active_runs_.find(run_id);
+        if (at == active_runs_.end() || at->second.status != 200) {
+            return;
+        }
+        for (auto& e : at->second.parser.feed(piece)) {
+            ++at->second.event_count;
+            apply_effects(work_.on_event(run_id, e.id, e.data,
+                                         adapter::event_weight_version(e)));
+            if (active_runs_.count(run_id) == 0) {
+                return;
+            }
+        }
+    };
+    events.on_end = [this, run_id](transport::call_outcome end) {
+        on_run_ended(run_id, end);
+    };
+    state_.log.write("run_started",
+                     {{"job", r.job},
+                      {"item", r.item_index},
+                      {"id", r.content->id},
+                      {"server", r.sampler},
+                      {"running_there", row->in_flight},
+                      {"version", row->version_of(r.model)},
+                      {"after_event", r.resume_after_event},
+                      {"expected_tokens", r.content->expected_output_tokens}});
+    live.call =
+        client_.start(row->registered.address, adapter::make_run_request(r),
+                      options, std::move(events), adapter::request_id_header);
+}
+
+batch::run_outcome
+job_owner::classify_run_end(const active_run& live,
+                            transport::call_outcome end) const {
+    // A body without a length that ends with its connection may have been cut
+    // between two events; going on behind the last one shows whether it was.
+    if (end != transport::call_outcome::complete) {
+        return batch::run_outcome::cut;
+    }
+    if (live.status == 200) {
+        return batch::run_outcome::complete;
+    }
+    if (live.wrong_server) {
+        return batch::run_outcome::other_server;
+    }
+    if (live.not_executed) {
+        return batch::run_outcome::not_run;
+    }
+    if (live.status == 422) {
+        return batch::run_outcome::impossible;
+    }
+    if (live.status == 500) {
+        return batch::run_outcome::failed;
+    }
+    return batch::run_outcome::cut;
+}
+
+void job_owner::on_run_ended(batch::run_number run_id,
+                             transport::call_outcome end) {
+    const auto at = active_runs_.find(run_id);
+    if (at == active_runs_.end()) {
+        return;
+    }
+    const auto what = classify_run_end(at->second, end);
+    const auto& live = at->second;
+    state_.log.write("run_ended",
+                     {{"job", live.job},
+                      {"item", live.item_number},
+                      {"server", live.server},
+                      {"events", live.event_count},
+                      {"status", live.status},
+                      {"ms", state_.clock.now() - live.started_at},
+                      {"connections", live.call->opened_connection() ? 1 : 0},
+                      {"how", base::name_of(end)},
+                      {"outcome", base::name_of(what)}});
+    state_.counters.observe("run", state_.clock.now() - live.started_at);
+    state_.counters.count_response("run", std::string(base::name_of(what)), "");
+    active_runs_.erase(at);
+    apply_effects(work_.on_run_ended(run_id, what));
+    schedule_placement();
+    commit_results();
+}
+
+/// Places what waits after a run has ended. Not at once: in a large fleet
+/// hundreds of runs end in a second, and to look at all that waits and all
+/// servers after each of them would leave no time for their events.
+void job_owner::schedule_placement() {
+    if (std::exchange(placement_scheduled_, true)) {
+        return;
+    }
+    run_after_(placement_delay_ms, [this] {
+        placement_scheduled_ = false;
+        if (is_owner()) {
+            apply_effects(work_.place_waiting(may_start_items()));
+        }
+    });
+}
+
+std::size_t
+job_owner::max_concurrent_rewards(const samplers::service_name& service) const {
+    int slots = 0;
+    for (const auto& [id, row] : state_.samplers.rows()) {
+        if (row.registered.service == service && !row.registered.draining) {
+            slots += row.registered.slots;
+        }
+    }
+    return std::max(min_concurrent_rewards,
+                    static_cast<std::size_t>(slots * reward_slot_share));
+}
+
+void job_owner::start_rewards() {
+    while (!pending_rewards_.empty()) {
+        const auto& first = pending_rewards_.front();
+        const auto* r =
+            state_.configuration
+                ? gateway::find_route(*state_.configuration, first.call.host,
+                                      first.call.path)
+                : nullptr;
+        if (r != nullptr && active_rewards_.size() >=
+                                max_concurrent_rewards(samplers::service_name(
+                                    r->services.front().service))) {
+            return;
+        }
+        const auto task = std::move(pending_rewards_.front());
+        pending_rewards_.pop_front();
+        send_reward(task);
+    }
+}
+
+void job_owner::send_reward(const reward_task& task) {
+    const auto* r = gateway::find_route(*state_.configuration, task.call.host,
+                                        task.call.path);
+    if (r == nullptr) {
+        state_.log.write("reward_failed", {{"job", task.job},
+                                           {"item", task.item_number},
+                                           {"reason", "no route"}});
+        apply_effects(work_.on_reward_ended(task.job, task.item_number,
+                                            batch::reward_failure{}));
+        return;
+    }
+    forward_request f;
+    f.id = task.call.id;
+    f.kind = "reward";
+    f.http_request = adapter::make_reward_request(task.call);
+    f.service =
+        samplers::service_name(choose_service(*r, state_.random_fraction()));
+    f.max_attempts = r->max_attempts;
+    f.retryable = true;
+    f.retry_server_errors = true;
+    f.deadline = state_.clock.now() + reward_timeout_ms;
+    f.latency_target_ms = r->latency_target_ms;
+    const auto number = ++last_reward_number_;
+    const int attempts = r->max_attempts;
+    auto judged = [this, number, attempts, task](const forward_result& result) {
+        active_rewards_.erase(number);
+        const auto outcome = std::visit(
+            base::overloaded{
+                [&](const forwarded_response& f) -> batch::reward_outcome {
+                    if (f.head.status / 100 == 2) {
+                        return batch::reward_score{f.signature};
+                    }
+                    return batch::reward_failure{f.failed_attempts, attempts};
+                },
+                [&](const forward_failure& n) -> batch::reward_outcome {
+                    return batch::reward_failure{n.failed_attempts, attempts};
+                }},
+            result);
+        apply_effects(
+            work_.on_reward_ended(task.job, task.item_number, outcome));
+        commit_results();
+    };
+    active_rewards_[number] = nullptr;
+    auto going = forwarder_.send(std::move(f), std::move(judged));
+    const auto at = active_rewards_.find(number);
+    if (at != active_rewards_.end()) {
+        at->second = std::move(going);
+    }
+}
+
+} // namespace hibiscus::entry
--- a/packages/entry/src/job_files.cpp
+++ b/packages/entry/src/job_store.cpp
@@ -1,8 +1,8 @@
-#include "job_files.hpp"
+#include "job_store.hpp"
 
 #include "hibiscus/base/hash.hpp"
 #include "hibiscus/base/result.hpp"
-#include "hibiscus/store/prefix_reader.hpp"
+#include "hibiscus/store/prefix_operations.hpp"
 #include "platform/store_client.hpp"
 
 #include <memory>
@@ -13,37 +13,37 @@
 namespace {
 
 /// More than any job holds: a call without a bound.
-constexpr std::size_t no_bound = std::size_t{1} << 40U;
+constexpr std::size_t unlimited_bytes = std::size_t{1} << 40U;
 
 /// Appends to one partition that follow on each other.
-struct append_series : std::enable_shared_from_this<append_series> {
+struct append_sequence : std::enable_shared_from_this<append_sequence> {
     const store::log_store& store;
-    store::partition to;
+    store::partition target;
     std::vector<std::vector<store::record>> appends;
-    job_files::append_done done;
-    std::size_t at = 0;
+    job_store::append_callback done;
+    std::size_t next_index = 0;
 
-    append_series(const store::log_store& s, store::partition p,
-                  std::vector<std::vector<store::record>> a,
-                  job_files::append_done d)
-        : store(s), to(std::move(p)), appends(std::move(a)),
+    append_sequence(const store::log_store& s, store::partition p,
+                    std::vector<std::vector<store::record>> a,
+                    job_store::append_callback d)
+        : store(s), target(std::move(p)), appends(std::move(a)),
           done(std::move(d)) {}
 
-    void next() {
+    void append_next() {
         if (appends.empty()) {
             done(store::appended{});
             return;
         }
-        store.append(to, appends[at], nullptr,
+        store.append(target, appends[next_index], nullptr,
                      [self = shared_from_this()](const auto& result) {
-                         self->appended(result);
+                         self->on_appended(result);
                      });
     }
 
-    void appended(const store::append_result& result) {
+    void on_appended(const store::append_result& result) {
         const bool stored = base::value_if(result) != nullptr;
-        if (stored && ++at < appends.size()) {
-            next();
+        if (stored && ++next_index < appends.size()) {
+            append_next();
             return;
         }
         done(result);
@@ -52,41 +52,41 @@
 
 } // namespace
 
-store::partition job_files::part_of(const char* topic,
-                                    const batch::job_id& job) const {
+store::partition job_store::partition_for(const char* topic,
+                                          const batch::job_id& job) const {
     const auto hash = base::stable_hash(job.str());
     return {topic,
             static_cast<int>(hash % static_cast<std::uint64_t>(partitions_))};
 }
 
-void job_files::append(const char* topic, const batch::job_id& job,
+void job_store::append(const char* topic, const batch::job_id& job,
                        const std::vector<store::record>& records,
-                       append_done done) const {
-    auto series = std::make_shared<append_series>(
-        store_, part_of(topic, job), store::to_appends(records, limits_),
-        std::move(done));
-    series->next();
+                       append_callback done) const {
+    auto series = std::make_shared<append_sequence>(
+        log_store_, partition_for(topic, job),
+        store::split_into_appends(records, limits_), std::move(done));
+    series->append_next();
 }
 
-void job_files::append_items(const batch::job_id& job,
+void job_store::append_items(const batch::job_id& job,
                              const std::vector<store::record>& records,
-                             append_done done) const {
+                             append_callback done) const {
     append(adapter::items_topic, job, records, std::move(done));
 }
 
-void job_files::append_texts(const batch::job_id& job,
+void job_store::append_texts(const batch::job_id& job,
                              const std::vector<store::record>& records,
-                             append_done done) const {
+                             append_callback done) const {
     append(adapter::texts_topic, job, records, std::move(done));
 }
 
-void job_files::append_progress(const batch::job_id& job,
+void job_store::append_progress(const batch::job_id& job,
                                 const std::vector<store::record>& records,
-                                append_done done) const {
+                                append_callback done) const {
     append(adapter::progress_topic, job, records, std::move(done));
 }
 
-void job_files::erase(const batch::job_id& job,
+void job_store::erase(const batch::job_id& job,
                       std::function<void(bool)> done) const {
     struct erasing {
         int topics = 3;
@@ -95,8 +95,8 @@
     auto state = std::make_shared<erasing>();
     for (const auto* topic : {adapter::items_topic, adapter::texts_topic,
                               adapter::progress_topic}) {
-        store::erase_prefix(store_, part_of(topic, job), batch::job_prefix(job),
-                            [state, done](bool gone) {
+        store::erase_prefix(log_store_, partition_for(topic, job),
+                            batch::job_prefix(job), [state, done](bool gone) {
                                 state->all = state->all && gone;
                                 if (--state->topics == 0) {
                                     done(state->all);
@@ -105,12 +105,13 @@
     }
 }
 
-void job_files::load_items(
+void job_store::load_items(
     const batch::job_id& job,
     std::function<void(std::optional<std::vector<batch::item>>)> done) const {
     const auto prefix = batch::job_prefix(job);
     store::read_prefix(
-        store_, part_of(adapter::items_topic, job), prefix, prefix, no_bound,
+        log_store_, partition_for(adapter::items_topic, job), prefix, prefix,
+        unlimited_bytes,
         [done = std::move(done)](
             const std::optional<std::vector<store::record>>& records) {
             if (!records) {
@@ -131,36 +132,38 @@
         });
 }
 
-void job_files::load_progress(
+void job_store::load_progress(
     const batch::job_id& job,
-    std::function<void(std::optional<progress_map>)> done) const {
+    std::function<void(std::optional<progress_by_item>)> done) const {
     const auto prefix = batch::job_prefix(job);
     store::read_prefix(
-        store_, part_of(adapter::progress_topic, job), prefix, prefix, no_bound,
+        log_store_, partition_for(adapter::progress_topic, job), prefix, prefix,
+        unlimited_bytes,
         [done = std::move(done)](
             const std::optional<std::vector<store::record>>& records) {
             if (!records) {
                 done(std::nullopt);
                 return;
             }
-            progress_map out;
+            progress_by_item out;
             for (const auto& r : *records) {
                 // A part that can't be read only costs its events.
                 if (auto part = batch::decode_progress(r.value)) {
-                    out[part->item].push_back(std::move(*part));
+                    out[part->item_index].push_back(std::move(*part));
                 }
             }
             done(std::move(out));
         });
 }
 
-void job_files::load_texts(
+void job_store::load_texts(
     const batch::job_id& job, int position, const std::string& texts,
     std::size_t most_bytes,
     std::function<void(std::optional<std::vector<store::record>>)> done) const {
-    store::read_prefix(
-        store_, part_of(adapter::texts_topic, job), batch::job_prefix(job),
-        batch::before_texts(job, position, texts), most_bytes, std::move(done));
+    store::read_prefix(log_store_, partition_for(adapter::texts_topic, job),
+                       batch::job_prefix(job),
+                       batch::key_before_texts(job, position, texts),
+                       most_bytes, std::move(done));
 }
 
 } // namespace hibiscus::entry
--- a/packages/entry/src/job_files.hpp
+++ b/packages/entry/src/job_store.hpp
@@ -2,7 +2,7 @@
 
 #include "hibiscus/batch/records.hpp"
 #include "hibiscus/store/log_store.hpp"
-#include "hibiscus/store/pieces.hpp"
+#include "hibiscus/store/value_chunks.hpp"
 
 #include <functional>
 #include <map>
@@ -14,26 +14,26 @@
 /// What lies in the store for each job besides the journal: its items, its
 /// texts and texts under way. A job's records lie in one partition of each
 /// topic, so that one reading finds little of other jobs.
-class job_files {
+class job_store {
 public:
-    job_files(const store::log_store& store, int partitions,
+    job_store(const store::log_store& store, int partitions,
               store::append_limits limits)
-        : store_(store), partitions_(partitions), limits_(limits) {}
+        : log_store_(store), partitions_(partitions), limits_(limits) {}
 
-    using append_done = std::function<void(const store::append_result&)>;
+    using append_callback = std::function<void(const store::append_result&)>;
 
     /// Each stores records of any size, in as many appends as it takes; the
     /// first that fails ends them and is what `done` gets.
 
     void append_items(const batch::job_id& job,
                       const std::vector<store::record>& records,
-                      append_done done) const;
+                      append_callback done) const;
     void append_texts(const batch::job_id& job,
                       const std::vector<store::record>& records,
-                      append_done done) const;
+                      append_callback done) const;
     void append_progress(const batch::job_id& job,
                          const std::vector<store::record>& records,
-                         append_done done) const;
+                         append_callback done) const;
 
     /// Erases all of a job; `done` is told whether all of it is gone.
     void erase(const batch::job_id& job, std::function<void(bool)> done) const;
@@ -42,10 +42,10 @@
     void load_items(const batch::job_id& job,
                     std::function<void(std::optional<std::vector<batch::item>>)>
                         done) const;
-    using progress_map = std::map<int, std::vector<batch::progress_part>>;
-    void
-    load_progress(const batch::job_id& job,
-                  std::function<void(std::optional<progress_map>)> done) const;
+    using progress_by_item = std::map<int, std::vector<batch::progress_part>>;
+    void load_progress(
+        const batch::job_id& job,
+        std::function<void(std::optional<progress_by_item>)> done) const;
     /// Reads the records with texts from those named `texts` at a listed
     /// position on, up to `most_bytes`.
     void
@@ -55,13 +55,14 @@
                    done) const;
 
 private:
-    store::partition part_of(const char* topic, const batch::job_id& job) const;
+    store::partition partition_for(const char* topic,
+                                   const batch::job_id& job) const;
 
     void append(const char* topic, const batch::job_id& job,
                 const std::vector<store::record>& records,
-                append_done done) const;
+                append_callback done) const;
 
-    const store::log_store& store_;
+    const store::log_store& log_store_;
     int partitions_;
     store::append_limits limits_;
 };
--- a/packages/entry/src/main.cpp
+++ b/packages/entry/src/main.cpp
@@ -22,7 +22,7 @@
 /// Runs one entry node. Exits with 0 after a graceful shutdown, 1 if an
 /// address can't be had, 2 if a setting is wrong.
 int main(int argc, char** argv) {
-    hibiscus::entry::block_reloads(true);
+    hibiscus::entry::set_reload_signal_blocked(true);
     absl::SetProgramUsageMessage(
         "runs one entry node: hibiscus_entryd --settings=FILE");
     absl::ParseCommandLine(argc, argv);
--- /dev/null
+++ b/packages/entry/src/node_directory.cpp
@@ -0,0 +1,88 @@
+#include "node_directory.hpp"
+
+#include "platform/store_client.hpp"
+
+#include <nlohmann/json.hpp>
+
+namespace hibiscus::entry {
+
+namespace {
+
+/// How often a node says that it is there, in ms.
+constexpr base::millis renew_interval_ms = 500;
+
+/// How often the entries of the others are read, in ms. Each renewal wakes
+/// whoever reads: nodes that read on at once would ask as often as the store
+/// answers, all together many thousand times a second.
+constexpr base::millis poll_interval_ms = 400;
+
+} // namespace
+
+node_directory::node_directory(node_state& state, const store::log_store& store,
+                               store::run_after_function after)
+    : state_(state), log_store_(store), run_after_(after),
+      nodes_(state.clock, state.settings.node.str(), state.settings.features),
+      follower_(store, {adapter::nodes_topic, 0}, state.clock, after,
+                {store::watcher_times().read_wait_ms,
+                 store::watcher_times().retry_delay_ms,
+                 [] { return poll_interval_ms; }},
+                {[this](const auto& changes) { apply_changes(changes); },
+                 [this](bool up) { nodes_.set_store_reachable(up); }}) {}
+
+void node_directory::start() {
+    follower_.start();
+    renew_registration();
+}
+
+void node_directory::announce_shutdown() {
+    renew_registration();
+}
+
+void node_directory::renew_registration() {
+    const nlohmann::json value{
+        {"callers", to_string(state_.settings.listen_callers)},
+        {"nodes", to_string(state_.settings.listen_metrics)},
+        {"zone", state_.settings.zone.str()},
+        {"stopping", state_.stopping},
+        {"cpu_share", state_.settings.cpu_share}};
+    std::string bytes;
+    nlohmann::json::to_cbor(value, bytes);
+    const bool last = state_.stopping;
+    log_store_.append({adapter::nodes_topic, 0},
+                      {{state_.settings.node.str(), bytes}}, nullptr,
+                      [this, last](const store::append_result&) {
+                          // A lost renewal is made good by the next one.
+                          if (!last) {
+                              run_after_(renew_interval_ms, [this] {
+                                  if (!state_.stopping) {
+                                      renew_registration();
+                                  }
+                              });
+                          }
+                      });
+}
+
+void node_directory::apply_changes(const std::vector<store::change>& changes) {
+    for (const auto& c : changes) {
+        if (!c.value) {
+            nodes_.remove(c.key);
+            continue;
+        }
+        const auto in = nlohmann::json::from_cbor(*c.value, true, false);
+        if (!in.is_object()) {
+            state_.log.write("record_skipped",
+                             {{"topic", "nodes"}, {"key", c.key}});
+            continue;
+        }
+        const auto address = base::parse_endpoint(in.value("callers", ""));
+        const auto nodes = base::parse_endpoint(in.value("nodes", ""));
+        if (address && nodes) {
+            nodes_.put(c.key,
+                       {*address, *nodes, base::zone_id(in.value("zone", "")),
+                        in.value("stopping", false),
+                        in.value("cpu_share", 1.0)});
+        }
+    }
+}
+
+} // namespace hibiscus::entry
--- a/packages/entry/src/directory.hpp
+++ b/packages/entry/src/node_directory.hpp
@@ -3,7 +3,7 @@
 #include "node_state.hpp"
 #include "node_table.hpp"
 
-#include "hibiscus/store/follower.hpp"
+#include "hibiscus/store/partition_watcher.hpp"
 
 #include <memory>
 #include <vector>
@@ -12,28 +12,28 @@
 
 /// The nodes that callers may use, as they say themselves in the store. Each
 /// renews its own record; one that does not is left out after a while.
-class directory {
+class node_directory {
 public:
-    directory(node_state& state, const store::log_store& store,
-              store::delay_function after);
+    node_directory(node_state& state, const store::log_store& store,
+                   store::run_after_function after);
 
     /// Starts to read and to renew.
     void start();
 
     /// Tells the others that this node stops.
-    void leave();
+    void announce_shutdown();
 
     const node_table& nodes() const { return nodes_; }
 
 private:
-    void renew();
-    void apply(const std::vector<store::change>& changes);
+    void renew_registration();
+    void apply_changes(const std::vector<store::change>& changes);
 
     node_state& state_;
-    const store::log_store& store_;
-    store::delay_function after_;
+    const store::log_store& log_store_;
+    store::run_after_function run_after_;
     node_table nodes_;
-    store::follower follower_;
+    store::partition_watcher follower_;
 };
 
 } // namespace hibiscus::entry
--- a/packages/entry/src/node_state.hpp
+++ b/packages/entry/src/node_state.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "hibiscus/batch/ledger.hpp"
+#include "hibiscus/batch/job_table.hpp"
 #include "hibiscus/entry/settings.hpp"
 #include "hibiscus/gateway/configuration.hpp"
 #include "hibiscus/samplers/sampler_table.hpp"
@@ -19,26 +19,26 @@
 struct node_state {
     explicit node_state(node_settings s, base::clock time = {},
                         int log_descriptor = 1)
-        : clock(std::move(time)), config(std::move(s)),
-          log(config.node, log_descriptor, {}, clock), jobs(clock),
-          samplers(clock, std::random_device{}(), config.mechanisms),
-          random(std::random_device{}()) {}
+        : clock(std::move(time)), settings(std::move(s)),
+          log(settings.node, log_descriptor, {}, clock), jobs(clock),
+          samplers(clock, std::random_device{}(), settings.features),
+          random_engine(std::random_device{}()) {}
 
     base::clock clock;
-    node_settings config;
+    node_settings settings;
     telemetry::event_log log;
     telemetry::metrics counters;
     /// The configuration in force; nothing before the first one came.
-    std::optional<gateway::configuration> routes;
-    batch::ledger jobs;
+    std::optional<gateway::configuration> configuration;
+    batch::job_table jobs;
     samplers::sampler_table samplers;
-    std::mt19937 random;
+    std::mt19937 random_engine;
     /// Set once the node has been told to stop.
     bool stopping = false;
 
     /// Returns a number from 0 to 1.
-    double draw() {
-        return std::uniform_real_distribution<double>(0, 1)(random);
+    double random_fraction() {
+        return std::uniform_real_distribution<double>(0, 1)(random_engine);
     }
 };
 
--- a/packages/entry/src/node_table.cpp
+++ b/packages/entry/src/node_table.cpp
@@ -9,25 +9,25 @@
 
 /// A node that has not renewed its entry for so long is left out, in ms:
 /// three renewals and the time of a slow store.
-constexpr base::millis expire_ms = 2000;
+constexpr base::millis entry_ttl_ms = 2000;
 
 /// A zone with fewer nodes than this is helped by all others: one alone may
 /// fail, and its callers would have to ask again.
-constexpr std::size_t least_in_zone = 2;
+constexpr std::size_t min_nodes_in_zone = 2;
 
 /// A node with this share of the processor time of the largest one is roomy.
-constexpr double roomy_share = 0.5;
+constexpr double large_node_cpu_share = 0.5;
 
 /// Fewer roomy nodes than this don't serve a zone alone: callers that meet one
 /// which has just failed need others to go to.
-constexpr std::size_t least_roomy = 4;
+constexpr std::size_t min_large_nodes = 4;
 
 /// Roomy nodes serve alone if they have this share of the processor time of
 /// all, so that none gets more than twice its part.
-constexpr double least_time_share = 0.5;
+constexpr double min_large_nodes_cpu_share = 0.5;
 
 /// The most addresses that a caller takes from one answer.
-constexpr std::size_t most_addresses = 64;
+constexpr std::size_t max_addresses = 64;
 
 } // namespace
 
@@ -39,28 +39,29 @@
     rows_.erase(name);
 }
 
-void node_table::contact(bool up) {
-    up_ = up;
-    (up ? up_at_ : lost_at_) = clock_.now();
+void node_table::set_store_reachable(bool up) {
+    store_reachable_ = up;
+    (up ? store_reachable_since_ : store_lost_at_) = clock_.now();
 }
 
-bool node_table::is_there(const std::string& name, const row& r) const {
+bool node_table::is_alive(const std::string& name, const row& r) const {
     if (r.entry.stopping) {
         return false;
     }
-    if (name == self_) {
+    if (name == own_name_) {
         return true;
     }
     const auto now = clock_.now();
-    if (up_ && now - r.seen_at < expire_ms) {
+    if (store_reachable_ && now - r.renewed_at < entry_ttl_ms) {
         return true;
     }
-    const bool doubtful = !up_ || now - up_at_ < expire_ms;
-    return doubtful && lost_at_ - r.seen_at < expire_ms;
+    const bool doubtful =
+        !store_reachable_ || now - store_reachable_since_ < entry_ttl_ms;
+    return doubtful && store_lost_at_ - r.renewed_at < entry_ttl_ms;
 }
 
 std::vector<const node_entry*>
-node_table::roomy(const std::vector<const node_entry*>& nodes) {
+node_table::select_large_nodes(const std::vector<const node_entry*>& nodes) {
     double largest = 0;
     double all_time = 0;
     for (const auto* n : nodes) {
@@ -70,22 +71,22 @@
     std::vector<const node_entry*> out;
     double time = 0;
     for (const auto* n : nodes) {
-        if (n->cpu_share >= roomy_share * largest) {
+        if (n->cpu_share >= large_node_cpu_share * largest) {
             out.push_back(n);
             time += n->cpu_share;
         }
     }
-    const bool enough =
-        out.size() >= least_roomy && time >= least_time_share * all_time;
+    const bool enough = out.size() >= min_large_nodes &&
+                        time >= min_large_nodes_cpu_share * all_time;
     return enough ? out : nodes;
 }
 
 std::vector<base::endpoint>
-node_table::addresses(const base::zone_id& zone) const {
+node_table::caller_addresses(const base::zone_id& zone) const {
     std::vector<const node_entry*> near;
     std::vector<const node_entry*> all;
     for (const auto& [name, r] : rows_) {
-        if (!is_there(name, r)) {
+        if (!is_alive(name, r)) {
             continue;
         }
         all.push_back(&r.entry);
@@ -93,23 +94,24 @@
             near.push_back(&r.entry);
         }
     }
-    auto chosen = near.size() >= least_in_zone ? near : all;
-    if (mechanisms_.has(base::mechanism::roomy_nodes_first)) {
-        chosen = roomy(chosen);
+    auto chosen = near.size() >= min_nodes_in_zone ? near : all;
+    if (features_.is_enabled(base::feature::roomy_nodes_first)) {
+        chosen = select_large_nodes(chosen);
     }
     std::vector<base::endpoint> out;
-    const auto most = std::min(chosen.size(), most_addresses);
-    std::transform(
-        chosen.begin(), chosen.begin() + static_cast<std::ptrdiff_t>(most),
-        std::back_inserter(out), [](const auto* n) { return n->callers; });
+    const auto most = std::min(chosen.size(), max_addresses);
+    std::transform(chosen.begin(),
+                   chosen.begin() + static_cast<std::ptrdiff_t>(most),
+                   std::back_inserter(out),
+                   [](const auto* n) { return n->caller_address; });
     return out;
 }
 
-std::vector<base::endpoint> node_table::peers() const {
+std::vector<base::endpoint> node_table::peer_addresses() const {
     std::vector<base::endpoint> out;
     for (const auto& [name, r] : rows_) {
-        if (name != self_ && is_there(name, r)) {
-            out.push_back(r.entry.nodes);
+        if (name != own_name_ && is_alive(name, r)) {
+            out.push_back(r.entry.peer_address);
         }
     }
     return out;
--- a/packages/entry/src/node_table.hpp
+++ b/packages/entry/src/node_table.hpp
@@ -2,8 +2,8 @@
 
 #include "hibiscus/base/clock.hpp"
 #include "hibiscus/base/endpoint.hpp"
+#include "hibiscus/base/features.hpp"
 #include "hibiscus/base/ids.hpp"
-#include "hibiscus/base/mechanisms.hpp"
 
 #include <map>
 #include <string>
@@ -13,9 +13,9 @@
 
 /// What a node says of itself.
 struct node_entry {
-    base::endpoint callers;
+    base::endpoint caller_address;
     /// Where it takes calls of other nodes.
-    base::endpoint nodes;
+    base::endpoint peer_address;
     base::zone_id zone;
     bool stopping = false;
     /// The processor time that it may use, as a share of a core.
@@ -26,9 +26,9 @@
 class node_table {
 public:
     node_table(base::clock clock, std::string self,
-               base::mechanism_set mechanisms = {})
-        : clock_(std::move(clock)), self_(std::move(self)),
-          mechanisms_(mechanisms) {}
+               base::feature_set mechanisms = {})
+        : clock_(std::move(clock)), own_name_(std::move(self)),
+          features_(mechanisms) {}
 
     void put(const std::string& name, node_entry entry);
     void remove(const std::string& name);
@@ -37,7 +37,7 @@
     /// arrives, so that those who were there at the loss count as there, and
     /// for a moment afterwards. Who was gone before stays gone: its address
     /// leads callers nowhere.
-    void contact(bool up);
+    void set_store_reachable(bool up);
 
     /// Returns the nodes that callers in `zone` may use: those of the zone,
     /// or all if it has too few. Answers a fleet in which most nodes are small:
@@ -45,28 +45,29 @@
     /// eighth of a core, and each of many nodes opens connections to servers
     /// for the few requests that it gets. As long as the roomy ones have half
     /// of the processor time, callers are sent to these alone.
-    std::vector<base::endpoint> addresses(const base::zone_id& zone) const;
+    std::vector<base::endpoint>
+    caller_addresses(const base::zone_id& zone) const;
 
     /// Returns where the other nodes take calls of nodes.
-    std::vector<base::endpoint> peers() const;
+    std::vector<base::endpoint> peer_addresses() const;
 
 private:
     struct row {
         node_entry entry;
-        base::millis seen_at = 0;
+        base::millis renewed_at = 0;
     };
 
-    bool is_there(const std::string& name, const row& r) const;
+    bool is_alive(const std::string& name, const row& r) const;
     static std::vector<const node_entry*>
-    roomy(const std::vector<const node_entry*>& nodes);
+    select_large_nodes(const std::vector<const node_entry*>& nodes);
 
     base::clock clock_;
-    std::string self_;
-    base::mechanism_set mechanisms_;
+    std::string own_name_;
+    base::feature_set features_;
     std::map<std::string, row> rows_;
-    bool up_ = false;
-    base::millis up_at_ = 0;
-    base::millis lost_at_ = 0;
+    bool store_reachable_ = false;
+    base::millis store_reachable_since_ = 0;
+    base::millis store_lost_at_ = 0;
 };
 
 } // namespace hibiscus::entry
--- a/packages/entry/src/registry.cpp
+++ b/packages/entry/src/server_registry.cpp
@@ -1,4 +1,4 @@
-#include "registry.hpp"
+#include "server_registry.hpp"
 
 #include "platform/documents.hpp"
 #include "platform/store_client.hpp"
@@ -9,24 +9,26 @@
 
 /// Entries of living servers are back within two seconds of the store's
 /// return; for so long a missing one is not believed, in ms.
-constexpr base::millis return_ms = 2200;
+constexpr base::millis reregistration_ms = 2200;
 
 /// How often the entries are read while there is something new, in ms: each
 /// server writes its own every 1.2 s, which with 60 of them is all the time.
-constexpr base::millis read_pace_ms = 100;
+constexpr base::millis poll_interval_ms = 100;
 
 } // namespace
 
-registry::registry(node_state& state, const store::log_store& store,
-                   const store::delay_function& after)
-    : state_(state), after_(after),
+server_registry::server_registry(node_state& state,
+                                 const store::log_store& store,
+                                 const store::run_after_function& after)
+    : state_(state), run_after_(after),
       follower_(store, {adapter::registry_topic, 0}, state.clock, after,
-                {store::follower_times().wait, store::follower_times().retry,
-                 [] { return read_pace_ms; }},
-                {[this](const auto& changes) { apply(changes); },
-                 [this](bool up) { contact(up); }}) {}
+                {store::watcher_times().read_wait_ms,
+                 store::watcher_times().retry_delay_ms,
+                 [] { return poll_interval_ms; }},
+                {[this](const auto& changes) { apply_changes(changes); },
+                 [this](bool up) { set_store_reachable(up); }}) {}
 
-void registry::apply(const std::vector<store::change>& changes) {
+void server_registry::apply_changes(const std::vector<store::change>& changes) {
     for (const auto& c : changes) {
         const samplers::sampler_id id(c.key);
         const auto entry =
@@ -40,7 +42,8 @@
                              {{"topic", "registry"}, {"key", c.key}});
         }
         const auto now = state_.clock.now();
-        const bool doubtful = !up_ || now - up_at_ < return_ms;
+        const bool doubtful = !store_reachable_ ||
+                              now - store_reachable_since_ < reregistration_ms;
         state_.log.write("server_gone",
                          {{"server", id}, {"believed", !doubtful}});
         if (doubtful) {
@@ -51,16 +54,16 @@
     }
 }
 
-void registry::contact(bool up) {
-    up_ = up;
+void server_registry::set_store_reachable(bool up) {
+    store_reachable_ = up;
     state_.log.write("dependency", {{"name", "store"}, {"up", up}});
     if (!up) {
         return;
     }
-    up_at_ = state_.clock.now();
-    const auto number = ++returns_;
-    after_(return_ms, [this, number] {
-        if (number == returns_ && up_) {
+    store_reachable_since_ = state_.clock.now();
+    const auto number = ++reconnects_;
+    run_after_(reregistration_ms, [this, number] {
+        if (number == reconnects_ && store_reachable_) {
             state_.samplers.remove_unlisted();
         }
     });
--- /dev/null
+++ b/packages/entry/src/server_registry.hpp
@@ -0,0 +1,32 @@
+#pragma once
+
+#include "node_state.hpp"
+
+#include "hibiscus/store/partition_watcher.hpp"
+
+namespace hibiscus::entry {
+
+/// Keeps the table of backend servers as they register in the store. Entries
+/// that vanish while the store is in trouble may belong to servers that live:
+/// these are given a moment to come back.
+class server_registry {
+public:
+    server_registry(node_state& state, const store::log_store& store,
+                    const store::run_after_function& after);
+
+    void start() { follower_.start(); }
+    bool is_loaded() const { return follower_.is_loaded(); }
+
+private:
+    void apply_changes(const std::vector<store::change>& changes);
+    void set_store_reachable(bool up);
+
+    node_state& state_;
+    store::run_after_function run_after_;
+    store::partition_watcher follower_;
+    bool store_reachable_ = false;
+    base::millis store_reachable_since_ = 0;
+    std::uint64_t reconnects_ = 0;
+};
+
+} // namespace hibiscus::entry
--- a/packages/entry/src/settings.cpp
+++ b/packages/entry/src/settings.cpp
@@ -8,8 +8,8 @@
 
 using settings::mapping_reader;
 
-constexpr long longest_ms = 3600000;
-constexpr long largest_bytes = 1L << 30;
+constexpr long max_duration_ms = 3600000;
+constexpr long max_size_bytes = 1L << 30;
 
 node_settings read_node_settings(mapping_reader& in) {
     node_settings s;
@@ -23,36 +23,36 @@
     });
     in.mapping("store", true, [&](mapping_reader& m) {
         m.address("address", s.store);
-        m.integer("partitions", s.partitions, 1, 4096);
-        m.integer("record_bytes", s.record_bytes, 4096, largest_bytes);
-        m.integer("append_bytes", s.append_bytes, 4096, largest_bytes);
+        m.integer("partitions", s.partitions_per_topic, 1, 4096);
+        m.integer("record_bytes", s.max_record_bytes, 4096, max_size_bytes);
+        m.integer("append_bytes", s.max_append_bytes, 4096, max_size_bytes);
     });
     in.mapping("limits", false, [&](mapping_reader& m) {
         m.decimal("cpu_share", s.cpu_share, 0.001, 1024);
     });
     in.mapping("bounds", false, [&](mapping_reader& m) {
-        m.integer("lease_ms", s.lease_ms, 0, longest_ms);
-        m.integer("drain_ms", s.drain_ms, 0, longest_ms);
-        m.integer("cancel_ms", s.cancel_ms, 100, longest_ms);
-        m.flag("fences_checked", s.fences_checked);
-        base::millis status_s = s.status_ms / 1000;
-        base::millis grace_s = s.grace_ms / 1000;
-        base::millis margin_s = s.margin_ms / 1000;
-        m.integer("status_s", status_s, 1, longest_ms);
-        m.integer("margin_s", margin_s, 0, longest_ms);
-        s.margin_ms = margin_s * 1000;
-        m.integer("grace_s", grace_s, 1, longest_ms);
-        s.status_ms = status_s * 1000;
-        s.grace_ms = grace_s * 1000;
+        m.integer("lease_ms", s.order_lease_ms, 0, max_duration_ms);
+        m.integer("drain_ms", s.server_drain_ms, 0, max_duration_ms);
+        m.integer("cancel_ms", s.cancel_deadline_ms, 100, max_duration_ms);
+        m.flag("fences_checked", s.servers_check_fences);
+        base::millis status_s = s.result_retention_ms / 1000;
+        base::millis grace_s = s.shutdown_grace_ms / 1000;
+        base::millis margin_s = s.retention_margin_ms / 1000;
+        m.integer("status_s", status_s, 1, max_duration_ms);
+        m.integer("margin_s", margin_s, 0, max_duration_ms);
+        s.retention_margin_ms = margin_s * 1000;
+        m.integer("grace_s", grace_s, 1, max_duration_ms);
+        s.result_retention_ms = status_s * 1000;
+        s.shutdown_grace_ms = grace_s * 1000;
     });
     in.mapping("policy", false, [&](mapping_reader& m) {
-        for (const auto& row : base::enum_names<base::mechanism>::table) {
+        for (const auto& row : base::enum_names<base::feature>::table) {
             bool on = true;
             m.flag(std::string(row.name).c_str(), on);
-            s.mechanisms.set(row.value, on);
+            s.features.set_enabled(row.value, on);
         }
     });
-    in.finish();
+    in.report_unknown_keys();
     return s;
 }
 
--- /dev/null
+++ b/packages/entry/src/store_monitor.hpp
@@ -0,0 +1,40 @@
+#pragma once
+
+#include "node_state.hpp"
+
+#include "hibiscus/store/log_store.hpp"
+#include "hibiscus/store/store_router.hpp"
+#include "hibiscus/transport/upstream.hpp"
+
+namespace hibiscus::entry {
+
+/// Watches the way to the store: notices that it is out of reach, tries it
+/// until it serves again, and gives up what hangs there meanwhile.
+class store_monitor {
+public:
+    store_monitor(node_state& state, transport::upstream_client& client,
+                  store::run_after_function after,
+                  store::store_router::peer_list_function peers);
+
+    /// Starts to watch.
+    void start();
+
+    /// Where calls to the store go.
+    store::store_router& link() { return link_; }
+
+private:
+    std::vector<base::endpoint>
+    relay_peers(const store::store_router::peer_list_function& peers) const;
+    void cancel_direct_calls();
+    void check_link();
+    void probe();
+
+    node_state& state_;
+    transport::upstream_client& client_;
+    store::run_after_function run_after_;
+    store::store_router link_;
+    bool store_unreachable_ = false;
+    base::millis last_probe_at_ = 0;
+};
+
+} // namespace hibiscus::entry
--- a/packages/entry/test/batch_api_fuzz_test.cpp
+++ b/packages/entry/test/batch_api_fuzz_test.cpp
@@ -1,4 +1,4 @@
-#include "batch_world.hpp"
+#include "batch_node.hpp"
 #include "support/fuzz.hpp"
 
 #include <nlohmann/json.hpp>
@@ -14,27 +14,27 @@
 
 using json = nlohmann::json;
 
-constexpr int jobs = 10;
-constexpr std::size_t nodes = 3;
+constexpr int job_count = 10;
+constexpr std::size_t node_count = 3;
 
 /// Results stay readable for so long, in ms, as small_settings() says.
-constexpr base::millis kept_ms = 8000;
+constexpr base::millis retention_ms = 8000;
 
-batch::item_id item_name(int job, int number) {
+batch::item_id make_item_id(int job, int number) {
     return batch::item_id("i" + std::to_string(job) + "-" +
                           std::to_string(number));
 }
 
 /// Bodies and texts of all sizes: below a record and over several.
-std::string content(const std::string& of, int job, int number) {
-    return of + item_name(job, number).str() +
+std::string make_content(const std::string& of, int job, int number) {
+    return of + make_item_id(job, number).str() +
            std::string(static_cast<std::size_t>((job * 7 + number * 13) % 9) *
                            220,
                        'x');
 }
 
 /// A caller's job: what it was told of it, which must never change.
-struct called_job {
+struct expected_job {
     int number = 0;
     batch::job_id id;
     int items = 0;
@@ -42,65 +42,66 @@
     bool accepted = false;
     bool ended = false;
     /// The results by position.
-    std::vector<std::string> read;
-    std::set<std::string> read_items;
+    std::vector<std::string> delivered_results;
+    std::set<std::string> delivered_items;
 
-    bool kept(base::millis now) const {
-        return accepted && (!ended || now < *submitted_at + kept_ms);
+    bool is_retained(base::millis now) const {
+        return accepted && (!ended || now < *submitted_at + retention_ms);
     }
 };
 
 /// Callers of some nodes, and what no answer to them may be.
-class batch_play {
+class batch_api_fuzz_model {
 public:
-    explicit batch_play(const std::vector<testing::fuzz_command>& commands)
+    explicit batch_api_fuzz_model(
+        const std::vector<testing::fuzz_command>& commands)
         : store_(time_, commands.empty() ? 1U : 1U + commands[0].c) {
-        for (int n = 0; n < jobs; ++n) {
-            called_job j;
+        for (int n = 0; n < job_count; ++n) {
+            expected_job j;
             j.number = n;
             j.id = batch::job_id("job" + std::to_string(n));
             j.items = 3 + 4 * (n % 3);
             jobs_.push_back(std::move(j));
         }
-        for (std::size_t n = 0; n < nodes; ++n) {
+        for (std::size_t n = 0; n < node_count; ++n) {
             nodes_.push_back(new_node(n));
         }
     }
 
     std::string run(const std::vector<testing::fuzz_command>& commands) {
         for (const auto& c : commands) {
-            step(c);
-            if (!wrong_.empty()) {
-                return wrong_;
+            apply_command(c);
+            if (!failure_.empty()) {
+                return failure_;
             }
         }
-        store_.set_weather({});
-        time_.run_for(settle_ms);
-        for (std::size_t n = 0; n < nodes && wrong_.empty(); ++n) {
+        store_.set_faults({});
+        time_.run_for(settle_time_ms);
+        for (std::size_t n = 0; n < node_count && failure_.empty(); ++n) {
             for (auto& j : jobs_) {
-                read_whole(n, j);
+                read_whole_job(n, j);
             }
         }
-        look_for_refused();
-        return wrong_;
+        check_rejected_not_stored();
+        return failure_;
     }
 
 private:
     using response = transport::outbound_response;
 
     void fail(const std::string& what) {
-        wrong_ = wrong_.empty() ? what : wrong_;
+        failure_ = failure_.empty() ? what : failure_;
     }
 
     std::unique_ptr<batch_node> new_node(std::size_t n) {
-        return std::make_unique<batch_node>(store_, time_,
-                                            "n" + std::to_string(n),
-                                            "s" + std::to_string(++starts_));
+        return std::make_unique<batch_node>(
+            store_, time_, "n" + std::to_string(n),
+            "s" + std::to_string(++node_starts_));
     }
 
-    void step(const testing::fuzz_command& c) {
-        const auto n = static_cast<std::size_t>(c.a) % nodes;
-        auto& job = jobs_[static_cast<std::size_t>(c.b) % jobs];
+    void apply_command(const testing::fuzz_command& c) {
+        const auto n = static_cast<std::size_t>(c.a) % node_count;
+        auto& job = jobs_[static_cast<std::size_t>(c.b) % job_count];
         if (c.kind < 35) {
             time_.run_for(c.b % 60);
         } else if (c.kind < 39) {
@@ -108,61 +109,63 @@
         } else if (c.kind < 49) {
             submit(n, job);
             if (c.c % 3 == 0) {
-                submit((n + 1) % nodes, job);
+                submit((n + 1) % node_count, job);
             }
         } else if (c.kind < 61) {
-            const auto lister = c.c % 5 == 0 ? n : owner_or(n);
-            nodes_[lister]->own(c.c < 100);
+            const auto lister = c.c % 5 == 0 ? n : find_owner_or(n);
+            nodes_[lister]->claim_or_renew(c.c < 100);
             time_.run_for(c.c % 30);
-            list(lister, job, c.c);
+            commit_results(lister, job, c.c);
         } else if (c.kind < 66) {
-            read(n, job, static_cast<std::size_t>(c.c) % (job.read.size() + 1),
-                 c.c % 2 == 0 ? wait_ms : 0);
+            read_results(n, job,
+                         static_cast<std::size_t>(c.c) %
+                             (job.delivered_results.size() + 1),
+                         c.c % 2 == 0 ? wait_ms : 0);
         } else if (c.kind < 72) {
-            read_at_two(n, job);
+            read_at_two_nodes(n, job);
         } else if (c.kind < 78) {
-            body(n, job, c.c % job.items);
+            read_item_body(n, job, c.c % job.items);
         } else if (c.kind < 81) {
-            nodes_[n]->own(c.c < 200);
+            nodes_[n]->claim_or_renew(c.c < 200);
         } else if (c.kind < 84) {
-            contend(n, job, c.c);
+            list_at_two_owners(n, job, c.c);
         } else if (c.kind < 86) {
-            end(n, job);
+            end_job(n, job);
         } else if (c.kind < 88) {
-            nodes_[owner_or(n)]->expire();
+            nodes_[find_owner_or(n)]->erase_next_expired_job();
         } else if (c.kind < 91) {
-            trim(c.b);
+            trim_journal(c.b);
         } else if (c.kind < 97) {
-            store_.set_weather(weather(c.c));
+            store_.set_faults(make_store_faults(c.c));
         } else {
             nodes_[n] = new_node(n);
         }
     }
 
     /// Returns a node that takes itself for the owner, or `n`.
-    std::size_t owner_or(std::size_t n) const {
+    std::size_t find_owner_or(std::size_t n) const {
         const auto found =
             std::find_if(nodes_.begin(), nodes_.end(),
-                         [](const auto& node) { return node->owns(); });
+                         [](const auto& node) { return node->is_owner(); });
         return found == nodes_.end()
                    ? n
                    : static_cast<std::size_t>(found - nodes_.begin());
     }
 
     /// Lets a node take the ownership over while the owner lists.
-    void contend(std::size_t n, called_job& j, int from) {
-        const auto owner = owner_or(n);
-        const auto other = (owner + 1) % nodes;
-        nodes_[other]->own(true);
+    void list_at_two_owners(std::size_t n, expected_job& j, int from) {
+        const auto owner = find_owner_or(n);
+        const auto other = (owner + 1) % node_count;
+        nodes_[other]->claim_or_renew(true);
         time_.run_for(from % 20);
-        list(owner, j, from);
-        list(other, j, from + 1);
+        commit_results(owner, j, from);
+        commit_results(other, j, from + 1);
         time_.run_for(from % 50);
-        read(owner, j, j.read.size(), wait_ms);
-        read(other, j, j.read.size(), wait_ms);
+        read_results(owner, j, j.delivered_results.size(), wait_ms);
+        read_results(other, j, j.delivered_results.size(), wait_ms);
     }
 
-    static testing::store_weather weather(int n) {
+    static testing::store_faults make_store_faults(int n) {
         switch (n % 8) {
         case 0:
             return {1, 300, 0, 0, 0};
@@ -179,48 +182,49 @@
         }
     }
 
-    void trim(int n) {
-        const auto end = store_.entries(batch_node::journal()).size();
-        store_.trim(batch_node::journal(),
+    void trim_journal(int n) {
+        const auto end = store_.entries(batch_node::journal_partition()).size();
+        store_.trim(batch_node::journal_partition(),
                     end - std::min<std::size_t>(end, n % 10));
     }
 
-    static batch::job submission_of(const called_job& j) {
+    static batch::job make_submission(const expected_job& j) {
         batch::job out;
         out.header.id = j.id;
         for (int n = 0; n < j.items; ++n) {
             batch::item i;
-            i.id = item_name(j.number, n);
-            i.body = content("body", j.number, n);
+            i.id = make_item_id(j.number, n);
+            i.body = make_content("body", j.number, n);
             out.items.push_back(std::move(i));
         }
         return out;
     }
 
-    std::shared_ptr<test_exchange>
-    caller(std::function<void(const response&)> answered) {
-        return std::make_shared<test_exchange>(std::move(answered));
+    std::shared_ptr<test_response_writer>
+    make_response_writer(std::function<void(const response&)> answered) {
+        return std::make_shared<test_response_writer>(std::move(answered));
     }
 
-    void submit(std::size_t n, called_job& j) {
+    void submit(std::size_t n, expected_job& j) {
         if (j.ended) {
             return;
         }
         j.submitted_at = j.submitted_at.value_or(time_.now());
-        ++open_[j.number];
-        nodes_[n]->calls().submit(submission_of(j), 1500,
-                                  caller([this, &j](const response& r) {
-                                      --open_[j.number];
-                                      if (r.status == 202) {
-                                          j.accepted = true;
-                                      }
-                                      said_[j.number].insert(r.status);
-                                  }));
+        ++open_submissions_[j.number];
+        nodes_[n]->api().submit(
+            make_submission(j), 1500,
+            make_response_writer([this, &j](const response& r) {
+                --open_submissions_[j.number];
+                if (r.status == 202) {
+                    j.accepted = true;
+                }
+                submit_statuses_[j.number].insert(r.status);
+            }));
     }
 
-    void list(std::size_t n, const called_job& j, int from) {
+    void commit_results(std::size_t n, const expected_job& j, int from) {
         const auto* row = nodes_[n]->state().jobs.find(j.id);
-        if (row == nullptr || row->ended) {
+        if (row == nullptr || row->has_ended) {
             return;
         }
         std::vector<batch::ready_result> out;
@@ -228,39 +232,40 @@
             const int item = (from + k) % j.items;
             out.push_back({j.id,
                            item,
-                           {item_name(j.number, item),
+                           {make_item_id(j.number, item),
                             batch::item_outcome::succeeded,
-                            content("text", j.number, item),
+                            make_content("text", j.number, item),
                             {1},
                             "s"}});
         }
-        nodes_[n]->list(std::move(out));
+        nodes_[n]->commit_results(std::move(out));
     }
 
-    void read(std::size_t n, called_job& j, std::size_t after,
-              base::millis wait) {
-        const auto known = j.read.size();
+    void read_results(std::size_t n, expected_job& j, std::size_t after,
+                      base::millis wait) {
+        const auto known = j.delivered_results.size();
         const bool was_accepted = j.accepted;
-        nodes_[n]->calls().read(
+        nodes_[n]->api().read_results(
             {j.id, after, wait},
-            caller([this, &j, after, known, was_accepted](const response& r) {
-                if (was_accepted && j.kept(time_.now())) {
-                    check_read(j, after, known, r);
-                }
-            }));
+            make_response_writer(
+                [this, &j, after, known, was_accepted](const response& r) {
+                    if (was_accepted && j.is_retained(time_.now())) {
+                        check_read(j, after, known, r);
+                    }
+                }));
     }
 
     /// Reads on at one node, and at once again what came at another.
-    void read_at_two(std::size_t n, called_job& j) {
-        const auto known = j.read.size();
-        read(n, j, known, wait_ms);
-        time_.run_for(gap_ms);
-        if (j.read.size() > known) {
-            read((n + 1) % nodes, j, known, 0);
+    void read_at_two_nodes(std::size_t n, expected_job& j) {
+        const auto known = j.delivered_results.size();
+        read_results(n, j, known, wait_ms);
+        time_.run_for(second_read_delay_ms);
+        if (j.delivered_results.size() > known) {
+            read_results((n + 1) % node_count, j, known, 0);
         }
     }
 
-    void check_read(called_job& j, std::size_t after, std::size_t known,
+    void check_read(expected_job& j, std::size_t after, std::size_t known,
                     const response& r) {
         if (r.status == 404) {
             fail(j.id.str() + " is not known");
@@ -284,54 +289,56 @@
         }
     }
 
-    void check_result(called_job& j, std::size_t position, const json& row) {
+    void check_result(expected_job& j, std::size_t position, const json& row) {
         const auto what = row.dump();
-        if (position < j.read.size()) {
-            if (j.read[position] != what) {
+        if (position < j.delivered_results.size()) {
+            if (j.delivered_results[position] != what) {
                 fail(j.id.str() + " changed at " + std::to_string(position));
             }
             return;
         }
         const auto id = row.at("id").get<std::string>();
         const auto number = std::stoi(id.substr(id.find('-') + 1));
-        if (row.at("text") != content("text", j.number, number)) {
+        if (row.at("text") != make_content("text", j.number, number)) {
             fail(id + " has another text");
         }
-        if (!j.read_items.insert(id).second) {
+        if (!j.delivered_items.insert(id).second) {
             fail(id + " stands at two positions");
         }
-        j.read.push_back(what);
+        j.delivered_results.push_back(what);
     }
 
-    void body(std::size_t n, called_job& j, int item) {
+    void read_item_body(std::size_t n, expected_job& j, int item) {
         const bool was_accepted = j.accepted;
-        nodes_[n]->calls().body(
-            {j.id, item_name(j.number, item)},
-            caller([this, &j, item, was_accepted](const response& r) {
-                if (was_accepted && j.kept(time_.now())) {
-                    check_body(j, item, r);
-                }
-            }));
+        nodes_[n]->api().read_item_body(
+            {j.id, make_item_id(j.number, item)},
+            make_response_writer(
+                [this, &j, item, was_accepted](const response& r) {
+                    if (was_accepted && j.is_retained(time_.now())) {
+                        check_body(j, item, r);
+                    }
+                }));
     }
 
-    void check_body(const called_job& j, int item, const response& r) {
+    void check_body(const expected_job& j, int item, const response& r) {
         if (r.status == 404) {
-            fail(item_name(j.number, item).str() + " has no body");
+            fail(make_item_id(j.number, item).str() + " has no body");
         } else if (r.status == 200 &&
-                   r.body != content("body", j.number, item)) {
-            fail(item_name(j.number, item).str() + " has another body");
+                   r.body != make_content("body", j.number, item)) {
+            fail(make_item_id(j.number, item).str() + " has another body");
         }
     }
 
-    void end(std::size_t n, called_job& j) {
+    void end_job(std::size_t n, expected_job& j) {
         if (!j.accepted) {
             return;
         }
-        const bool was_kept = j.kept(time_.now());
+        const bool was_kept = j.is_retained(time_.now());
         j.ended = true;
-        nodes_[n]->calls().end(
-            {j.id}, caller([this, &j, was_kept](const response& r) {
-                if (r.status == 404 && was_kept && j.kept(time_.now())) {
+        nodes_[n]->api().end_job(
+            {j.id},
+            make_response_writer([this, &j, was_kept](const response& r) {
+                if (r.status == 404 && was_kept && j.is_retained(time_.now())) {
                     fail(j.id.str() + " is not known at its end");
                 }
             }));
@@ -339,74 +346,79 @@
 
     /// Reads a job from the start at a node while the store is sound, and all
     /// bodies.
-    void read_whole(std::size_t n, called_job& j) {
+    void read_whole_job(std::size_t n, expected_job& j) {
         std::size_t position = 0;
         bool more = true;
-        while (more && wrong_.empty() && j.kept(time_.now())) {
+        while (more && failure_.empty() && j.is_retained(time_.now())) {
             int status = 0;
             std::size_t next = position;
-            nodes_[n]->calls().read(
-                {j.id, position, 0}, caller([&](const response& r) {
+            nodes_[n]->api().read_results(
+                {j.id, position, 0},
+                make_response_writer([&](const response& r) {
                     status = r.status;
-                    check_read(j, position, j.read.size(), r);
+                    check_read(j, position, j.delivered_results.size(), r);
                     if (status == 200) {
                         next = json::parse(r.body).at("next");
                     }
                 }));
-            time_.run_for(answer_ms);
+            time_.run_for(response_time_ms);
             if (status != 200) {
                 fail(j.id.str() + " can't be read: " + std::to_string(status));
             }
             more = next > position;
             position = next;
         }
-        for (int item = 0; item < j.items && j.kept(time_.now()); ++item) {
+        for (int item = 0; item < j.items && j.is_retained(time_.now());
+             ++item) {
             int status = 0;
-            nodes_[n]->calls().body({j.id, item_name(j.number, item)},
-                                    caller([&](const response& r) {
-                                        status = r.status;
-                                        check_body(j, item, r);
-                                    }));
-            time_.run_for(answer_ms);
-            if (status != 200 && j.kept(time_.now())) {
-                fail(item_name(j.number, item).str() +
+            nodes_[n]->api().read_item_body(
+                {j.id, make_item_id(j.number, item)},
+                make_response_writer([&](const response& r) {
+                    status = r.status;
+                    check_body(j, item, r);
+                }));
+            time_.run_for(response_time_ms);
+            if (status != 200 && j.is_retained(time_.now())) {
+                fail(make_item_id(j.number, item).str() +
                      " has no body: " + std::to_string(status));
             }
         }
     }
 
     /// A job that was refused at each call must not be stored.
-    void look_for_refused() {
-        const auto journal = store_.state(batch_node::journal());
+    void check_rejected_not_stored() {
+        const auto journal =
+            store_.newest_values(batch_node::journal_partition());
         for (const auto& j : jobs_) {
-            const bool only_refused = j.submitted_at && open_[j.number] == 0 &&
-                                      said_[j.number] == std::set<int>{503};
-            if (only_refused &&
-                journal.count(batch::to_text(batch::header_key{j.id})) != 0) {
+            const bool only_refused =
+                j.submitted_at && open_submissions_[j.number] == 0 &&
+                submit_statuses_[j.number] == std::set<int>{503};
+            if (only_refused && journal.count(batch::format_key(
+                                    batch::header_key{j.id})) != 0) {
                 fail(j.id.str() + " is stored and was refused");
             }
         }
     }
 
     /// Covers late appends and what follows them.
-    static constexpr base::millis settle_ms = 6000;
-    static constexpr base::millis answer_ms = 400;
+    static constexpr base::millis settle_time_ms = 6000;
+    static constexpr base::millis response_time_ms = 400;
     static constexpr base::millis wait_ms = 1000;
-    static constexpr base::millis gap_ms = 40;
+    static constexpr base::millis second_read_delay_ms = 40;
 
-    testing::virtual_time time_;
-    testing::timed_store store_;
-    std::vector<called_job> jobs_;
+    testing::virtual_scheduler time_;
+    testing::simulated_store store_;
+    std::vector<expected_job> jobs_;
     std::vector<std::unique_ptr<batch_node>> nodes_;
-    std::map<int, std::set<int>> said_;
-    std::map<int, int> open_;
-    int starts_ = 0;
-    std::string wrong_;
+    std::map<int, std::set<int>> submit_statuses_;
+    std::map<int, int> open_submissions_;
+    int node_starts_ = 0;
+    std::string failure_;
 };
 
 TEST(batch_api_fuzz_test, what_was_accepted_or_read_is_never_denied) {
     testing::fuzz("batch_api", 200, [](const auto& commands) {
-        return batch_play(commands).run(commands);
+        return batch_api_fuzz_model(commands).run(commands);
     });
 }
 
--- a/packages/entry/test/batch_api_test.cpp
+++ b/packages/entry/test/batch_api_test.cpp
@@ -1,4 +1,4 @@
-#include "batch_world.hpp"
+#include "batch_node.hpp"
 
 #include <nlohmann/json.hpp>
 
@@ -8,15 +8,15 @@
 
 namespace {
 
-const batch::job_id job("j");
+const batch::job_id test_job_id("j");
 
 class batch_api_test : public ::testing::Test {
 protected:
     batch_api_test() { time_.run_for(500); }
 
-    static batch::job submission(int items) {
+    static batch::job make_job(int items) {
         batch::job out;
-        out.header.id = job;
+        out.header.id = test_job_id;
         for (int n = 0; n < items; ++n) {
             batch::item i;
             i.id = batch::item_id("i" + std::to_string(n));
@@ -27,65 +27,66 @@
     }
 
     /// Stores a job of which the items `from` on are not there.
-    void store_part(int items, int from) {
-        auto whole = submission(items);
+    void store_partial_job(int items, int from) {
+        auto whole = make_job(items);
         auto header = whole.header;
         whole.items.resize(static_cast<std::size_t>(from));
         const auto chunks =
-            batch::cut_into_chunks(header, std::move(whole.items), 1024);
-        const job_files files(port_, node_.state().config.partitions, {});
-        files.append_items(job, chunks, [](const auto&) {});
-        header.items = items;
-        store_.append(
-            batch_node::journal(),
-            {{batch::to_text(batch::header_key{job}), batch::encode(header)}});
+            batch::split_into_chunks(header, std::move(whole.items), 1024);
+        const job_store files(log_store_,
+                              node_.state().settings.partitions_per_topic, {});
+        files.append_items(test_job_id, chunks, [](const auto&) {});
+        header.item_count = items;
+        store_.append(batch_node::journal_partition(),
+                      {{batch::format_key(batch::header_key{test_job_id}),
+                        batch::encode(header)}});
         time_.run_for(500);
     }
 
-    transport::outbound_response body(const std::string& item) {
-        return answer([&](auto caller) {
-            node_.calls().body({job, batch::item_id(item)}, caller);
+    transport::outbound_response read_item_body(const std::string& item) {
+        return call_and_wait([&](auto caller) {
+            node_.api().read_item_body({test_job_id, batch::item_id(item)},
+                                       caller);
         });
     }
 
     template <class Call>
-    transport::outbound_response answer(Call call) {
+    transport::outbound_response call_and_wait(Call call) {
         transport::outbound_response out{0, {}, ""};
-        call(std::make_shared<test_exchange>([&](const auto& r) { out = r; }));
+        call(std::make_shared<test_response_writer>(
+            [&](const auto& r) { out = r; }));
         time_.run_for(3000);
         return out;
     }
 
-    testing::virtual_time time_;
-    testing::timed_store store_{time_, 1};
+    testing::virtual_scheduler time_;
+    testing::simulated_store store_{time_, 1};
     std::shared_ptr<const bool> alive_ = std::make_shared<bool>(true);
-    store::log_store port_ = store_.port(alive_);
+    store::log_store log_store_ = store_.client(alive_);
     batch_node node_{store_, time_, "n", "s"};
 };
 
 TEST_F(batch_api_test, an_item_is_denied_only_if_all_items_were_read) {
     // Guards against a 404 for an item that could not be read.
-    store_part(3, 2);
-    EXPECT_EQ(body("i1").body, "body 1");
-    EXPECT_EQ(body("i2").status, 503);
+    store_partial_job(3, 2);
+    EXPECT_EQ(read_item_body("i1").body, "body 1");
+    EXPECT_EQ(read_item_body("i2").status, 503);
 }
 
 TEST_F(batch_api_test, an_item_that_a_job_never_had_is_denied) {
-    answer([&](auto caller) {
-        node_.calls().submit(submission(3), 1000, caller);
-    });
-    EXPECT_EQ(body("i2").body, "body 2");
-    EXPECT_EQ(body("i3").status, 404);
+    call_and_wait(
+        [&](auto caller) { node_.api().submit(make_job(3), 1000, caller); });
+    EXPECT_EQ(read_item_body("i2").body, "body 2");
+    EXPECT_EQ(read_item_body("i3").status, 404);
 }
 
 TEST_F(batch_api_test, a_position_that_no_job_has_does_not_end_the_node) {
     // Guards against nodes that end at a position that no job has.
-    answer([&](auto caller) {
-        node_.calls().submit(submission(3), 1000, caller);
-    });
+    call_and_wait(
+        [&](auto caller) { node_.api().submit(make_job(3), 1000, caller); });
     for (const auto after : {std::size_t{0xffffffff}, ~std::size_t{0}}) {
-        const auto got = answer([&](auto caller) {
-            node_.calls().read({job, after, 0}, caller);
+        const auto got = call_and_wait([&](auto caller) {
+            node_.api().read_results({test_job_id, after, 0}, caller);
         });
         ASSERT_EQ(got.status, 200);
         EXPECT_TRUE(nlohmann::json::parse(got.body).at("results").empty());
@@ -97,38 +98,39 @@
         return node_.state().counters.serialize().find(
                    "event=\"" + name + "\"") != std::string::npos;
     };
-    EXPECT_EQ(body("i0").status, 404);
+    EXPECT_EQ(read_item_body("i0").status, 404);
     EXPECT_TRUE(counted("job_unknown"));
     EXPECT_FALSE(counted("told_job_unknown"));
-    answer([&](auto caller) {
-        node_.calls().submit(submission(3), 1000, caller);
-    });
-    EXPECT_EQ(body("i3").status, 404);
+    call_and_wait(
+        [&](auto caller) { node_.api().submit(make_job(3), 1000, caller); });
+    EXPECT_EQ(read_item_body("i3").status, 404);
     EXPECT_TRUE(counted("item_unknown"));
-    store_.append(batch_node::journal(),
-                  {{batch::to_text(batch::header_key{job}), ""}});
+    store_.append(batch_node::journal_partition(),
+                  {{batch::format_key(batch::header_key{test_job_id}), ""}});
     time_.run_for(500);
-    EXPECT_EQ(body("i0").status, 404);
+    EXPECT_EQ(read_item_body("i0").status, 404);
     EXPECT_TRUE(counted("told_job_unknown"));
     EXPECT_FALSE(counted("position_empty"));
 }
 
 TEST_F(batch_api_test, a_result_that_does_not_come_again_is_counted) {
-    answer([&](auto caller) {
-        node_.calls().submit(submission(3), 1000, caller);
-    });
-    node_.own(true);
+    call_and_wait(
+        [&](auto caller) { node_.api().submit(make_job(3), 1000, caller); });
+    node_.claim_or_renew(true);
     time_.run_for(500);
-    node_.list({{job, 0, {batch::item_id("i0"), {}, "t", {1}, "s"}}});
+    node_.commit_results(
+        {{test_job_id, 0, {batch::item_id("i0"), {}, "t", {1}, "s"}}});
     time_.run_for(500);
     const auto read = [&] {
-        return answer([&](auto caller) {
-            node_.calls().read({job, 0, 0}, caller);
+        return call_and_wait([&](auto caller) {
+            node_.api().read_results({test_job_id, 0, 0}, caller);
         });
     };
     EXPECT_NE(read().body.find("i0"), std::string::npos);
-    const auto header = store_.state(batch_node::journal()).at("j/h");
-    store_.append(batch_node::journal(), {{"j/h", ""}, {"j/h", header}});
+    const auto header =
+        store_.newest_values(batch_node::journal_partition()).at("j/h");
+    store_.append(batch_node::journal_partition(),
+                  {{"j/h", ""}, {"j/h", header}});
     time_.run_for(500);
     EXPECT_EQ(read().status, 200);
     EXPECT_NE(
