--- a/packages/entry/test/faulty_server.hpp
+++ b/packages/entry/test/faulty_server.hpp
@@ -21,60 +21,61 @@
 namespace hibiscus::testing {
 
 /// What a faulty server does with one request.
-enum class conduct {
-    answers,
-    answers_in_chunks,
-    answers_without_length,
-    answers_slowly,
-    answers_and_closes,
-    answers_before_the_body,
-    answers_twice,
-    sends_bytes_behind_the_answer,
-    sends_the_last_answer_again,
-    drops_the_idle_connection,
-    resets_unread,
-    resets_after_the_run,
-    resets_in_the_answer,
-    resets_without_length,
-    cuts_the_answer,
-    is_silent,
+enum class server_behavior {
+    responds,
+    responds_chunked,
+    responds_without_length,
+    responds_slowly,
+    responds_and_closes,
+    responds_before_body,
+    responds_twice,
+    sends_extra_bytes_after_response,
+    repeats_response_before_next,
+    resets_idle_connection,
+    resets_before_reading,
+    resets_after_run,
+    resets_in_response,
+    resets_in_unsized_response,
+    truncates_response,
+    never_responses,
     sends_garbage,
-    answers_unsigned,
+    omits_response_stamp,
     fails,
-    refuses,
-    refuses_after_the_run,
-    is_another_server,
+    rejects,
+    rejects_after_run,
+    is_wrong_server,
 };
 
-constexpr int conducts = static_cast<int>(conduct::is_another_server) + 1;
+constexpr int server_behavior_count =
+    static_cast<int>(server_behavior::is_wrong_server) + 1;
 
 /// Returns true if a stream that meets this conduct must end whole.
-inline bool is_sound(conduct c) {
-    return c <= conduct::drops_the_idle_connection;
+inline bool must_complete_stream(server_behavior c) {
+    return c <= server_behavior::resets_idle_connection;
 }
 
 /// What the servers have seen of one request.
-struct seen_request {
+struct observed_request {
     std::string body;
     bool streamed = false;
-    std::vector<conduct> plan;
-    int sends = 0;
+    std::vector<server_behavior> behaviors;
+    int send_count = 0;
     /// Sends on kept connections that ended before an answer.
-    int sends_lost_with_connection = 0;
-    int runs = 0;
-    std::set<std::string> ran_at;
-    std::set<int> failures_signed;
-    conduct last = conduct::answers;
-    bool last_lost_with_connection = false;
-    std::string wrong;
+    int lost_send_count = 0;
+    int run_count = 0;
+    std::set<std::string> servers_run_at;
+    std::set<int> signed_failure_statuses;
+    server_behavior last_behavior = server_behavior::responds;
+    bool last_send_lost = false;
+    std::string failure;
 };
 
-using seen_requests = std::map<std::string, seen_request>;
+using observed_requests = std::map<std::string, observed_request>;
 
 constexpr int stream_events = 6;
 
 /// Returns the events of a stream behind the event `after`.
-inline std::string events_of(const std::string& id, int after = 0) {
+inline std::string make_events(const std::string& id, int after = 0) {
     std::string out;
     for (int n = after + 1; n <= stream_events; ++n) {
         out += "id: " + std::to_string(n) + "\ndata: " + id + "." +
@@ -84,7 +85,7 @@
 }
 
 /// Returns the plain answer to a request.
-inline std::string answer_of(const std::string& id) {
+inline std::string make_plain_body(const std::string& id) {
     return "answer to " + id + std::string(200, '.');
 }
 
@@ -93,8 +94,8 @@
 class faulty_server {
 public:
     faulty_server(boost::asio::io_context& io, std::string name,
-                  seen_requests& seen)
-        : io_(io), name_(std::move(name)), seen_(seen),
+                  observed_requests& seen)
+        : io_(io), name_(std::move(name)), observed_(seen),
           acceptor_(io,
                     tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0)) {
         // A long body must not fit into the kernel's buffers.
@@ -114,28 +115,28 @@
     using error_code = boost::system::error_code;
 
     static constexpr int receive_buffer_bytes = 8192;
-    static constexpr std::chrono::milliseconds slow_ms{20};
+    static constexpr std::chrono::milliseconds response_delay{20};
 
     struct connection {
         explicit connection(tcp::socket s) : socket(std::move(s)) {}
         tcp::socket socket;
-        std::array<char, 16384> piece{};
-        std::string in;
+        std::array<char, 16384> read_buffer{};
+        std::string input;
         std::string last_answer;
-        int requests = 0;
+        int request_count = 0;
         bool reset_at_next = false;
         bool repeat_at_next = false;
         bool answered_early = false;
-        bool mute = false;
+        bool ignores_input = false;
     };
     using connection_ptr = std::shared_ptr<connection>;
 
     /// The parts of a request's head that count here.
     struct request_head {
         std::string id;
-        int after = 0;
+        int last_event_id = 0;
         std::size_t body_bytes = 0;
-        std::size_t bytes = 0;
+        std::size_t head_bytes = 0;
     };
 
     void accept() {
@@ -148,19 +149,21 @@
     }
 
     void read(const connection_ptr& c) {
-        c->socket.async_read_some(boost::asio::buffer(c->piece),
+        c->socket.async_read_some(boost::asio::buffer(c->read_buffer),
                                   [this, c](error_code error, std::size_t n) {
                                       if (error) {
                                           return;
                                       }
-                                      c->in.append(c->piece.data(), n);
-                                      if (c->mute || take(c)) {
+                                      c->input.append(c->read_buffer.data(), n);
+                                      if (c->ignores_input ||
+                                          process_input(c)) {
                                           read(c);
                                       }
                                   });
     }
 
-    static std::string field(const std::string& head, const std::string& name) {
+    static std::string find_field(const std::string& head,
+                                  const std::string& name) {
         const auto at = head.find("\r\n" + name + ": ");
         if (at == std::string::npos) {
             return {};
@@ -169,59 +172,60 @@
         return head.substr(begin, head.find("\r\n", begin) - begin);
     }
 
-    static request_head parse(const std::string& in, std::size_t end) {
+    static request_head parse_head(const std::string& in, std::size_t end) {
         const auto text = in.substr(0, end + 2);
         request_head h;
-        h.id = field(text, "Request-Id");
-        h.after = std::atoi(field(text, "Last-Event-Id").c_str());
+        h.id = find_field(text, "Request-Id");
+        h.last_event_id = std::atoi(find_field(text, "Last-Event-Id").c_str());
         h.body_bytes = static_cast<std::size_t>(
-            std::atoll(field(text, "Content-Length").c_str()));
-        h.bytes = end + 4;
+            std::atoll(find_field(text, "Content-Length").c_str()));
+        h.head_bytes = end + 4;
         return h;
     }
 
     /// Takes what has come. Returns false once the connection has ended.
-    bool take(const connection_ptr& c) {
-        while (!c->in.empty()) {
+    bool process_input(const connection_ptr& c) {
+        while (!c->input.empty()) {
             if (c->reset_at_next) {
                 reset(c);
                 return false;
             }
-            const auto end = c->in.find("\r\n\r\n");
+            const auto end = c->input.find("\r\n\r\n");
             if (end == std::string::npos) {
                 return true;
             }
-            const auto h = parse(c->in, end);
-            if (seen_.count(h.id) == 0) {
-                seen_[h.id].wrong = c->in.substr(0, end);
+            const auto h = parse_head(c->input, end);
+            if (observed_.count(h.id) == 0) {
+                observed_[h.id].failure = c->input.substr(0, end);
             }
-            auto& s = seen_[h.id];
-            const bool whole = c->in.size() >= h.bytes + h.body_bytes;
-            const auto what = conduct_of(s);
+            auto& s = observed_[h.id];
+            const bool whole = c->input.size() >= h.head_bytes + h.body_bytes;
+            const auto what = next_behavior(s);
             if (!c->answered_early && !whole &&
-                what == conduct::answers_before_the_body) {
+                what == server_behavior::responds_before_body) {
                 c->answered_early = true;
-                note_send(c, s, what);
-                note_run(s);
-                send(c, framed(s, h, what));
+                record_send(c, s, what);
+                record_run(s);
+                send(c, make_response(s, h, what));
             }
-            if (!c->answered_early && what == conduct::resets_unread) {
-                note_send(c, s, what);
+            if (!c->answered_early &&
+                what == server_behavior::resets_before_reading) {
+                record_send(c, s, what);
                 reset(c);
                 return false;
             }
             if (!whole) {
                 return true;
             }
-            if (c->in.substr(h.bytes, h.body_bytes) != s.body) {
-                s.wrong = "another body was sent";
+            if (c->input.substr(h.head_bytes, h.body_bytes) != s.body) {
+                s.failure = "another body was sent";
             }
-            c->in.erase(0, h.bytes + h.body_bytes);
+            c->input.erase(0, h.head_bytes + h.body_bytes);
             if (std::exchange(c->answered_early, false)) {
                 continue;
             }
-            note_send(c, s, what);
-            if (!act(c, s, h, what)) {
+            record_send(c, s, what);
+            if (!apply_behavior(c, s, h, what)) {
                 return false;
             }
         }
@@ -229,78 +233,80 @@
     }
 
     /// Returns what the plan says for the next send of a request.
-    static conduct conduct_of(const seen_request& s) {
-        return s.plan.empty()
-                   ? conduct::answers
-                   : s.plan[static_cast<std::size_t>(s.sends) % s.plan.size()];
+    static server_behavior next_behavior(const observed_request& s) {
+        return s.behaviors.empty()
+                   ? server_behavior::responds
+                   : s.behaviors[static_cast<std::size_t>(s.send_count) %
+                                 s.behaviors.size()];
     }
 
-    static void note_send(const connection_ptr& c, seen_request& s,
-                          conduct what) {
-        ++s.sends;
-        s.last = what;
-        const bool lost = c->repeat_at_next || what == conduct::resets_unread ||
-                          what == conduct::resets_after_the_run;
-        s.last_lost_with_connection = c->requests > 0 && lost;
-        s.sends_lost_with_connection += s.last_lost_with_connection ? 1 : 0;
-        ++c->requests;
+    static void record_send(const connection_ptr& c, observed_request& s,
+                            server_behavior what) {
+        ++s.send_count;
+        s.last_behavior = what;
+        const bool lost = c->repeat_at_next ||
+                          what == server_behavior::resets_before_reading ||
+                          what == server_behavior::resets_after_run;
+        s.last_send_lost = c->request_count > 0 && lost;
+        s.lost_send_count += s.last_send_lost ? 1 : 0;
+        ++c->request_count;
     }
 
-    void note_run(seen_request& s) {
-        ++s.runs;
-        s.ran_at.insert(name_);
+    void record_run(observed_request& s) {
+        ++s.run_count;
+        s.servers_run_at.insert(name_);
     }
 
     /// Does what the plan says with a whole request. Returns false once the
     /// connection has ended.
-    bool act(const connection_ptr& c, seen_request& s, const request_head& h,
-             conduct what) {
-        const bool ran =
-            what != conduct::refuses && what != conduct::is_another_server;
+    bool apply_behavior(const connection_ptr& c, observed_request& s,
+                        const request_head& h, server_behavior what) {
+        const bool ran = what != server_behavior::rejects &&
+                         what != server_behavior::is_wrong_server;
         if (ran) {
-            note_run(s);
+            record_run(s);
         }
         if (std::exchange(c->repeat_at_next, false)) {
             send(c, c->last_answer);
         }
-        const auto answer = framed(s, h, what);
+        const auto answer = make_response(s, h, what);
         const auto head_end = answer.find("\r\n\r\n") + 4;
         const auto half = head_end + (answer.size() - head_end) / 2;
         c->last_answer = answer;
         switch (what) {
-        case conduct::resets_after_the_run:
+        case server_behavior::resets_after_run:
             reset(c);
             return false;
-        case conduct::resets_in_the_answer:
-        case conduct::resets_without_length:
+        case server_behavior::resets_in_response:
+        case server_behavior::resets_in_unsized_response:
             send(c, answer.substr(0, half), [this, c] { reset_later(c); });
             return true;
-        case conduct::cuts_the_answer:
+        case server_behavior::truncates_response:
             send(c, answer.substr(0, half), [c] { close(c); });
             return true;
-        case conduct::answers_without_length:
-        case conduct::answers_and_closes:
+        case server_behavior::responds_without_length:
+        case server_behavior::responds_and_closes:
             send(c, answer, [c] { close(c); });
             return true;
-        case conduct::answers_slowly:
-            later([this, c, answer] { send(c, answer); });
+        case server_behavior::responds_slowly:
+            run_later([this, c, answer] { send(c, answer); });
             return true;
-        case conduct::answers_twice:
+        case server_behavior::responds_twice:
             send(c, answer + answer);
             return true;
-        case conduct::sends_bytes_behind_the_answer:
+        case server_behavior::sends_extra_bytes_after_response:
             send(c, answer + "HTTP/1.1 200 OK\r\nConte");
             return true;
-        case conduct::sends_the_last_answer_again:
+        case server_behavior::repeats_response_before_next:
             c->repeat_at_next = true;
             break;
-        case conduct::drops_the_idle_connection:
+        case server_behavior::resets_idle_connection:
             c->reset_at_next = true;
             break;
-        case conduct::is_silent:
-            c->mute = true;
+        case server_behavior::never_responses:
+            c->ignores_input = true;
             return true;
-        case conduct::sends_garbage:
+        case server_behavior::sends_garbage:
             send(c, "\x16\x03 no answer\r\n\r\n");
             return true;
         default:
@@ -310,7 +316,7 @@
         return true;
     }
 
-    static std::string in_chunks(const std::string& body) {
+    static std::string encode_chunked(const std::string& body) {
         std::string out;
         constexpr std::size_t chunk = 16;
         for (std::size_t at = 0; at < body.size(); at += chunk) {
@@ -322,41 +328,41 @@
         return out + "0\r\n\r\n";
     }
 
-    static std::string framed(seen_request& s, const request_head& h,
-                              conduct what) {
+    static std::string make_response(observed_request& s, const request_head& h,
+                                     server_behavior what) {
         const auto identity = "Request-Id: " + h.id + "\r\n";
         const auto stamp = "Response-Stamp: of-" + h.id + "\r\n";
         const std::string nothing = "Content-Length: 0\r\n\r\n";
         switch (what) {
-        case conduct::refuses:
+        case server_behavior::rejects:
             return "HTTP/1.1 503 Busy\r\nNot-Executed: 1\r\n" + identity +
                    nothing;
-        case conduct::refuses_after_the_run:
-            s.failures_signed.insert(503);
+        case server_behavior::rejects_after_run:
+            s.signed_failure_statuses.insert(503);
             return "HTTP/1.1 503 Busy\r\n" + identity + stamp + nothing;
-        case conduct::is_another_server:
+        case server_behavior::is_wrong_server:
             return "HTTP/1.1 421 Other\r\nNot-Executed: 1\r\n" + identity +
                    nothing;
-        case conduct::fails:
-            s.failures_signed.insert(500);
+        case server_behavior::fails:
+            s.signed_failure_statuses.insert(500);
             return "HTTP/1.1 500 Failed\r\n" + identity + stamp + nothing;
         default:
             break;
         }
-        const auto body =
-            s.streamed ? events_of(h.id, h.after) : answer_of(h.id);
+        const auto body = s.streamed ? make_events(h.id, h.last_event_id)
+                                     : make_plain_body(h.id);
         auto head = "HTTP/1.1 200 OK\r\n" + identity;
-        head += what == conduct::answers_unsigned ? "" : stamp;
-        if (what == conduct::answers_without_length ||
-            what == conduct::resets_without_length) {
+        head += what == server_behavior::omits_response_stamp ? "" : stamp;
+        if (what == server_behavior::responds_without_length ||
+            what == server_behavior::resets_in_unsized_response) {
             return head + "\r\n" + body;
         }
-        if (what == conduct::answers_and_closes) {
+        if (what == server_behavior::responds_and_closes) {
             head += "Connection: close\r\n";
         }
-        if (s.streamed || what == conduct::answers_in_chunks) {
+        if (s.streamed || what == server_behavior::responds_chunked) {
             return head + "Transfer-Encoding: chunked\r\n\r\n" +
-                   in_chunks(body);
+                   encode_chunked(body);
         }
         return head + "Content-Length: " + std::to_string(body.size()) +
                "\r\n\r\n" + body;
@@ -379,8 +385,9 @@
     }
 
     template <class Then>
-    void later(Then then) {
-        auto timer = std::make_shared<boost::asio::steady_timer>(io_, slow_ms);
+    void run_later(Then then) {
+        auto timer =
+            std::make_shared<boost::asio::steady_timer>(io_, response_delay);
         timer->async_wait([timer, then](error_code error) {
             if (!error) {
                 then();
@@ -390,7 +397,7 @@
 
     /// Resets once the other side can have read what was sent.
     void reset_later(const connection_ptr& c) {
-        later([c] { reset(c); });
+        run_later([c] { reset(c); });
     }
 
     static void close(const connection_ptr& c) {
@@ -407,7 +414,7 @@
 
     boost::asio::io_context& io_;
     std::string name_;
-    seen_requests& seen_;
+    observed_requests& observed_;
     tcp::acceptor acceptor_;
 };
 
--- a/packages/entry/test/forwarder_fuzz_test.cpp
+++ b/packages/entry/test/forwarder_fuzz_test.cpp
@@ -1,4 +1,4 @@
-#include "forwarder_world.hpp"
+#include "forwarder_harness.hpp"
 #include "support/fuzz.hpp"
 
 #include <gtest/gtest.h>
@@ -12,33 +12,35 @@
 constexpr std::size_t long_body_bytes = std::size_t{4} * 1024 * 1024;
 
 /// Returns what servers do with the sends of a request; half are answered.
-std::vector<conduct> plan_of(int number) {
-    std::vector<conduct> out;
+std::vector<server_behavior> make_plan(int number) {
+    std::vector<server_behavior> out;
     for (int n = 0; n < 3; ++n, number /= 37) {
-        const int what = number % (2 * conducts);
-        out.push_back(what < conducts ? static_cast<conduct>(what)
-                                      : conduct::answers);
+        const int what = number % (2 * server_behavior_count);
+        out.push_back(what < server_behavior_count
+                          ? static_cast<server_behavior>(what)
+                          : server_behavior::responds);
     }
     return out;
 }
 
-void ask(forwarder_world& w, const fuzz_command& c) {
-    auto plan = plan_of(c.b * 1000 + c.c);
+void send_random_request(forwarder_harness& w, const fuzz_command& c) {
+    auto plan = make_plan(c.b * 1000 + c.c);
     std::size_t body_bytes = c.c % 3 == 0 ? 20000 : 20;
-    if (plan[0] == conduct::answers_before_the_body) {
+    if (plan[0] == server_behavior::responds_before_body) {
         body_bytes = long_body_bytes;
     }
     std::optional<std::chrono::milliseconds> leaves_after;
     if (c.c % 13 == 0) {
         leaves_after = std::chrono::milliseconds(c.b % 40);
     }
-    w.ask(shapes[static_cast<std::size_t>(c.a) % shapes.size()], c.a / 5,
-          std::move(plan), body_bytes, leaves_after);
+    w.send_request(
+        test_routes[static_cast<std::size_t>(c.a) % test_routes.size()],
+        c.a / 5, std::move(plan), body_bytes, leaves_after);
 }
 
-void apply(forwarder_world& w, const fuzz_command& c) {
+void apply_command(forwarder_harness& w, const fuzz_command& c) {
     if (c.kind < 86) {
-        ask(w, c);
+        send_random_request(w, c);
     } else if (c.kind < 91) {
         w.configure(c.a, c.b);
     } else if (c.kind < 93) {
@@ -55,12 +57,12 @@
 TEST(forwarder_fuzz_test, callers_get_one_answer_whatever_servers_do) {
     std::size_t requests = 0;
     fuzz("forwarder", 12, [&](const auto& commands) {
-        forwarder_world w;
+        forwarder_harness w;
         for (const auto& c : commands) {
-            apply(w, c);
+            apply_command(w, c);
         }
-        requests += w.requests();
-        auto wrong = w.finish();
+        requests += w.request_count();
+        auto wrong = w.finish_and_check();
         if (!wrong.empty()) {
             // Requests race, and the shrunk list may fail for another reason.
             std::cout << wrong << std::endl;
--- /dev/null
+++ b/packages/entry/test/forwarder_harness.hpp
@@ -0,0 +1,391 @@
+#pragma once
+
+#include "forwarder.hpp"
+
+#include "faulty_server.hpp"
+#include "hibiscus/gateway/configuration.hpp"
+#include "hibiscus/transport/streaming_http_server.hpp"
+#include "keep_alive_caller.hpp"
+#include "platform/client_api.hpp"
+
+#include <fcntl.h>
+#include <unistd.h>
+
+#include <algorithm>
+#include <array>
+#include <chrono>
+#include <cstddef>
+#include <functional>
+#include <map>
+#include <memory>
+#include <string>
+#include <string_view>
+#include <utility>
+#include <variant>
+#include <vector>
+
+namespace hibiscus::testing {
+
+constexpr int service_count = 2;
+constexpr int servers_per_service = 3;
+constexpr int caller_count = 24;
+constexpr base::millis plain_deadline_ms = 600;
+constexpr base::millis stream_deadline_ms = 1500;
+constexpr base::millis max_wait_ms = 60000;
+
+/// The kinds of routes that callers use.
+struct test_route {
+    const char* prefix = "";
+    gateway::route_kind kind = gateway::route_kind::idempotent;
+    bool resumable = false;
+    int attempts = 1;
+};
+
+constexpr test_route idempotent_route{
+    "/again/", gateway::route_kind::idempotent, false, 3};
+constexpr test_route single_attempt_route{
+    "/again-at-one/", gateway::route_kind::idempotent, false, 1};
+constexpr test_route non_idempotent_route{
+    "/once/", gateway::route_kind::non_idempotent, false, 3};
+constexpr test_route streaming_route{"/stream/", gateway::route_kind::streaming,
+                                     false, 2};
+constexpr test_route resumable_route{"/resumed/",
+                                     gateway::route_kind::streaming, true, 3};
+constexpr std::array<test_route, 5> test_routes{
+    idempotent_route, single_attempt_route, non_idempotent_route,
+    streaming_route, resumable_route};
+
+inline std::string make_service_name(int n) {
+    return "service-" + std::to_string(n % service_count);
+}
+
+/// A file descriptor that takes what is written and drops it.
+class null_output {
+public:
+    null_output() : descriptor_(::open("/dev/null", O_WRONLY | O_CLOEXEC)) {}
+    ~null_output() { ::close(descriptor_); }
+    null_output(const null_output&) = delete;
+    null_output& operator=(const null_output&) = delete;
+    int descriptor() const { return descriptor_; }
+
+private:
+    int descriptor_;
+};
+
+struct sent_request {
+    test_route route;
+    std::shared_ptr<request_result> result;
+};
+
+/// The way to a caller whose connection has ended.
+class disconnected_response_writer : public transport::response_writer {
+public:
+    void send(transport::outbound_response) override {}
+    void send_head(int, const transport::headers&) override {}
+    void write(std::string_view) override {}
+    void finish() override {}
+    void abort() override {}
+    void on_disconnect(std::function<void()> closed) override { closed(); }
+};
+
+/// Callers, a front with a forwarder, and faulty servers on one event loop.
+class forwarder_harness {
+public:
+    forwarder_harness() : state_({}, {}, null_.descriptor()) {
+        for (int n = 0; n < service_count * servers_per_service; ++n) {
+            servers_.push_back(std::make_unique<faulty_server>(
+                io_, "server-" + std::to_string(n), observed_));
+            put_server(n, false);
+        }
+        configure(0, 0);
+        const auto at = server_.listen({"127.0.0.1", 0});
+        for (int n = 0; n < caller_count; ++n) {
+            callers_.push_back(std::make_unique<keep_alive_caller>(io_, *at));
+        }
+    }
+
+    /// Takes a configuration; `a` says where routes lead and which is missing,
+    /// `b` how long their requests may take.
+    void configure(int a, int b) {
+        gateway::configuration next;
+        next.version = ++version_;
+        for (std::size_t n = 0; n < test_routes.size(); ++n) {
+            if (a % 11 == static_cast<int>(n) + 1) {
+                continue;
+            }
+            gateway::route r;
+            r.host = "h";
+            r.path_prefix = test_routes[n].prefix;
+            r.kind = test_routes[n].kind;
+            r.resumable = test_routes[n].resumable;
+            r.max_attempts = test_routes[n].attempts;
+            const bool plain = r.kind != gateway::route_kind::streaming;
+            r.timeout_ms = plain && b % 2 == 1 ? 300 + b % 300 : 0;
+            r.services = {{make_service_name(a + static_cast<int>(n)), 1}};
+            next.routes.push_back(std::move(r));
+        }
+        state_.configuration = std::move(next);
+    }
+
+    /// Has a caller send a request; `plan` is what servers do with its sends.
+    std::shared_ptr<request_result> send_request(
+        const test_route& shape, int caller, std::vector<server_behavior> plan,
+        std::size_t body_bytes,
+        std::optional<std::chrono::milliseconds> leaves_after = std::nullopt) {
+        const auto id = "r" + std::to_string(observed_.size());
+        auto& s = observed_[id];
+        s.streamed = shape.kind == gateway::route_kind::streaming;
+        s.behaviors = std::move(plan);
+        s.body =
+            id + std::string(body_bytes,
+                             static_cast<char>('a' + observed_.size() % 26));
+        queued_request r;
+        r.result = std::make_shared<request_result>();
+        r.disconnect_after = leaves_after;
+        r.bytes = "POST " + std::string(shape.prefix) + id +
+                  "?q=1 HTTP/1.1\r\nHost: h\r\nRequest-Id: " + id +
+                  "\r\nDeadline-Ms: " +
+                  std::to_string(s.streamed ? stream_deadline_ms
+                                            : plain_deadline_ms) +
+                  "\r\nContent-Length: " + std::to_string(s.body.size()) +
+                  "\r\n\r\n" + s.body;
+        sent_requests_[id] = {shape, r.result};
+        auto result = r.result;
+        callers_[static_cast<std::size_t>(caller) % callers_.size()]->enqueue(
+            std::move(r));
+        return result;
+    }
+
+    /// Forwards a request whose caller has left.
+    void forward_for_disconnected_caller() {
+        entry::forward_request f;
+        f.http_request.fields = {{"Host", "h"}, {"Request-Id", "gone"}};
+        f.service = samplers::service_name(make_service_name(0));
+        f.retryable = true;
+        f.deadline = state_.clock.now() + plain_deadline_ms;
+        forwarder_.forward_to_caller(
+            std::move(f), std::make_shared<disconnected_response_writer>());
+    }
+
+    void remove_server(int n) { state_.samplers.remove(sampler_id_at(n)); }
+
+    void put_server(int n, bool draining) {
+        const auto& s =
+            *servers_[static_cast<std::size_t>(n) % servers_.size()];
+        samplers::registration r;
+        r.service = samplers::service_name(
+            make_service_name(n % (service_count * servers_per_service)));
+        r.address = s.address();
+        r.zone = base::zone_id("z");
+        r.slots = 4;
+        r.draining = draining;
+        state_.samplers.put(samplers::sampler_id(s.name()), r);
+    }
+
+    void run_for(std::chrono::milliseconds time) {
+        io_.restart();
+        io_.run_for(time);
+        io_.restart();
+        io_.poll();
+    }
+
+    /// Runs until servers have got so many sends; false if that never happens.
+    bool run_until_sends(int sends) {
+        const base::clock clock;
+        const auto until = clock.now() + max_wait_ms;
+        while (total_sends() < sends && clock.now() < until) {
+            run_for(std::chrono::milliseconds(1));
+        }
+        return total_sends() >= sends;
+    }
+
+    std::string metrics() const { return state_.counters.serialize(); }
+
+    std::size_t request_count() const { return sent_requests_.size(); }
+
+    /// Runs until all callers are done. Returns what is wrong, or "".
+    std::string finish_and_check() {
+        const base::clock clock;
+        const auto until = clock.now() + max_wait_ms;
+        while (has_busy_callers() && clock.now() < until) {
+            run_for(std::chrono::milliseconds(2));
+        }
+        if (has_busy_callers()) {
+            return "a caller waits without end";
+        }
+        run_for(std::chrono::milliseconds(30));
+        for (const auto& c : callers_) {
+            if (c->unsolicited_bytes() > 0) {
+                return "bytes came behind the last answer";
+            }
+        }
+        return check_all();
+    }
+
+private:
+    samplers::sampler_id sampler_id_at(int n) const {
+        return samplers::sampler_id(
+            servers_[static_cast<std::size_t>(n) % servers_.size()]->name());
+    }
+
+    void on_request(transport::inbound_request request,
+                    std::shared_ptr<transport::response_writer> answer) {
+        const auto front = adapter::parse_client_request(request);
+        const auto& call = std::get<adapter::routed_request>(front);
+        const auto* r = gateway::find_route(*state_.configuration, call.host,
+                                            request.target);
+        if (r == nullptr) {
+            answer->send(adapter::status_response(404));
+            return;
+        }
+        entry::forward_request f;
+        f.id = call.id;
+        f.http_request.method = std::move(request.method);
+        f.http_request.target = std::move(request.target);
+        f.http_request.body = std::move(request.body);
+        f.http_request.fields = {{"Host", call.host}, {"Request-Id", call.id}};
+        f.service = samplers::service_name(r->services.front().service);
+        f.max_attempts = r->max_attempts;
+        f.streaming = r->kind == gateway::route_kind::streaming;
+        f.resumable = f.streaming && r->resumable;
+        f.retryable = r->kind == gateway::route_kind::idempotent || f.resumable;
+        const auto time = r->timeout_ms > 0
+                              ? std::min(call.deadline_ms, r->timeout_ms)
+                              : call.deadline_ms;
+        f.deadline = state_.clock.now() + time;
+        forwarder_.forward_to_caller(std::move(f), std::move(answer));
+    }
+
+    int total_sends() const {
+        int out = 0;
+        for (const auto& [id, s] : observed_) {
+            out += s.send_count;
+        }
+        return out;
+    }
+
+    bool has_busy_callers() const {
+        for (const auto& c : callers_) {
+            if (c->is_busy()) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    std::string check_all() const {
+        for (const auto& [id, s] : observed_) {
+            const auto at = sent_requests_.find(id);
+            if (at == sent_requests_.end()) {
+                return "nobody asked for it: " + s.failure;
+            }
+            auto wrong = check(id, s, at->second);
+            if (!wrong.empty()) {
+                return wrong.append(": ").append(describe(s, at->second));
+            }
+        }
+        return "";
+    }
+
+    static std::string describe(const observed_request& s,
+                                const sent_request& a) {
+        std::string out = a.route.prefix;
+        out += " " + a.result->error;
+        out += " status " + std::to_string(a.result->status) + ", sends " +
+               std::to_string(s.send_count) + ", runs " +
+               std::to_string(s.run_count) + ", plan";
+        for (const auto c : s.behaviors) {
+            out += " " + std::to_string(static_cast<int>(c));
+        }
+        return out;
+    }
+
+    static std::string check(const std::string& id, const observed_request& s,
+                             const sent_request& a) {
+        const auto& r = *a.result;
+        if (!s.failure.empty() || !r.failure.empty()) {
+            return s.failure + r.failure;
+        }
+        const bool repeatable =
+            a.route.kind == gateway::route_kind::idempotent ||
+            a.route.resumable;
+        if (!repeatable && s.run_count > 1) {
+            return "ran twice";
+        }
+        if (s.send_count - s.lost_send_count > a.route.attempts ||
+            static_cast<int>(s.servers_run_at.size()) > a.route.attempts) {
+            return "more servers than its route allows";
+        }
+        if (r.disconnected) {
+            return "";
+        }
+        if (!r.head_received) {
+            return "the connection ended without an answer";
+        }
+        if (r.status == 200) {
+            return check_success(id, s, r, a.route.resumable);
+        }
+        return check_failure(s, r, repeatable);
+    }
+
+    static std::string check_success(const std::string& id,
+                                     const observed_request& s,
+                                     const request_result& r, bool resumable) {
+        const auto whole = s.streamed ? make_events(id) : make_plain_body(id);
+        if (r.request_id != id || r.stamp != "of-" + id) {
+            return "the answer belongs to another request";
+        }
+        if (r.complete) {
+            return r.body == whole ? "" : "another body came";
+        }
+        // Without a length, an end can't be told from a cut between two events.
+        const bool open_end =
+            resumable &&
+            s.last_behavior == server_behavior::responds_without_length;
+        if (!s.streamed ||
+            (must_complete_stream(s.last_behavior) && !open_end)) {
+            return "a sound answer broke off";
+        }
+        return whole.compare(0, r.body.size(), r.body) == 0
+                   ? ""
+                   : "pieces are missing or come twice";
+    }
+
+    static std::string check_failure(const observed_request& s,
+                                     const request_result& r, bool repeatable) {
+        if (!r.complete) {
+            return "a failure broke off";
+        }
+        if (!r.stamp.empty() &&
+            s.signed_failure_statuses.count(r.status) == 0) {
+            return "no server signed this failure";
+        }
+        if (s.send_count > 0 && must_complete_stream(s.last_behavior) &&
+            !s.last_send_lost && r.status != 504) {
+            return "a sound answer was not handed on";
+        }
+        const bool promise = r.status == 503 || r.status == 429 ||
+                             r.status == 408 || r.status == 421;
+        if (promise && !repeatable && s.run_count > 0) {
+            return "called not run, but it ran";
+        }
+        return "";
+    }
+
+    null_output null_;
+    boost::asio::io_context io_{1};
+    observed_requests observed_;
+    std::map<std::string, sent_request> sent_requests_;
+    std::vector<std::unique_ptr<faulty_server>> servers_;
+    entry::node_state state_;
+    transport::upstream_client client_{io_};
+    entry::forwarder forwarder_{state_, client_};
+    transport::streaming_http_server server_{
+        io_, {}, [this](auto request, auto answer) {
+            on_request(std::move(request), std::move(answer));
+        }};
+    std::vector<std::unique_ptr<keep_alive_caller>> callers_;
+    std::int64_t version_ = 0;
+};
+
+} // namespace hibiscus::testing
--- a/packages/entry/test/plain_caller.hpp
+++ b/packages/entry/test/keep_alive_caller.hpp
@@ -19,46 +19,46 @@
 namespace hibiscus::testing {
 
 /// What a caller got for one request.
-struct caller_result {
+struct request_result {
     bool done = false;
-    bool left = false;
-    bool head = false;
+    bool disconnected = false;
+    bool head_received = false;
     bool complete = false;
     int status = 0;
-    std::string id;
+    std::string request_id;
     std::string stamp;
     std::string body;
     /// How the connection ended, if it did before the answer.
     std::string error;
-    std::string wrong;
+    std::string failure;
 };
 
 /// A request of a caller.
-struct caller_request {
+struct queued_request {
     std::string bytes;
     /// After which the caller closes its connection.
-    std::optional<std::chrono::milliseconds> leaves_after;
-    std::shared_ptr<caller_result> result;
+    std::optional<std::chrono::milliseconds> disconnect_after;
+    std::shared_ptr<request_result> result;
 };
 
 /// Sends requests one after the other on a connection that it keeps as long as
 /// it can.
-class plain_caller {
+class keep_alive_caller {
 public:
-    plain_caller(boost::asio::io_context& io, base::endpoint to)
-        : io_(io), to_(std::move(to)), timer_(io) {}
+    keep_alive_caller(boost::asio::io_context& io, base::endpoint to)
+        : io_(io), server_address_(std::move(to)), timer_(io) {}
 
-    void add(caller_request request) {
-        waiting_.push_back(std::move(request));
+    void enqueue(queued_request request) {
+        queue_.push_back(std::move(request));
         if (!busy_) {
-            next();
+            send_next();
         }
     }
 
-    bool busy() const { return busy_; }
+    bool is_busy() const { return busy_; }
 
     /// Returns how many bytes have come that belong to no request.
-    std::size_t stray_bytes() const {
+    std::size_t unsolicited_bytes() const {
         if (!socket_) {
             return 0;
         }
@@ -72,15 +72,15 @@
     using parser =
         boost::beast::http::response_parser<boost::beast::http::string_body>;
 
-    void next() {
-        busy_ = !waiting_.empty();
+    void send_next() {
+        busy_ = !queue_.empty();
         if (!busy_) {
             return;
         }
-        request_ = std::move(waiting_.front());
-        waiting_.pop_front();
-        if (stray_bytes() > 0) {
-            request_.result->wrong = "bytes came while no request waited";
+        request_ = std::move(queue_.front());
+        queue_.pop_front();
+        if (unsolicited_bytes() > 0) {
+            request_.result->failure = "bytes came while no request waited";
         }
         if (socket_) {
             send();
@@ -89,7 +89,8 @@
         buffer_.clear();
         socket_ = std::make_shared<tcp::socket>(io_);
         socket_->async_connect(
-            tcp::endpoint(boost::asio::ip::make_address(to_.ip), to_.port),
+            tcp::endpoint(boost::asio::ip::make_address(server_address_.ip),
+                          server_address_.port),
             [this](error_code error) {
                 if (error) {
                     request_.result->error = "connect: " + error.message();
@@ -108,31 +109,31 @@
             *socket_, buffer_, *parser_,
             [this, p = parser_, s = socket_](error_code error, std::size_t) {
                 if (p == parser_) {
-                    note(*p, error);
+                    record_response(*p, error);
                     finish(!error && p->get().keep_alive());
                 }
             });
-        if (request_.leaves_after) {
-            timer_.expires_after(*request_.leaves_after);
+        if (request_.disconnect_after) {
+            timer_.expires_after(*request_.disconnect_after);
             timer_.async_wait([this, p = parser_](error_code error) {
                 if (!error && p == parser_) {
-                    request_.result->left = true;
+                    request_.result->disconnected = true;
                     finish(false);
                 }
             });
         }
     }
 
-    void note(parser& p, error_code error) {
+    void record_response(parser& p, error_code error) {
         auto& r = *request_.result;
-        r.head = p.is_header_done();
+        r.head_received = p.is_header_done();
         r.complete = !error;
         r.error = error ? error.message() : "";
-        if (!r.head) {
+        if (!r.head_received) {
             return;
         }
         r.status = static_cast<int>(p.get().result_int());
-        r.id = std::string(p.get()["Request-Id"]);
+        r.request_id = std::string(p.get()["Request-Id"]);
         r.stamp = std::string(p.get()["Response-Stamp"]);
         r.body = p.get().body();
     }
@@ -146,14 +147,14 @@
             socket_.reset();
         }
         request_.result->done = true;
-        boost::asio::post(io_, [this] { next(); });
+        boost::asio::post(io_, [this] { send_next(); });
     }
 
     boost::asio::io_context& io_;
-    base::endpoint to_;
+    base::endpoint server_address_;
     boost::asio::steady_timer timer_;
-    std::deque<caller_request> waiting_;
-    caller_request request_;
+    std::deque<queued_request> queue_;
+    queued_request request_;
     std::shared_ptr<tcp::socket> socket_;
     std::shared_ptr<parser> parser_;
     boost::beast::flat_buffer buffer_;
--- a/packages/entry/test/node_table_test.cpp
+++ b/packages/entry/test/node_table_test.cpp
@@ -10,10 +10,10 @@
 
 class node_table_test : public testing::Test {
 protected:
-    node_table_test() { table_.contact(true); }
+    node_table_test() { table_.set_store_reachable(true); }
 
-    static node_entry entry(int n, const std::string& zone = "z",
-                            double cpu_share = 1) {
+    static node_entry make_entry(int n, const std::string& zone = "z",
+                                 double cpu_share = 1) {
         return {{"10.0.0." + std::to_string(n), 1},
                 {"10.0.0." + std::to_string(n), 2},
                 base::zone_id(zone),
@@ -22,16 +22,16 @@
     }
 
     /// Adds so many nodes with this share of a core.
-    void add(int count, double cpu_share) {
+    void add_nodes(int count, double cpu_share) {
         for (int n = 0; n < count; ++n) {
             ++added_;
             table_.put("a" + std::to_string(added_),
-                       entry(added_, "z", cpu_share));
+                       make_entry(added_, "z", cpu_share));
         }
     }
 
-    std::size_t count(const std::string& zone = "z") const {
-        return table_.addresses(base::zone_id(zone)).size();
+    std::size_t count_addresses(const std::string& zone = "z") const {
+        return table_.caller_addresses(base::zone_id(zone)).size();
     }
 
     std::shared_ptr<base::manual_time> time_ =
@@ -41,84 +41,84 @@
 };
 
 TEST_F(node_table_test, names_the_nodes_of_the_zone_if_it_has_enough) {
-    table_.put("n1", entry(1));
-    table_.put("n2", entry(2));
-    table_.put("n3", entry(3, "y"));
-    EXPECT_EQ(count("z"), 2U);
-    EXPECT_EQ(count("y"), 3U);
+    table_.put("n1", make_entry(1));
+    table_.put("n2", make_entry(2));
+    table_.put("n3", make_entry(3, "y"));
+    EXPECT_EQ(count_addresses("z"), 2U);
+    EXPECT_EQ(count_addresses("y"), 3U);
 }
 
 // Most nodes of a zone have an eighth of a core. A trainer that reads a
 // megabyte of results through one of them gets it 0.3 s later than through a
 // larger one.
 TEST_F(node_table_test, sends_callers_to_roomy_nodes) {
-    add(30, 0.12);
-    add(9, 0.5);
-    EXPECT_EQ(count(), 9U);
+    add_nodes(30, 0.12);
+    add_nodes(9, 0.5);
+    EXPECT_EQ(count_addresses(), 9U);
 }
 
 // Three of four roomy nodes are lost. The one that is left, or two, would get
 // all callers of the zone, and take them along if it fails.
 TEST_F(node_table_test, sends_callers_to_all_nodes_if_few_are_roomy) {
-    add(30, 0.12);
-    add(3, 0.5);
-    EXPECT_EQ(count(), 33U);
+    add_nodes(30, 0.12);
+    add_nodes(3, 0.5);
+    EXPECT_EQ(count_addresses(), 33U);
 }
 
 // The roomy nodes have less processor time than all the others together. Alone
 // they would have to carry several times their part.
 TEST_F(node_table_test, sends_callers_to_all_nodes_if_these_are_needed) {
-    add(40, 0.12);
-    add(4, 0.5);
-    EXPECT_EQ(count(), 44U);
+    add_nodes(40, 0.12);
+    add_nodes(4, 0.5);
+    EXPECT_EQ(count_addresses(), 44U);
 }
 
 TEST_F(node_table_test, sends_callers_to_all_nodes_that_are_alike) {
-    add(9, 0.5);
-    EXPECT_EQ(count(), 9U);
+    add_nodes(9, 0.5);
+    EXPECT_EQ(count_addresses(), 9U);
 }
 
 TEST_F(node_table_test, leaves_out_who_does_not_renew_but_not_itself) {
-    table_.put("n1", entry(1));
-    table_.put("n2", entry(2));
+    table_.put("n1", make_entry(1));
+    table_.put("n2", make_entry(2));
     time_->advance(2001);
-    EXPECT_EQ(count(), 1U);
-    EXPECT_TRUE(table_.peers().empty());
+    EXPECT_EQ(count_addresses(), 1U);
+    EXPECT_TRUE(table_.peer_addresses().empty());
 }
 
 TEST_F(node_table_test, leaves_out_who_stops) {
-    table_.put("n2", entry(2));
-    auto e = entry(2);
+    table_.put("n2", make_entry(2));
+    auto e = make_entry(2);
     e.stopping = true;
     table_.put("n2", e);
-    EXPECT_EQ(count(), 0U);
+    EXPECT_EQ(count_addresses(), 0U);
 }
 
 TEST_F(node_table_test, keeps_the_list_while_the_store_is_away) {
     // Renewals go through the store. Without this rule each node would name
     // only itself after two seconds of an outage.
-    table_.put("n2", entry(2));
+    table_.put("n2", make_entry(2));
     time_->advance(1000);
-    table_.contact(false);
+    table_.set_store_reachable(false);
     time_->advance(60000);
-    EXPECT_EQ(count(), 1U);
-    table_.contact(true);
-    EXPECT_EQ(count(), 1U);
+    EXPECT_EQ(count_addresses(), 1U);
+    table_.set_store_reachable(true);
+    EXPECT_EQ(count_addresses(), 1U);
     time_->advance(2001);
-    EXPECT_EQ(count(), 0U);
+    EXPECT_EQ(count_addresses(), 0U);
 }
 
 TEST_F(node_table_test, who_was_gone_before_an_outage_does_not_come_back) {
     // A node is removed for good, and the store is lost and found again by
     // turns. Callers were sent to the address for as long as that went on.
-    table_.put("n2", entry(2));
+    table_.put("n2", make_entry(2));
     time_->advance(2500);
     for (int n = 0; n < 10; ++n) {
-        table_.contact(false);
+        table_.set_store_reachable(false);
         time_->advance(100);
-        EXPECT_EQ(count(), 0U);
-        table_.contact(true);
-        EXPECT_EQ(count(), 0U);
+        EXPECT_EQ(count_addresses(), 0U);
+        table_.set_store_reachable(true);
+        EXPECT_EQ(count_addresses(), 0U);
         time_->advance(500);
     }
 }
--- a/packages/entry/test/settings_test.cpp
+++ b/packages/entry/test/settings_test.cpp
@@ -37,8 +37,8 @@
     const auto loaded = load("policy:\n  run_ahead: false\n");
     const auto* s = base::value_if(loaded);
     ASSERT_NE(s, nullptr);
-    EXPECT_FALSE(s->mechanisms.has(base::mechanism::run_ahead));
-    EXPECT_TRUE(s->mechanisms.has(base::mechanism::longest_first));
+    EXPECT_FALSE(s->features.is_enabled(base::feature::run_ahead));
+    EXPECT_TRUE(s->features.is_enabled(base::feature::longest_first));
 }
 
 // A name is misspelt. An operator who believes to have switched a mechanism off
@@ -52,7 +52,7 @@
     EXPECT_NE(text.find(path_ + ":11: policy.run_ahaed: unknown_key"),
               std::string::npos)
         << text;
-    for (const auto& row : base::enum_names<base::mechanism>::table) {
+    for (const auto& row : base::enum_names<base::feature>::table) {
         EXPECT_NE(text.find(row.name), std::string::npos) << row.name;
     }
 }
@@ -61,7 +61,7 @@
     const auto loaded = load("policy:\n  run_ahead: sometimes\n");
     const auto* errors = std::get_if<settings::setting_errors>(&loaded);
     ASSERT_NE(errors, nullptr);
-    EXPECT_EQ(errors->front().what, settings::setting_fault::wrong_type);
+    EXPECT_EQ(errors->front().fault, settings::setting_fault::wrong_type);
 }
 
 } // namespace
--- a/packages/gateway/include/hibiscus/gateway/configuration.hpp
+++ b/packages/gateway/include/hibiscus/gateway/configuration.hpp
@@ -23,7 +23,7 @@
 };
 
 /// A service and its share of a route's requests.
-struct route_target {
+struct weighted_service {
     std::string service;
     int weight = 1;
 };
@@ -41,51 +41,51 @@
     /// How long a caller may be kept waiting, in ms; 0 for no bound.
     base::millis timeout_ms = 0;
     /// Within which an answer is worth the most, in ms.
-    base::millis objective_ms = 0;
+    base::millis latency_target_ms = 0;
     /// Within which the results of a batch job are due, in ms.
-    base::millis batch_due_ms = 0;
+    base::millis batch_target_ms = 0;
     /// After which an item of a batch job may be given up, in ms.
-    base::millis batch_keep_ms = 0;
+    base::millis batch_item_expiry_ms = 0;
     int priority = 0;
     /// The most servers that one attempt of a caller may be sent to.
-    int attempts = 1;
-    std::vector<route_target> targets;
+    int max_attempts = 1;
+    std::vector<weighted_service> services;
 };
 
 /// A service that makes tokens, and the memory of each of its servers in
 /// tokens; 0 if it is not told.
-struct token_service {
+struct sampler_service {
     std::string name;
-    std::int64_t memory_tokens = 0;
+    std::int64_t kv_capacity_tokens = 0;
 };
 
 /// What callers may send.
-struct caller_limits {
-    std::size_t header_bytes = 16 * 1024;
-    std::size_t body_bytes = 32 * 1024 * 1024;
-    base::millis header_ms = 3000;
-    base::millis idle_ms = 15000;
+struct request_limits {
+    std::size_t max_header_bytes = 16 * 1024;
+    std::size_t max_body_bytes = 32 * 1024 * 1024;
+    base::millis header_timeout_ms = 3000;
+    base::millis idle_timeout_ms = 15000;
 };
 
 /// A version of the operator's configuration.
 struct configuration {
     std::int64_t version = 0;
     std::vector<route> routes;
-    std::vector<token_service> token_services;
-    caller_limits limits;
+    std::vector<sampler_service> sampler_services;
+    request_limits limits;
 };
 
 /// Returns the route of a request: of those of its host, the one with the
 /// longest prefix that begins the path. Null if there is none.
-const route* match(const configuration& c, std::string_view host,
-                   std::string_view path);
+const route* find_route(const configuration& c, std::string_view host,
+                        std::string_view path);
 
 /// Returns the service of a request by the weights of its route. `point` is
 /// drawn by the caller, from 0 to 1.
-const std::string& choose_target(const route& r, double point);
+const std::string& choose_service(const route& r, double point);
 
 /// Returns true if requests of a route may go to a service.
-bool has_target(const route& r, std::string_view service);
+bool has_service(const route& r, std::string_view service);
 
 } // namespace hibiscus::gateway
 
--- a/packages/gateway/src/configuration.cpp
+++ b/packages/gateway/src/configuration.cpp
@@ -4,8 +4,8 @@
 
 namespace hibiscus::gateway {
 
-const route* match(const configuration& c, std::string_view host,
-                   std::string_view path) {
+const route* find_route(const configuration& c, std::string_view host,
+                        std::string_view path) {
     const auto bare = path.substr(0, path.find('?'));
     const route* best = nullptr;
     for (const auto& r : c.routes) {
@@ -21,24 +21,24 @@
     return best;
 }
 
-const std::string& choose_target(const route& r, double point) {
+const std::string& choose_service(const route& r, double point) {
     int total = 0;
-    for (const auto& t : r.targets) {
+    for (const auto& t : r.services) {
         total += std::max(0, t.weight);
     }
     double left = point * total;
-    for (const auto& t : r.targets) {
+    for (const auto& t : r.services) {
         left -= std::max(0, t.weight);
         if (left < 0) {
             return t.service;
         }
     }
-    return r.targets.back().service;
+    return r.services.back().service;
 }
 
-bool has_target(const route& r, std::string_view service) {
+bool has_service(const route& r, std::string_view service) {
     return std::any_of(
-        r.targets.begin(), r.targets.end(),
+        r.services.begin(), r.services.end(),
         [service](const auto& t) { return t.service == service; });
 }
 
--- a/packages/net/include/hibiscus/net/http.hpp
+++ b/packages/net/include/hibiscus/net/http.hpp
@@ -27,18 +27,18 @@
     std::string content_type = "application/json";
     /// Set by a client: an earlier send of the request, of which nothing more
     /// is known, came before the one that was answered.
-    bool repeated = false;
+    bool resent = false;
 };
 
 /// How far a request got that has no answer.
-enum class delivery {
+enum class delivery_status {
     not_sent, ///< No byte of it can have left.
     lost      ///< Some of it may have left; what became of it is not known.
 };
 
 /// Says that a request has no answer.
 struct http_failure {
-    delivery how = delivery::lost;
+    delivery_status status = delivery_status::lost;
 };
 
 /// What a request came to.
@@ -52,16 +52,16 @@
 
 /// Bounds on what a server takes from a stranger.
 struct http_limits {
-    std::size_t header_bytes = 16 * 1024;
-    std::size_t body_bytes = 4 * 1024 * 1024;
+    std::size_t max_header_bytes = 16 * 1024;
+    std::size_t max_body_bytes = 4 * 1024 * 1024;
     /// The longest time for one request to arrive, or between two, in ms.
-    base::millis read_ms = 15000;
+    base::millis read_timeout_ms = 15000;
     /// The longest time to take the answer, in ms.
-    base::millis write_ms = 15000;
-    std::size_t connections = 4096;
+    base::millis write_timeout_ms = 15000;
+    std::size_t max_connections = 4096;
     /// The bytes of all bodies that are being read or handled. A request that
     /// would go over it is refused.
-    std::size_t buffered_bytes = 128 * 1024 * 1024;
+    std::size_t max_buffered_bytes = 128 * 1024 * 1024;
 };
 
 } // namespace hibiscus::net
@@ -69,10 +69,10 @@
 namespace hibiscus::base {
 
 template <>
-struct enum_names<net::delivery> {
-    static constexpr std::array<enum_name<net::delivery>, 2> table{{
-        {net::delivery::not_sent, "not_sent"},
-        {net::delivery::lost, "lost"},
+struct enum_names<net::delivery_status> {
+    static constexpr std::array<enum_name<net::delivery_status>, 2> table{{
+        {net::delivery_status::not_sent, "not_sent"},
+        {net::delivery_status::lost, "lost"},
     }};
 };
 
--- a/packages/net/include/hibiscus/net/http_client.hpp
+++ b/packages/net/include/hibiscus/net/http_client.hpp
@@ -9,7 +9,7 @@
 namespace hibiscus::net {
 
 /// Whether a request may go out on a connection that has been used before.
-enum class reuse {
+enum class connection_reuse {
     /// Yes; if the connection turns out to be closed, the request is sent
     /// again on a new one. Only for requests that may run twice.
     allowed,
@@ -34,7 +34,7 @@
     /// called soon, if it was not yet.
     std::function<void()> send(const base::endpoint& target,
                                http_request request, base::millis timeout,
-                               reuse mode,
+                               connection_reuse mode,
                                std::function<void(http_result)> done);
 
 private:
--- a/packages/net/include/hibiscus/net/peer_mesh.hpp
+++ b/packages/net/include/hibiscus/net/peer_mesh.hpp
@@ -14,29 +14,29 @@
 namespace hibiscus::net {
 
 /// Bounds and times of the links between nodes, in bytes and ms.
-struct peer_limits {
-    std::size_t message_bytes = 32 * 1024 * 1024;
+struct peer_options {
+    std::size_t max_message_bytes = 32 * 1024 * 1024;
     /// A link with more unsent bytes than this takes no further message.
-    std::size_t unsent_bytes = 16 * 1024 * 1024;
-    base::millis ping = 400;
+    std::size_t max_unsent_bytes = 16 * 1024 * 1024;
+    base::millis ping_interval_ms = 400;
     /// A link that has not answered a ping for so long is replaced.
-    base::millis pong = 1500;
-    base::millis connect = 1000;
-    base::millis reconnect = 200;
+    base::millis pong_timeout_ms = 1500;
+    base::millis connect_timeout_ms = 1000;
+    base::millis reconnect_delay_ms = 200;
     /// Links that peers may hold to this node.
-    std::size_t incoming = 2048;
+    std::size_t max_incoming_links = 2048;
     /// A peer's link that is silent for so long is closed. Peers ping.
-    base::millis incoming_idle = 10000;
+    base::millis incoming_idle_timeout_ms = 10000;
 };
 
 /// What a mesh tells its owner, on the thread of its context.
-struct peer_events {
+struct peer_callbacks {
     /// A message came.
-    std::function<void(wire::peer_message)> message;
+    std::function<void(wire::peer_message)> on_message;
     /// Bytes came that are no message; their link has been closed.
-    std::function<void(wire::decode_error)> malformed;
+    std::function<void(wire::decode_error)> on_malformed;
     /// The link to a node opened or closed.
-    std::function<void(const base::node_id&, bool)> link;
+    std::function<void(const base::node_id&, bool)> on_link_change;
 };
 
 /// Keeps one link to each peer, by which this node sends, and accepts theirs.
@@ -45,8 +45,8 @@
 class peer_mesh {
 public:
     /// Constructs a mesh without peers.
-    peer_mesh(boost::asio::io_context& io, peer_limits limits,
-              peer_events events);
+    peer_mesh(boost::asio::io_context& io, peer_options limits,
+              peer_callbacks events);
 
     /// Closes all links.
     ~peer_mesh();
--- a/packages/net/src/http_server.cpp
+++ b/packages/net/src/http_server.cpp
@@ -26,40 +26,42 @@
     http_handler handler;
     std::atomic<std::size_t> connections{0};
     std::atomic<std::size_t> in_flight{0};
-    std::atomic<std::size_t> buffered{0};
+    std::atomic<std::size_t> buffered_bytes{0};
     std::atomic<bool> draining{false};
     base::clock clock;
-    std::atomic<base::millis> last_answer{0};
+    std::atomic<base::millis> last_response_at{0};
 };
 
 /// Takes its share of the bytes that a server may buffer, and gives it back.
-class buffer_share {
+class buffer_reservation {
 public:
-    explicit buffer_share(server_state& state) : state_(state) {}
+    explicit buffer_reservation(server_state& state) : state_(state) {}
 
-    ~buffer_share() { give_back(); }
+    ~buffer_reservation() { release(); }
 
-    buffer_share(const buffer_share&) = delete;
-    buffer_share& operator=(const buffer_share&) = delete;
+    buffer_reservation(const buffer_reservation&) = delete;
+    buffer_reservation& operator=(const buffer_reservation&) = delete;
 
     /// Returns true, and takes `bytes`, if the limit allows it.
-    bool take(std::size_t bytes) {
-        give_back();
-        if (state_.buffered.fetch_add(bytes) + bytes >
-            state_.limits.buffered_bytes) {
-            state_.buffered -= bytes;
+    bool reserve(std::size_t bytes) {
+        release();
+        if (state_.buffered_bytes.fetch_add(bytes) + bytes >
+            state_.limits.max_buffered_bytes) {
+            state_.buffered_bytes -= bytes;
             return false;
         }
-        taken_ = bytes;
+        reserved_bytes_ = bytes;
         return true;
     }
 
     /// Gives back what was taken.
-    void give_back() { state_.buffered -= std::exchange(taken_, 0); }
+    void release() {
+        state_.buffered_bytes -= std::exchange(reserved_bytes_, 0);
+    }
 
 private:
     server_state& state_;
-    std::size_t taken_ = 0;
+    std::size_t reserved_bytes_ = 0;
 };
 
 /// Returns the body of an answer that the server itself gives.
@@ -70,23 +72,24 @@
 }
 
 /// How long, and how much, is read after a connection's last answer.
-constexpr base::millis linger_ms = 2000;
-constexpr std::size_t linger_bytes = 64 * 1024 * 1024;
-constexpr std::size_t discard_size = 16 * 1024;
+constexpr base::millis linger_timeout_ms = 2000;
+constexpr std::size_t max_linger_bytes = 64 * 1024 * 1024;
+constexpr std::size_t discard_buffer_bytes = 16 * 1024;
 
 /// Serves one connection, one request after the other.
-class session : public std::enable_shared_from_this<session> {
+class server_connection
+    : public std::enable_shared_from_this<server_connection> {
 public:
-    session(tcp::socket socket, std::shared_ptr<server_state> state)
+    server_connection(tcp::socket socket, std::shared_ptr<server_state> state)
         : stream_(std::move(socket)), state_(std::move(state)),
-          share_(*state_) {
+          reservation_(*state_) {
         ++state_->connections;
     }
 
-    ~session() { --state_->connections; }
+    ~server_connection() { --state_->connections; }
 
-    session(const session&) = delete;
-    session& operator=(const session&) = delete;
+    server_connection(const server_connection&) = delete;
+    server_connection& operator=(const server_connection&) = delete;
 
     /// Starts to read the first request.
     void run() {
@@ -98,10 +101,10 @@
     void read() {
         parser_.emplace();
         parser_->header_limit(
-            static_cast<std::uint32_t>(state_->limits.header_bytes));
-        parser_->body_limit(state_->limits.body_bytes);
+            static_cast<std::uint32_t>(state_->limits.max_header_bytes));
+        parser_->body_limit(state_->limits.max_body_bytes);
         stream_.expires_after(
-            std::chrono::milliseconds(state_->limits.read_ms));
+            std::chrono::milliseconds(state_->limits.read_timeout_ms));
         http::async_read_header(
             stream_, buffer_, *parser_,
             [self = shared_from_this()](beast::error_code error, std::size_t) {
@@ -118,8 +121,9 @@
         }
         const auto length = parser_->content_length();
         const std::size_t most =
-            parser_->chunked() ? state_->limits.body_bytes : 0;
-        if (!share_.take(length ? static_cast<std::size_t>(*length) : most)) {
+            parser_->chunked() ? state_->limits.max_body_bytes : 0;
+        if (!reservation_.reserve(length ? static_cast<std::size_t>(*length)
+                                         : most)) {
             keep_alive_ = false;
             write({429, R"({"why":"overloaded","result":"not_run",)"
                         R"("retry_after_ms":1000})"});
@@ -138,16 +142,16 @@
             return;
         }
         if (error == http::error::body_limit) {
-            refuse(413, "/body", "a shorter body");
+            reject(413, "/body", "a shorter body");
             return;
         }
         if (error == http::error::header_limit) {
-            refuse(431, "/header", "shorter headers");
+            reject(431, "/header", "shorter headers");
             return;
         }
         if (error.category() ==
             http::make_error_code(http::error{}).category()) {
-            refuse(400, "", "HTTP/1.1");
+            reject(400, "", "HTTP/1.1");
             return;
         }
         if (error) {
@@ -186,19 +190,19 @@
             }
             asio::dispatch(self->stream_.get_executor(),
                            [self, r = std::move(response)]() mutable {
-                               self->answer(std::move(r));
+                               self->send_response(std::move(r));
                            });
         };
     }
 
-    void answer(http_response response) {
+    void send_response(http_response response) {
         handled_ = true;
         write(std::move(response));
     }
 
     /// Answers what cannot be read further; the rest of the bytes may be of
     /// any kind, so the connection ends.
-    void refuse(int status, const std::string& where,
+    void reject(int status, const std::string& where,
                 const std::string& expected) {
         keep_alive_ = false;
         write({status, problem_body(where, expected), "application/json"});
@@ -214,7 +218,7 @@
         message_.body() = std::move(response.body);
         message_.prepare_payload();
         stream_.expires_after(
-            std::chrono::milliseconds(state_->limits.write_ms));
+            std::chrono::milliseconds(state_->limits.write_timeout_ms));
         http::async_write(
             stream_, message_,
             [self = shared_from_this()](beast::error_code error, std::size_t) {
@@ -225,9 +229,9 @@
     void on_write(beast::error_code error) {
         // Counted down only now: a planned stop waits for this count, and an
         // answer that is not sent yet would be cut off.
-        share_.give_back();
+        reservation_.release();
         if (std::exchange(handled_, false)) {
-            state_->last_answer = state_->clock.now();
+            state_->last_response_at = state_->clock.now();
             --state_->in_flight;
         }
         if (error) {
@@ -248,15 +252,15 @@
         stream_.socket().shutdown(tcp::socket::shutdown_send, ignored);
         parser_.reset();
         buffer_.clear();
-        stream_.expires_after(std::chrono::milliseconds(linger_ms));
+        stream_.expires_after(std::chrono::milliseconds(linger_timeout_ms));
         discard(0);
     }
 
     void discard(std::size_t so_far) {
-        if (so_far > linger_bytes) {
+        if (so_far > max_linger_bytes) {
             return;
         }
-        discarded_.resize(discard_size);
+        discarded_.resize(discard_buffer_bytes);
         stream_.async_read_some(asio::buffer(discarded_),
                                 [self = shared_from_this(), so_far](
                                     beast::error_code error, std::size_t n) {
@@ -268,7 +272,7 @@
 
     beast::tcp_stream stream_;
     std::shared_ptr<server_state> state_;
-    buffer_share share_;
+    buffer_reservation reservation_;
     beast::flat_buffer buffer_;
     std::vector<char> discarded_;
     std::optional<http::request_parser<http::string_body>> parser_;
@@ -316,7 +320,7 @@
 
     void stop() {
         asio::dispatch(acceptor_.get_executor(), [self = shared_from_this()] {
-            self->accept_waiting();
+            self->accept_backlog();
             beast::error_code ignored;
             self->acceptor_.close(ignored);
         });
@@ -329,7 +333,7 @@
     base::millis idle_ms() const {
         return state_->in_flight > 0
                    ? 0
-                   : state_->clock.now() - state_->last_answer;
+                   : state_->clock.now() - state_->last_response_at;
     }
 
 private:
@@ -345,7 +349,7 @@
     /// Takes what the kernel has connected already. Its callers have sent their
     /// requests perhaps; were it closed with the listener, they would not know
     /// whether these were carried out.
-    void accept_waiting() {
+    void accept_backlog() {
         beast::error_code error;
         acceptor_.non_blocking(true, error);
         while (!error) {
@@ -369,8 +373,10 @@
     /// A stranger who opens connections without end would use up the process's
     /// descriptors; what is over the limit is closed at once.
     void serve(tcp::socket socket) {
-        if (state_->connections < state_->limits.connections) {
-            std::make_shared<detail::session>(std::move(socket), state_)->run();
+        if (state_->connections < state_->limits.max_connections) {
+            std::make_shared<detail::server_connection>(std::move(socket),
+                                                        state_)
+                ->run();
         }
     }
 
--- a/packages/net/src/peer_mesh.cpp
+++ b/packages/net/src/peer_mesh.cpp
@@ -19,15 +19,15 @@
 using websocketpp::connection_hdl;
 
 /// The link by which this node sends to a peer.
-struct link_row {
+struct outgoing_link {
     base::endpoint target;
     connection_hdl handle;
     bool connecting = false;
     bool open = false;
     /// When it last answered a ping or opened.
-    std::chrono::steady_clock::time_point heard;
-    std::chrono::steady_clock::time_point pinged;
-    std::chrono::steady_clock::time_point not_before;
+    std::chrono::steady_clock::time_point last_pong_at;
+    std::chrono::steady_clock::time_point last_ping_at;
+    std::chrono::steady_clock::time_point connect_not_before;
 };
 
 } // namespace detail
@@ -35,16 +35,16 @@
 /// Runs in one thread, so its members need no lock.
 class peer_mesh::impl : public std::enable_shared_from_this<impl> {
 public:
-    impl(asio::io_context& io, peer_limits limits, peer_events events)
+    impl(asio::io_context& io, peer_options limits, peer_callbacks events)
         : io_(io), limits_(limits), events_(std::move(events)), timer_(io) {
-        quiet(server_);
-        quiet(client_);
+        disable_library_logging(server_);
+        disable_library_logging(client_);
         server_.init_asio(&io_);
         client_.init_asio(&io_);
         server_.set_reuse_addr(true);
-        server_.set_max_message_size(limits_.message_bytes);
-        client_.set_open_handshake_timeout(limits_.connect);
-        server_.set_open_handshake_timeout(limits_.connect);
+        server_.set_max_message_size(limits_.max_message_bytes);
+        client_.set_open_handshake_timeout(limits_.connect_timeout_ms);
+        server_.set_open_handshake_timeout(limits_.connect_timeout_ms);
     }
 
     void start() {
@@ -52,10 +52,10 @@
             [self = weak_from_this()](detail::connection_hdl from,
                                       detail::ws_server::message_ptr m) {
                 if (auto strong = self.lock()) {
-                    strong->received(from, m->get_payload());
+                    strong->on_message(from, m->get_payload());
                 }
             });
-        watch_incoming();
+        set_incoming_handlers();
         asio::post(io_, [self = shared_from_this()] { self->tick(); });
     }
 
@@ -124,19 +124,19 @@
 
 private:
     template <class Endpoint>
-    static void quiet(Endpoint& endpoint) {
+    static void disable_library_logging(Endpoint& endpoint) {
         endpoint.clear_access_channels(websocketpp::log::alevel::all);
         endpoint.clear_error_channels(websocketpp::log::elevel::all);
     }
 
     /// Links of peers that died, or that the network lost track of, would stay
     /// open for good and use up descriptors.
-    void watch_incoming() {
+    void set_incoming_handlers() {
         const auto self = weak_from_this();
         server_.set_validate_handler([self](const detail::connection_hdl&) {
             auto strong = self.lock();
-            return strong &&
-                   strong->incoming_.size() < strong->limits_.incoming;
+            return strong && strong->incoming_.size() <
+                                 strong->limits_.max_incoming_links;
         });
         const auto heard = [self](const detail::connection_hdl& from) {
             if (auto strong = self.lock()) {
@@ -157,7 +157,8 @@
     }
 
     void close_idle_incoming(std::chrono::steady_clock::time_point now) {
-        const auto limit = std::chrono::milliseconds(limits_.incoming_idle);
+        const auto limit =
+            std::chrono::milliseconds(limits_.incoming_idle_timeout_ms);
         for (auto at = incoming_.begin(); at != incoming_.end();) {
             if (now - at->second <= limit) {
                 ++at;
@@ -172,10 +173,11 @@
         }
     }
 
-    bool write(detail::link_row& link, const wire::peer_message& message) {
+    bool write(detail::outgoing_link& link, const wire::peer_message& message) {
         websocketpp::lib::error_code error;
         const auto connection = client_.get_con_from_hdl(link.handle, error);
-        if (error || connection->get_buffered_amount() > limits_.unsent_bytes) {
+        if (error ||
+            connection->get_buffered_amount() > limits_.max_unsent_bytes) {
             return false;
         }
         error = connection->send(wire::to_cbor(message),
@@ -183,17 +185,17 @@
         return !error;
     }
 
-    void received(const detail::connection_hdl& from,
-                  const std::string& bytes) {
+    void on_message(const detail::connection_hdl& from,
+                    const std::string& bytes) {
         auto read = wire::from_cbor(bytes);
         if (auto* message = std::get_if<wire::peer_message>(&read)) {
-            events_.message(std::move(*message));
+            events_.on_message(std::move(*message));
             return;
         }
         websocketpp::lib::error_code ignored;
         server_.close(from, websocketpp::close::status::protocol_error, "",
                       ignored);
-        events_.malformed(std::get<wire::decode_error>(std::move(read)));
+        events_.on_malformed(std::get<wire::decode_error>(std::move(read)));
     }
 
     void tick() {
@@ -204,12 +206,13 @@
         close_idle_incoming(now);
         for (auto& [node, link] : links_) {
             if (link.open) {
-                check(node, link, now);
-            } else if (!link.connecting && now >= link.not_before) {
+                check_link(node, link, now);
+            } else if (!link.connecting && now >= link.connect_not_before) {
                 connect(node, link);
             }
         }
-        timer_.expires_after(std::chrono::milliseconds(limits_.ping / 4));
+        timer_.expires_after(
+            std::chrono::milliseconds(limits_.ping_interval_ms / 4));
         timer_.async_wait(
             [self = weak_from_this()](const boost::system::error_code& error) {
                 auto strong = self.lock();
@@ -221,21 +224,23 @@
 
     /// Pings a link. One that something in between has lost track of takes
     /// bytes without a word; only the missing answer shows it.
-    void check(const base::node_id& node, detail::link_row& link,
-               std::chrono::steady_clock::time_point now) {
-        if (now - link.heard > std::chrono::milliseconds(limits_.pong)) {
+    void check_link(const base::node_id& node, detail::outgoing_link& link,
+                    std::chrono::steady_clock::time_point now) {
+        if (now - link.last_pong_at >
+            std::chrono::milliseconds(limits_.pong_timeout_ms)) {
             close(link);
-            closed(node);
+            on_link_closed(node);
             return;
         }
-        if (now - link.pinged >= std::chrono::milliseconds(limits_.ping)) {
-            link.pinged = now;
+        if (now - link.last_ping_at >=
+            std::chrono::milliseconds(limits_.ping_interval_ms)) {
+            link.last_ping_at = now;
             websocketpp::lib::error_code ignored;
             client_.ping(link.handle, "", ignored);
         }
     }
 
-    void connect(const base::node_id& node, detail::link_row& link) {
+    void connect(const base::node_id& node, detail::outgoing_link& link) {
         websocketpp::lib::error_code error;
         const auto connection = client_.get_connection(
             "ws://" + base::to_string(link.target) + "/", error);
@@ -249,13 +254,13 @@
         const auto self = weak_from_this();
         connection->set_open_handler([self, node](detail::connection_hdl h) {
             if (auto strong = self.lock()) {
-                strong->opened(node, h);
+                strong->on_link_opened(node, h);
             }
         });
         const auto on_end = [self, node](const detail::connection_hdl& h) {
             auto strong = self.lock();
-            if (strong && strong->is_present(node, h)) {
-                strong->closed(node);
+            if (strong && strong->is_current_connection(node, h)) {
+                strong->on_link_closed(node);
             }
         };
         connection->set_close_handler(on_end);
@@ -263,34 +268,34 @@
         connection->set_pong_handler(
             [self, node](const detail::connection_hdl& h, const std::string&) {
                 auto strong = self.lock();
-                if (strong && strong->is_present(node, h)) {
-                    strong->links_[node].heard =
+                if (strong && strong->is_current_connection(node, h)) {
+                    strong->links_[node].last_pong_at =
                         std::chrono::steady_clock::now();
                 }
             });
         client_.connect(connection);
     }
 
-    bool is_present(const base::node_id& node,
-                    const detail::connection_hdl& handle) const {
+    bool is_current_connection(const base::node_id& node,
+                               const detail::connection_hdl& handle) const {
         const auto at = links_.find(node);
         return at != links_.end() && !at->second.handle.owner_before(handle) &&
                !handle.owner_before(at->second.handle);
     }
 
-    void opened(const base::node_id& node,
-                const detail::connection_hdl& handle) {
-        if (!is_present(node, handle)) {
+    void on_link_opened(const base::node_id& node,
+                        const detail::connection_hdl& handle) {
+        if (!is_current_connection(node, handle)) {
             return;
         }
         auto& link = links_[node];
         link.connecting = false;
         link.open = true;
-        link.heard = std::chrono::steady_clock::now();
-        events_.link(node, true);
+        link.last_pong_at = std::chrono::steady_clock::now();
+        events_.on_link_change(node, true);
     }
 
-    void closed(const base::node_id& node) {
+    void on_link_closed(const base::node_id& node) {
         const auto at = links_.find(node);
         if (at == links_.end()) {
             return;
@@ -300,14 +305,15 @@
         link.connecting = false;
         link.open = false;
         link.handle.reset();
-        link.not_before = std::chrono::steady_clock::now() +
-                          std::chrono::milliseconds(limits_.reconnect);
+        link.connect_not_before =
+            std::chrono::steady_clock::now() +
+            std::chrono::milliseconds(limits_.reconnect_delay_ms);
         if (was_open) {
-            events_.link(node, false);
+            events_.on_link_change(node, false);
         }
     }
 
-    void close(const detail::link_row& link) {
+    void close(const detail::outgoing_link& link) {
         websocketpp::lib::error_code error;
         const auto connection = client_.get_con_from_hdl(link.handle, error);
         if (!error) {
@@ -318,12 +324,12 @@
     }
 
     asio::io_context& io_;
-    peer_limits limits_;
-    peer_events events_;
+    peer_options limits_;
+    peer_callbacks events_;
     asio::steady_timer timer_;
     detail::ws_server server_;
     detail::ws_client client_;
-    std::map<base::node_id, detail::link_row> links_;
+    std::map<base::node_id, detail::outgoing_link> links_;
     /// When something last came over a link that a peer holds to this node.
     std::map<detail::connection_hdl, std::chrono::steady_clock::time_point,
              std::owner_less<detail::connection_hdl>>
@@ -331,8 +337,8 @@
     bool stopped_ = false;
 };
 
-peer_mesh::peer_mesh(asio::io_context& io, peer_limits limits,
-                     peer_events events)
+peer_mesh::peer_mesh(asio::io_context& io, peer_options limits,
+                     peer_callbacks events)
     : impl_(std::make_shared<impl>(io, limits, std::move(events))) {
     impl_->start();
 }
--- a/packages/net/test/http_client_test.cpp
+++ b/packages/net/test/http_client_test.cpp
@@ -61,7 +61,8 @@
         asio::write(socket, asio::buffer(text));
     }
 
-    http_result get(base::millis timeout = 20000, reuse mode = reuse::allowed) {
+    http_result get(base::millis timeout = 20000,
+                    connection_reuse mode = connection_reuse::allowed) {
         std::promise<http_result> promise;
         client_.send(address_, {}, timeout, mode, [&](http_result result) {
             promise.set_value(std::move(result));
@@ -69,10 +70,10 @@
         return promise.get_future().get();
     }
 
-    static delivery how_of(const http_result& result) {
+    static delivery_status how_of(const http_result& result) {
         const auto* failure = std::get_if<http_failure>(&result);
         EXPECT_NE(failure, nullptr) << "an answer came";
-        return failure != nullptr ? failure->how : delivery::not_sent;
+        return failure != nullptr ? failure->status : delivery_status::not_sent;
     }
 
     asio::io_context server_io_;
@@ -97,7 +98,7 @@
         acceptor_.close();
     }});
     ASSERT_TRUE(std::holds_alternative<http_response>(get()));
-    EXPECT_EQ(how_of(get()), delivery::lost);
+    EXPECT_EQ(how_of(get()), delivery_status::lost);
 }
 
 // As above, but the server is back at once and refuses. The refusal is true
@@ -114,10 +115,10 @@
            }});
     auto first = get();
     ASSERT_TRUE(std::holds_alternative<http_response>(first));
-    EXPECT_FALSE(std::get<http_response>(first).repeated);
+    EXPECT_FALSE(std::get<http_response>(first).resent);
     auto second = get();
     ASSERT_TRUE(std::holds_alternative<http_response>(second));
-    EXPECT_TRUE(std::get<http_response>(second).repeated);
+    EXPECT_TRUE(std::get<http_response>(second).resent);
 }
 
 // The connection is cut within the answer. The caller would take the first
@@ -133,7 +134,9 @@
     }
     serve(scripts);
     for (std::size_t n = 0; n < text.size(); ++n) {
-        EXPECT_EQ(how_of(get(20000, reuse::never)), delivery::lost) << n;
+        EXPECT_EQ(how_of(get(20000, connection_reuse::never)),
+                  delivery_status::lost)
+            << n;
     }
 }
 
@@ -144,7 +147,7 @@
         read_request(socket);
         write(socket, "HTTP/1.1 200 OK\r\n\r\nfou");
     }});
-    EXPECT_EQ(how_of(get()), delivery::lost);
+    EXPECT_EQ(how_of(get()), delivery_status::lost);
 }
 
 // Several connections wait in the pool when the network loses track of all of
@@ -174,13 +177,13 @@
                end.wait();
            }});
     std::promise<http_result> first;
-    client_.send(address_, {}, 20000, reuse::never,
+    client_.send(address_, {}, 20000, connection_reuse::never,
                  [&](http_result r) { first.set_value(std::move(r)); });
-    ASSERT_TRUE(
-        std::holds_alternative<http_response>(get(20000, reuse::never)));
+    ASSERT_TRUE(std::holds_alternative<http_response>(
+        get(20000, connection_reuse::never)));
     ASSERT_TRUE(
         std::holds_alternative<http_response>(first.get_future().get()));
-    EXPECT_EQ(how_of(get(200)), delivery::lost);
+    EXPECT_EQ(how_of(get(200)), delivery_status::lost);
     EXPECT_TRUE(std::holds_alternative<http_response>(get()));
     over.set_value();
     server_.join();
@@ -201,7 +204,7 @@
     }});
     std::promise<http_result> promise;
     const auto cancel =
-        client_.send(address_, {}, 600000, reuse::never,
+        client_.send(address_, {}, 600000, connection_reuse::never,
                      [&](http_result r) { promise.set_value(std::move(r)); });
     arrived->get_future().wait();
     cancel();
@@ -222,7 +225,7 @@
     for (bool waiting = false; !waiting && steps < most_steps; ++steps) {
         bool ended = false;
         const auto cancel =
-            client.send(address_, {}, 600000, reuse::never,
+            client.send(address_, {}, 600000, connection_reuse::never,
                         [&](const http_result&) { ended = true; });
         io.restart();
         int run = 0;
--- a/packages/net/test/http_test.cpp
+++ b/packages/net/test/http_test.cpp
@@ -34,13 +34,13 @@
 
     static http_limits limits() {
         http_limits l;
-        l.body_bytes = 1000;
+        l.max_body_bytes = 1000;
         return l;
     }
 
     /// Sends `body` and waits for what comes of it.
     http_result post(const base::endpoint& to, const std::string& body,
-                     reuse mode = reuse::allowed) {
+                     connection_reuse mode = connection_reuse::allowed) {
         std::promise<http_result> promise;
         http_request request;
         request.method = "POST";
@@ -116,9 +116,10 @@
     const auto free = *other.listen({"127.0.0.1", 0});
     other.stop_accepting();
     for (int i = 0; i < 50; ++i) {
-        const auto result = post(free, "x", reuse::never);
+        const auto result = post(free, "x", connection_reuse::never);
         const auto* failure = std::get_if<http_failure>(&result);
-        if (failure != nullptr && failure->how == delivery::not_sent) {
+        if (failure != nullptr &&
+            failure->status == delivery_status::not_sent) {
             SUCCEED();
             return;
         }
--- a/packages/net/test/peer_mesh_test.cpp
+++ b/packages/net/test/peer_mesh_test.cpp
@@ -49,16 +49,16 @@
 
 TEST_F(peer_mesh_test, a_message_reaches_its_peer) {
     opened_.get_future().get();
-    a_.send(base::node_id("b"), wire::document_want{base::node_id("a"), 7});
+    a_.send(base::node_id("b"), wire::document_request{base::node_id("a"), 7});
     const auto message = received_.get_future().get();
-    const auto* want = std::get_if<wire::document_want>(&message);
+    const auto* want = std::get_if<wire::document_request>(&message);
     ASSERT_NE(want, nullptr) << "alternative " << message.index();
     EXPECT_EQ(want->revision, 7);
 }
 
 TEST_F(peer_mesh_test, a_message_without_a_link_is_unsent) {
     std::promise<void> unsent;
-    a_.send(base::node_id("c"), wire::document_want{base::node_id("a"), 7},
+    a_.send(base::node_id("c"), wire::document_request{base::node_id("a"), 7},
             [&] { unsent.set_value(); });
     unsent.get_future().get();
 }
--- a/packages/node/src/control.hpp
+++ b/packages/node/src/control_plane.hpp
@@ -1,10 +1,10 @@
 #pragma once
 
-#include "claim_runner.hpp"
-#include "config_follower.hpp"
+#include "claim_driver.hpp"
+#include "config_watcher.hpp"
 #include "hibiscus/node/settings.hpp"
 #include "hibiscus/platform/instance_client.hpp"
-#include "sample_runner.hpp"
+#include "sample_driver.hpp"
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -15,62 +15,62 @@
 namespace hibiscus::node {
 
 /// What a control is built on. All of it outlives the control.
-struct control_parts {
+struct control_dependencies {
     const settings& config;
     boost::asio::io_context& io;
     base::clock clock;
-    decision_log& lines;
+    event_log& logger;
     telemetry::metrics& counters;
     shared_view& shared;
     net::peer_mesh& mesh;
     platform::log_client& log;
     platform::instance_client& instances;
     service_gateway& services;
-    engine_gateway& engines;
+    engine_client& engines;
 };
 
 /// Holds the control state of a node and is the only one to change it. Its
 /// public functions may be called by any thread; they hand over to the thread
 /// of the context and return at once.
-class control {
+class control_plane {
 public:
     /// Constructs the control of a node that has just started.
-    explicit control(const control_parts& parts);
+    explicit control_plane(const control_dependencies& parts);
 
     /// Starts to follow the log, the instance list and the peers.
     void start();
 
     /// Opens a step at the trainer's home.
     void open_step(wire::open_step message,
-                   std::function<void(wire::step_answer)> done);
+                   std::function<void(wire::step_response)> done);
 
     /// Pulls at the trainer's home.
-    void pull(wire::pull_step message,
-              std::function<void(wire::pull_answer)> done);
+    void pull_samples(wire::pull_step message,
+                      std::function<void(wire::pull_response)> done);
 
     /// Publishes a version. The answer comes when every node that is heard
     /// knows it, or when no pull of before can still wait.
-    void publish(wire::learn_version message,
-                 std::function<void(wire::version_answer)> done);
+    void publish_version(wire::learn_version message,
+                         std::function<void(wire::version_response)> done);
 
     /// Runs a non-idempotent request at the home of its key.
-    void run(wire::service_request request,
-             std::function<void(wire::answer)> done);
+    void run_request(wire::service_request request,
+                     std::function<void(wire::service_response)> done);
 
     /// Takes a message of a peer.
-    void received(wire::peer_message message);
+    void on_peer_message(wire::peer_message message);
 
     /// Notes that the link to a peer opened or closed.
-    void link_changed(const base::node_id& peer, bool open);
+    void on_link_changed(const base::node_id& peer, bool open);
 
     /// Returns true if no request waits for anything here. For the control
     /// thread only.
-    bool idle() const {
-        return claims_.pending() == 0 && calls_.pending() == 0;
+    bool is_idle() const {
+        return claims_.pending_count() == 0 && calls_.pending_count() == 0;
     }
 
     /// Writes the node's state as JSON.
-    void status(std::function<void(std::string)> done);
+    void write_status(std::function<void(std::string)> done);
 
     /// Leaves the list of entries, hands its homes over, and calls `done`
     /// when nothing is left to finish.
@@ -78,18 +78,18 @@
 
 private:
     void tick();
-    void heartbeat();
+    void send_heartbeat();
     void fetch_instances();
-    void took(const wire::instance_page& page);
-    void members_changed();
-    void config_changed();
-    void refresh_state();
+    void on_instance_list(const wire::instance_list& page);
+    void on_members_changed();
+    void on_config_changed();
+    void update_state();
     void publish_view();
-    bool isolated() const;
+    bool is_isolated() const;
     void finish_drain();
 
     void handle(wire::heartbeat message);
-    void handle(wire::document_want message);
+    void handle(wire::document_request message);
     void handle(wire::document_offer message);
     void handle(wire::call message);
     void handle(wire::reply message);
@@ -102,37 +102,38 @@
     void serve(const wire::call& call, const wire::learn_version& body);
     void serve(const wire::call& call, const wire::run_request& body);
     void serve(const wire::call& call, const wire::place_sample& body);
-    std::function<void(wire::reply_body)> replier(const wire::call& call);
-
-    void open_here_or_there(wire::open_step message,
-                            std::function<void(wire::step_answer)> done);
-    void pull_here_or_there(wire::pull_step message,
-                            std::function<void(wire::pull_answer)> done);
-    void run_here_or_there(wire::service_request request,
-                           std::function<void(wire::answer)> done);
-    void at_time(base::millis when, std::function<void()> event);
-    void tell_version(const wire::learn_version& message,
-                      std::function<void(wire::version_answer)> done);
-
-    control_parts parts_;
+    std::function<void(wire::reply_body)>
+    make_reply_function(const wire::call& call);
+
+    void open_at_home(wire::open_step message,
+                      std::function<void(wire::step_response)> done);
+    void pull_at_home(wire::pull_step message,
+                      std::function<void(wire::pull_response)> done);
+    void run_at_home(wire::service_request request,
+                     std::function<void(wire::service_response)> done);
+    void call_at(base::millis when, std::function<void()> event);
+    void broadcast_version(const wire::learn_version& message,
+                           std::function<void(wire::version_response)> done);
+
+    control_dependencies dependencies_;
     base::node_id self_;
     std::uint64_t incarnation_;
     boost::asio::steady_timer timer_;
     wire::node_state state_ = wire::node_state::starting;
     cluster::member_table members_;
-    peer_calls calls_;
-    config_follower config_;
-    claim_runner claims_;
-    sample_runner samples_;
-    wire::instance_page listed_;
+    peer_rpc_client calls_;
+    config_watcher config_;
+    claim_driver claims_;
+    sample_driver samples_;
+    wire::instance_list instance_list_;
     std::uint64_t generation_ = 0;
-    int links_ = 0;
+    int open_links_ = 0;
     base::millis started_at_;
-    base::millis beat_at_ = 0;
-    base::millis listed_at_ = 0;
-    bool listing_ = false;
+    base::millis heartbeat_at_ = 0;
+    base::millis instances_fetched_at_ = 0;
+    bool fetching_instances_ = false;
     base::millis drain_until_ = 0;
-    std::function<void()> drained_;
+    std::function<void()> on_drained_;
 };
 
 } // namespace hibiscus::node
--- /dev/null
+++ b/packages/node/src/control_plane_calls.cpp
@@ -0,0 +1,296 @@
+#include "control_plane.hpp"
+
+#include <boost/asio/post.hpp>
+
+#include <algorithm>
+#include <chrono>
+#include <set>
+
+namespace hibiscus::node {
+
+namespace {
+
+constexpr base::millis default_retry_after_ms = 100;
+constexpr base::millis call_timeout_margin_ms = 500;
+constexpr base::millis open_timeout_ms = 1000;
+
+std::string trainer_key(const base::trainer_id& trainer) {
+    return "trainer/" + trainer.str();
+}
+
+/// Returns the answer of type T in `result`, or null.
+template <class T>
+const T* response_in(const call_result& result) {
+    const auto* reply = std::get_if<wire::reply_body>(&result);
+    return reply != nullptr ? std::get_if<T>(reply) : nullptr;
+}
+
+/// Returns the answer of type T for a call that has no reply. Only a call of
+/// which no byte left was certainly not run: the home may have done what a
+/// lost one asks, and a caller who trusts the refusal would be misled.
+template <class T>
+T make_failed_response(const call_result& result) {
+    const auto* failure = std::get_if<call_failure>(&result);
+    const bool never_left =
+        failure != nullptr && *failure == call_failure::not_sent;
+    T answer;
+    answer.result =
+        never_left ? wire::outcome::not_run : wire::outcome::unknown;
+    answer.why = never_left ? wire::reason::home_unreachable
+                            : wire::reason::connection_lost;
+    answer.retry_after_ms = default_retry_after_ms;
+    return answer;
+}
+
+} // namespace
+
+void control_plane::on_peer_message(wire::peer_message message) {
+    boost::asio::post(
+        dependencies_.io, [this, m = std::move(message)]() mutable {
+            std::visit([this](auto& one) { handle(std::move(one)); }, m);
+        });
+}
+
+void control_plane::on_link_changed(const base::node_id& peer, bool open) {
+    boost::asio::post(dependencies_.io, [this, peer, open] {
+        open_links_ += open ? 1 : -1;
+        // The calls that left by the old link would wait for their whole
+        // deadline; now they can be tried again while there is time.
+        if (!open) {
+            calls_.fail_calls_to(peer);
+        }
+    });
+}
+
+void control_plane::handle(wire::heartbeat message) {
+    members_.record_heartbeat(dependencies_.clock.now(), message);
+    config_.on_peer_revision(message.node, message.revision);
+    samples_.on_heartbeat(message);
+}
+
+void control_plane::handle(wire::document_request message) {
+    config_.on_document_request(message);
+}
+
+void control_plane::handle(wire::document_offer message) {
+    config_.on_document_offer(message);
+}
+
+void control_plane::handle(wire::call message) {
+    std::visit([&](const auto& body) { serve(message, body); }, message.body);
+}
+
+void control_plane::handle(wire::reply message) {
+    calls_.on_reply(std::move(message));
+}
+
+void control_plane::handle(wire::sample_report message) {
+    samples_.on_report(message);
+}
+
+void control_plane::handle(wire::sample_ack message) {
+    samples_.on_acknowledgement(message);
+}
+
+void control_plane::handle(wire::cancel_streams message) {
+    samples_.cancel_streams(message);
+}
+
+std::function<void(wire::reply_body)>
+control_plane::make_reply_function(const wire::call& call) {
+    return [this, to = call.from, id = call.id](wire::reply_body body) {
+        dependencies_.mesh.send(to, wire::reply{id, std::move(body)});
+    };
+}
+
+void control_plane::serve(const wire::call& call, const wire::open_step& body) {
+    make_reply_function(call)(samples_.open_step(body));
+}
+
+void control_plane::serve(const wire::call& call, const wire::pull_step& body) {
+    samples_.pull_samples(body, make_reply_function(call));
+}
+
+void control_plane::serve(const wire::call& call,
+                          const wire::learn_version& body) {
+    samples_.update_newest_version(body.trainer, body.version);
+    wire::version_response answer;
+    answer.result = wire::outcome::completed;
+    answer.newest = samples_.versions().newest(body.trainer);
+    make_reply_function(call)(answer);
+}
+
+void control_plane::serve(const wire::call& call,
+                          const wire::run_request& body) {
+    claims_.submit_request(body.request, make_reply_function(call));
+}
+
+void control_plane::serve(const wire::call& call,
+                          const wire::place_sample& body) {
+    make_reply_function(call)(samples_.admit_stream(body));
+}
+
+void control_plane::open_step(wire::open_step message,
+                              std::function<void(wire::step_response)> done) {
+    boost::asio::post(dependencies_.io, [this, m = std::move(message),
+                                         d = std::move(done)]() mutable {
+        open_at_home(std::move(m), std::move(d));
+    });
+}
+
+void control_plane::open_at_home(
+    wire::open_step message, std::function<void(wire::step_response)> done) {
+    const auto home = members_.home_of(trainer_key(message.trainer));
+    if (home == self_) {
+        done(samples_.open_step(message));
+        return;
+    }
+    calls_.call(
+        home, std::move(message), open_timeout_ms,
+        [done = std::move(done)](const call_result& result) {
+            const auto* a = response_in<wire::step_response>(result);
+            done(a != nullptr
+                     ? *a
+                     : make_failed_response<wire::step_response>(result));
+        });
+}
+
+void control_plane::pull_samples(
+    wire::pull_step message, std::function<void(wire::pull_response)> done) {
+    boost::asio::post(dependencies_.io, [this, m = std::move(message),
+                                         d = std::move(done)]() mutable {
+        pull_at_home(std::move(m), std::move(d));
+    });
+}
+
+void control_plane::pull_at_home(
+    wire::pull_step message, std::function<void(wire::pull_response)> done) {
+    const auto home = members_.home_of(trainer_key(message.trainer));
+    if (home == self_) {
+        samples_.pull_samples(message, std::move(done));
+        return;
+    }
+    const auto pull = message.request.pull;
+    const auto trainer = message.trainer;
+    const auto deadline = message.request.wait_ms + call_timeout_margin_ms;
+    calls_.call(
+        home, std::move(message), deadline,
+        [this, trainer, done = std::move(done),
+         pull](const call_result& result) {
+            if (const auto* a = response_in<wire::pull_response>(result)) {
+                done(samples_.without_stale_samples(trainer, *a));
+                return;
+            }
+            auto answer = make_failed_response<wire::pull_response>(result);
+            answer.pull = pull;
+            done(std::move(answer));
+        });
+}
+
+void control_plane::publish_version(
+    wire::learn_version message,
+    std::function<void(wire::version_response)> done) {
+    boost::asio::post(dependencies_.io, [this, m = std::move(message),
+                                         d = std::move(done)]() mutable {
+        samples_.update_newest_version(m.trainer, m.version);
+        broadcast_version(m, std::move(d));
+    });
+}
+
+void control_plane::broadcast_version(
+    const wire::learn_version& message,
+    std::function<void(wire::version_response)> done) {
+    const auto* config = config_.in_force();
+    const auto longest =
+        config != nullptr
+            ? config->content.limit.pull_wait_ms + call_timeout_margin_ms
+            : call_timeout_margin_ms;
+    wire::version_response answer;
+    answer.result = wire::outcome::completed;
+    answer.newest = samples_.versions().newest(message.trainer);
+    // A pull that waits at another node still goes by the old version; the
+    // trainer may count on the bound only after each such node has answered,
+    // or after its longest pull is over. A node that this one does not hear
+    // may still be heard by others and answer their pulls, so all that are
+    // listed count, and one that cannot be asked is waited out.
+    std::set<base::node_id> nodes;
+    for (const auto& [node, row] : members_.all()) {
+        nodes.insert(node);
+    }
+    for (const auto& i : instance_list_.instances) {
+        if (i.role == wire::instance_role::entry) {
+            nodes.insert(base::node_id(i.id));
+        }
+    }
+    nodes.erase(self_);
+    auto left = std::make_shared<std::size_t>(nodes.size() + 1);
+    const auto one_less = [left, answer, done = std::move(done)] {
+        if (--*left == 0) {
+            done(answer);
+        }
+    };
+    const auto until = dependencies_.clock.now() + longest;
+    for (const auto& node : nodes) {
+        calls_.call(node, message, longest,
+                    [this, one_less, until](const call_result& result) {
+                        if (response_in<wire::version_response>(result) !=
+                            nullptr) {
+                            one_less();
+                        } else {
+                            call_at(until, one_less);
+                        }
+                    });
+    }
+    boost::asio::post(dependencies_.io, one_less);
+}
+
+void control_plane::call_at(base::millis when, std::function<void()> event) {
+    auto timer = std::make_shared<boost::asio::steady_timer>(dependencies_.io);
+    timer->expires_after(std::chrono::milliseconds(
+        std::max<base::millis>(when - dependencies_.clock.now(), 0)));
+    timer->async_wait(
+        [timer, e = std::move(event)](const boost::system::error_code& error) {
+            if (!error) {
+                e();
+            }
+        });
+}
+
+void control_plane::run_request(
+    wire::service_request request,
+    std::function<void(wire::service_response)> done) {
+    boost::asio::post(dependencies_.io, [this, r = std::move(request),
+                                         d = std::move(done)]() mutable {
+        run_at_home(std::move(r), std::move(d));
+    });
+}
+
+void control_plane::run_at_home(
+    wire::service_request request,
+    std::function<void(wire::service_response)> done) {
+    const auto home = members_.home_of(claims_.home_key(request.id));
+    if (home == self_) {
+        claims_.submit_request(request, std::move(done));
+        return;
+    }
+    const auto id = request.id;
+    const auto deadline = request.deadline_ms;
+    calls_.call(
+        home, wire::run_request{std::move(request)}, deadline,
+        [this, id, done = std::move(done)](const call_result& result) {
+            if (const auto* a = response_in<wire::service_response>(result)) {
+                done(*a);
+                return;
+            }
+            const auto* failure = std::get_if<call_failure>(&result);
+            const bool never_left =
+                failure != nullptr && *failure == call_failure::not_sent;
+            done(never_left ? wire::make_not_run_response(
+                                  id, wire::reason::home_unreachable,
+                                  default_retry_after_ms, self_)
+                            : wire::make_unknown_response(
+                                  id, wire::reason::connection_lost, self_));
+        });
+}
+
+} // namespace hibiscus::node
--- a/packages/node/src/daemon.cpp
+++ b/packages/node/src/daemon.cpp
@@ -1,7 +1,7 @@
 #include "hibiscus/node/daemon.hpp"
 
-#include "callers_api.hpp"
 #include "hibiscus/net/http_server.hpp"
+#include "public_api.hpp"
 
 #include <boost/asio/executor_work_guard.hpp>
 #include <boost/asio/post.hpp>
@@ -20,16 +20,16 @@
 namespace {
 
 constexpr base::millis connect_ms = 500;
-constexpr base::millis drain_check = 50;
+constexpr base::millis drain_check_interval_ms = 50;
 /// The time without a request after which a draining node ends. A request may
 /// be on its way on a connection that a caller has kept.
-constexpr base::millis drain_quiet = 300;
+constexpr base::millis min_idle_ms = 300;
 
-net::http_limits limits_of(const settings& s) {
+net::http_limits to_http_limits(const settings& s) {
     net::http_limits limits;
-    limits.body_bytes = s.body_bytes;
-    limits.header_bytes = s.header_bytes;
-    limits.connections = static_cast<std::size_t>(s.connections);
+    limits.max_body_bytes = s.body_bytes;
+    limits.max_header_bytes = s.header_bytes;
+    limits.max_connections = static_cast<std::size_t>(s.connections);
     return limits;
 }
 
@@ -39,23 +39,24 @@
 class daemon::impl {
 public:
     explicit impl(const settings& config)
-        : config_(config), lines_(config.node, config.log_level, clock_),
-          traffic_guard_(traffic_.get_executor()),
-          links_guard_(links_.get_executor()),
+        : config_(config), logger_(config.node, config.log_level, clock_),
+          traffic_guard_(traffic_io_.get_executor()),
+          links_guard_(links_io_.get_executor()),
           control_guard_(control_io_.get_executor()),
-          client_(traffic_, connect_ms), log_(client_, config.platform_log),
+          client_(traffic_io_, connect_ms), log_(client_, config.platform_log),
           instances_(client_, config.platform_instances),
-          mesh_(links_, {}, peer_events()),
-          services_(std::make_shared<service_gateway>(config.node, traffic_,
-                                                      client_, shared_, lines_,
-                                                      counters_, clock_)),
-          engines_(client_, clock_),
-          control_({config_, control_io_, clock_, lines_, counters_, shared_,
-                    mesh_, log_, instances_, *services_, engines_}),
-          api_(config.node, control_, shared_, *services_, counters_, clock_,
-               static_cast<std::size_t>(config.non_idempotent_in_work)),
+          mesh_(links_io_, {}, make_peer_callbacks()),
+          service_gateway_(std::make_shared<service_gateway>(
+              config.node, traffic_io_, client_, shared_, logger_, counters_,
+              clock_)),
+          engine_client_(client_, clock_),
+          control_({config_, control_io_, clock_, logger_, counters_, shared_,
+                    mesh_, log_, instances_, *service_gateway_,
+                    engine_client_}),
+          api_(config.node, control_, shared_, *service_gateway_, counters_,
+               clock_, static_cast<std::size_t>(config.non_idempotent_in_work)),
           server_(
-              traffic_, limits_of(config),
+              traffic_io_, to_http_limits(config),
               [this](net::http_request request, net::http_responder respond) {
                   api_.handle(std::move(request), std::move(respond));
               }),
@@ -68,10 +69,10 @@
         if (!server_.listen(config_.listen_callers)) {
             return listen_error{config_.listen_callers};
         }
-        lines_.event(severity::info, "listening",
-                     {{"callers", base::to_string(config_.listen_callers)},
-                      {"peers", base::to_string(config_.listen_peers)},
-                      {"startup_ms", clock_.now() - started_at_}});
+        logger_.event(severity::info, "listening",
+                      {{"callers", base::to_string(config_.listen_callers)},
+                       {"peers", base::to_string(config_.listen_peers)},
+                       {"startup_ms", clock_.now() - started_at_}});
         signals_.async_wait(
             [this](const boost::system::error_code& error, int) {
                 if (!error) {
@@ -82,9 +83,9 @@
         std::vector<std::thread> threads;
         threads.reserve(static_cast<std::size_t>(config_.traffic_threads) + 1);
         for (int i = 0; i < config_.traffic_threads; ++i) {
-            threads.emplace_back([this] { run_guarded(traffic_); });
+            threads.emplace_back([this] { run_guarded(traffic_io_); });
         }
-        threads.emplace_back([this] { run_guarded(links_); });
+        threads.emplace_back([this] { run_guarded(links_io_); });
         run_guarded(control_io_);
         for (auto& t : threads) {
             t.join();
@@ -93,20 +94,21 @@
     }
 
 private:
-    net::peer_events peer_events() {
-        return {
-            [this](wire::peer_message m) { control_.received(std::move(m)); },
-            [this](const wire::decode_error& error) {
-                counters_.count_event("peer_malformed");
-                lines_.event(severity::warn, "peer_malformed",
-                             {{"what", error.what}});
-            },
-            [this](const base::node_id& node, bool open) {
-                control_.link_changed(node, open);
-                lines_.event(
-                    severity::info, "peer_link",
-                    {{"peer", node.str()}, {"open", std::int64_t{open}}});
-            }};
+    net::peer_callbacks make_peer_callbacks() {
+        return {[this](wire::peer_message m) {
+                    control_.on_peer_message(std::move(m));
+                },
+                [this](const wire::decode_error& error) {
+                    counters_.count_event("peer_malformed");
+                    logger_.event(severity::warn, "peer_malformed",
+                                  {{"what", error.message}});
+                },
+                [this](const base::node_id& node, bool open) {
+                    control_.on_link_changed(node, open);
+                    logger_.event(
+                        severity::info, "peer_link",
+                        {{"peer", node.str()}, {"open", std::int64_t{open}}});
+                }};
     }
 
     /// Runs a context to its end. An exception that a handler lets out would
@@ -117,8 +119,8 @@
                 io.run();
             } catch (const std::exception& e) {
                 counters_.count_event("handler_failed");
-                lines_.event(severity::error, "handler_failed",
-                             {{"what", std::string(e.what())}});
+                logger_.event(severity::error, "handler_failed",
+                              {{"what", std::string(e.what())}});
             }
         }
     }
@@ -127,49 +129,51 @@
         server_.drain();
         control_.drain([this] {
             server_.stop_accepting();
-            wait_for_traffic();
+            wait_until_idle();
         });
     }
 
     /// Ends the threads once every request that came in has its answer.
-    void wait_for_traffic() {
-        if (server_.idle_ms() >= drain_quiet && control_.idle()) {
-            lines_.event(severity::info, "stopped", {});
-            traffic_.stop();
-            links_.stop();
+    void wait_until_idle() {
+        if (server_.idle_ms() >= min_idle_ms && control_.is_idle()) {
+            logger_.event(severity::info, "stopped", {});
+            traffic_io_.stop();
+            links_io_.stop();
             control_io_.stop();
             return;
         }
-        drain_timer_.expires_after(std::chrono::milliseconds(drain_check));
+        drain_timer_.expires_after(
+            std::chrono::milliseconds(drain_check_interval_ms));
         drain_timer_.async_wait([this](const boost::system::error_code& error) {
             if (!error) {
-                wait_for_traffic();
+                wait_until_idle();
             }
         });
     }
 
-    using guard = asio::executor_work_guard<asio::io_context::executor_type>;
+    using work_guard =
+        asio::executor_work_guard<asio::io_context::executor_type>;
 
     base::clock clock_;
     base::millis started_at_ = clock_.now();
     settings config_;
-    decision_log lines_;
+    event_log logger_;
     telemetry::metrics counters_;
     shared_view shared_;
-    asio::io_context traffic_;
-    asio::io_context links_{1};
+    asio::io_context traffic_io_;
+    asio::io_context links_io_{1};
     asio::io_context control_io_{1};
-    guard traffic_guard_;
-    guard links_guard_;
-    guard control_guard_;
+    work_guard traffic_guard_;
+    work_guard links_guard_;
+    work_guard control_guard_;
     net::http_client client_;
     platform::log_client log_;
     platform::instance_client instances_;
     net::peer_mesh mesh_;
-    std::shared_ptr<service_gateway> services_;
-    engine_gateway engines_;
-    control control_;
-    callers_api api_;
+    std::shared_ptr<service_gateway> service_gateway_;
+    engine_client engine_client_;
+    control_plane control_;
+    public_api api_;
     net::http_server server_;
     asio::signal_set signals_;
     asio::steady_timer drain_timer_;
--- a/packages/node/src/engine_gateway.hpp
+++ b/packages/node/src/engine_client.hpp
@@ -10,29 +10,33 @@
 namespace hibiscus::node {
 
 /// Speaks to model engines. Callbacks run on a traffic thread.
-class engine_gateway {
+class engine_client {
 public:
     /// Constructs a gateway that tells the time by `clock`.
-    engine_gateway(net::http_client& http, base::clock clock);
+    engine_client(net::http_client& http, base::clock clock);
 
     /// Starts a stream, or finds the one of that id. `done` gets true if the
     /// engine has it.
-    void start(const base::endpoint& engine, const wire::stream_start& start,
-               std::function<void(bool)> done);
+    void start_stream(const base::endpoint& engine,
+                      const wire::stream_start& start,
+                      std::function<void(bool)> done);
 
     /// Stops a stream. There is no answer to wait for: an engine that did not
     /// hear it goes on until the stream's end, and nobody takes the sample.
-    void stop(const base::endpoint& engine, const base::stream_id& stream);
+    void stop_stream(const base::endpoint& engine,
+                     const base::stream_id& stream);
 
     /// Asks for news of streams.
-    void poll(const base::endpoint& engine, const wire::engine_poll& poll,
-              std::function<void(std::optional<wire::engine_news>)> done);
+    void poll_streams(
+        const base::endpoint& engine, const wire::engine_poll& poll,
+        std::function<void(std::optional<wire::engine_poll_response>)> done);
 
     /// Sends an order, unless `expires_at` has passed; `done` gets nothing if
     /// it is not known what became of it.
-    void order(const base::endpoint& engine, const wire::version_order& order,
+    void
+    send_order(const base::endpoint& engine, const wire::version_order& order,
                base::millis expires_at,
-               std::function<void(std::optional<wire::order_verdict>)> done);
+               std::function<void(std::optional<wire::order_result>)> done);
 
 private:
     net::http_client& http_;
--- a/packages/node/src/decision_log.cpp
+++ b/packages/node/src/event_log.cpp
@@ -1,4 +1,4 @@
-#include "decision_log.hpp"
+#include "event_log.hpp"
 
 #include <log4cplus/asyncappender.h>
 #include <log4cplus/consoleappender.h>
@@ -53,7 +53,7 @@
 } // namespace
 
 /// Holds the library's objects.
-class decision_log::impl {
+class event_log::impl {
 public:
     impl(const base::node_id& node, const std::string& least, base::clock clock)
         : node_(node.str()), clock_(std::move(clock)),
@@ -78,7 +78,7 @@
     }
 
     void write(severity level, nlohmann::json line) {
-        line["time_ms"] = clock_.wall();
+        line["time_ms"] = clock_.wall_time();
         line["node"] = node_;
         line["level"] = name_of(level);
         logger_.log(level_of(level),
@@ -93,13 +93,13 @@
     log4cplus::Logger logger_;
 };
 
-decision_log::decision_log(const base::node_id& node, const std::string& least,
-                           base::clock clock)
+event_log::event_log(const base::node_id& node, const std::string& least,
+                     base::clock clock)
     : impl_(std::make_unique<impl>(node, least, std::move(clock))) {}
 
-decision_log::~decision_log() = default;
+event_log::~event_log() = default;
 
-void decision_log::write(const decision& d) {
+void event_log::write_decision(const decision& d) {
     if (!impl_->enabled(severity::info)) {
         return;
     }
@@ -111,8 +111,8 @@
                                   {"reason", d.reason}});
 }
 
-void decision_log::event(severity level, const char* name,
-                         const std::vector<log_field>& fields) {
+void event_log::event(severity level, const char* name,
+                      const std::vector<log_field>& fields) {
     if (!impl_->enabled(level)) {
         return;
     }
--- a/packages/node/src/decision_log.hpp
+++ b/packages/node/src/event_log.hpp
@@ -43,21 +43,21 @@
 
 /// Writes JSON lines to the standard error stream. Lines are queued, so that
 /// no thread waits for the reader of the stream. Safe for several threads.
-class decision_log {
+class event_log {
 public:
     /// Constructs a log of the node `node` that drops lines below `least`
     /// ("debug", "info", "warn", "error").
-    decision_log(const base::node_id& node, const std::string& least,
-                 base::clock clock);
+    event_log(const base::node_id& node, const std::string& least,
+              base::clock clock);
 
     /// Writes what is queued.
-    ~decision_log();
+    ~event_log();
 
-    decision_log(const decision_log&) = delete;
-    decision_log& operator=(const decision_log&) = delete;
+    event_log(const event_log&) = delete;
+    event_log& operator=(const event_log&) = delete;
 
     /// Writes a decision.
-    void write(const decision& d);
+    void write_decision(const decision& d);
 
     /// Writes an event that is not a decision.
     void event(severity level, const char* name,
--- a/packages/node/src/peer_calls.cpp
+++ b/packages/node/src/peer_rpc_client.cpp
@@ -1,18 +1,19 @@
-#include "peer_calls.hpp"
+#include "peer_rpc_client.hpp"
 
 #include <boost/asio/post.hpp>
 
 namespace hibiscus::node {
 
-peer_calls::peer_calls(base::node_id self, net::peer_mesh& mesh,
-                       boost::asio::io_context& control, base::clock clock)
+peer_rpc_client::peer_rpc_client(base::node_id self, net::peer_mesh& mesh,
+                                 boost::asio::io_context& control,
+                                 base::clock clock)
     : self_(std::move(self)), mesh_(mesh), control_(control),
       clock_(std::move(clock)) {}
 
-void peer_calls::call(const base::node_id& to, wire::call_body body,
-                      base::millis deadline,
-                      std::function<void(call_result)> done) {
-    const auto id = ++last_;
+void peer_rpc_client::call(const base::node_id& to, wire::call_body body,
+                           base::millis deadline,
+                           std::function<void(call_result)> done) {
+    const auto id = ++last_call_id_;
     pending_[id] = {to, clock_.now() + deadline, std::move(done)};
     mesh_.send(to, wire::call{id, self_, deadline, std::move(body)},
                [this, id] {
@@ -22,11 +23,11 @@
                });
 }
 
-void peer_calls::replied(wire::reply reply) {
+void peer_rpc_client::on_reply(wire::reply reply) {
     finish(reply.id, std::move(reply.body));
 }
 
-void peer_calls::gone(const base::node_id& node) {
+void peer_rpc_client::fail_calls_to(const base::node_id& node) {
     std::vector<std::uint64_t> ids;
     for (const auto& [id, p] : pending_) {
         if (p.to == node) {
@@ -38,11 +39,11 @@
     }
 }
 
-void peer_calls::tick() {
+void peer_rpc_client::expire_calls() {
     const auto now = clock_.now();
     std::vector<std::uint64_t> ids;
     for (const auto& [id, p] : pending_) {
-        if (now >= p.until) {
+        if (now >= p.deadline) {
             ids.push_back(id);
         }
     }
@@ -51,7 +52,7 @@
     }
 }
 
-void peer_calls::finish(std::uint64_t id, call_result result) {
+void peer_rpc_client::finish(std::uint64_t id, call_result result) {
     const auto at = pending_.find(id);
     if (at == pending_.end()) {
         return;
--- a/packages/node/src/callers_api.cpp
+++ b/packages/node/src/public_api.cpp
@@ -1,4 +1,4 @@
-#include "callers_api.hpp"
+#include "public_api.hpp"
 
 #include "hibiscus/wire/codec.hpp"
 
@@ -10,19 +10,19 @@
 namespace {
 
 constexpr int status_ok = 200;
-constexpr int status_bad = 400;
+constexpr int status_bad_request = 400;
 constexpr int status_not_found = 404;
-constexpr int status_bad_method = 405;
-constexpr int status_bad_type = 415;
-constexpr int status_too_many = 429;
+constexpr int status_method_not_allowed = 405;
+constexpr int status_unsupported_media_type = 415;
+constexpr int status_too_many_requests = 429;
 constexpr int status_unavailable = 503;
-constexpr int status_lost = 504;
+constexpr int status_gateway_timeout = 504;
 
-constexpr std::size_t longest_id = 128;
-constexpr base::millis longest_deadline = 600000;
-constexpr std::uint64_t most_slots = 65536;
-constexpr std::uint32_t most_tokens = 1000000;
-constexpr base::millis default_ttl = 1000;
+constexpr std::size_t max_id_bytes = 128;
+constexpr base::millis max_deadline_ms = 600000;
+constexpr std::uint64_t max_slots_per_step = 65536;
+constexpr std::uint32_t max_tokens_per_sample = 1000000;
+constexpr base::millis default_ttl_ms = 1000;
 
 /// Returns the HTTP status that stands for an outcome.
 int status_of(wire::outcome result, wire::reason why) {
@@ -30,12 +30,12 @@
     case wire::outcome::completed:
         return status_ok;
     case wire::outcome::not_run:
-        return why == wire::reason::overloaded ? status_too_many
+        return why == wire::reason::overloaded ? status_too_many_requests
                                                : status_unavailable;
     case wire::outcome::unknown:
-        return status_lost;
+        return status_gateway_timeout;
     }
-    return status_lost;
+    return status_gateway_timeout;
 }
 
 net::http_response problem(int status, const std::string& where,
@@ -45,12 +45,12 @@
 }
 
 /// Returns true if `id` can be a part of a path.
-bool valid_id(const std::string& id) {
+bool is_valid_id(const std::string& id) {
     const auto allowed = [](unsigned char c) {
         return std::isalnum(c) != 0 || c == '-' || c == '_' || c == '.';
     };
-    return !id.empty() && id.size() <= longest_id && id != "." && id != ".." &&
-           std::all_of(id.begin(), id.end(), allowed);
+    return !id.empty() && id.size() <= max_id_bytes && id != "." &&
+           id != ".." && std::all_of(id.begin(), id.end(), allowed);
 }
 
 std::vector<std::string> split(const std::string& target) {
@@ -74,10 +74,10 @@
 /// Returns what is wrong with a request to a service, or nothing.
 std::optional<wire::problem> check(const wire::service_request& r) {
     const auto bad = wire::reason::invalid_request;
-    if (!valid_id(r.id.str())) {
+    if (!is_valid_id(r.id.str())) {
         return wire::problem{bad, "/id", "1 to 128 of A-Z a-z 0-9 - _ ."};
     }
-    if (r.deadline_ms <= 0 || r.deadline_ms > longest_deadline) {
+    if (r.deadline_ms <= 0 || r.deadline_ms > max_deadline_ms) {
         return wire::problem{bad, "/deadline_ms", "1 to 600000"};
     }
     if (!r.idempotent && r.created_ms <= 0) {
@@ -93,12 +93,12 @@
     for (std::size_t i = 0; i < r.groups.size(); ++i) {
         const auto at = "/groups/" + std::to_string(i);
         slots += r.groups[i].samples;
-        if (r.groups[i].samples == 0 || slots > most_slots) {
+        if (r.groups[i].samples == 0 || slots > max_slots_per_step) {
             return wire::problem{bad, at + "/samples",
                                  "1 or more, 65536 in all"};
         }
         if (r.groups[i].max_tokens == 0 ||
-            r.groups[i].max_tokens > most_tokens) {
+            r.groups[i].max_tokens > max_tokens_per_sample) {
             return wire::problem{bad, at + "/max_tokens", "1 to 1000000"};
         }
     }
@@ -118,7 +118,7 @@
         return wire::problem{bad, "/version", "0 or more"};
     }
     for (const auto& range : r.received) {
-        if (range.first > range.last || range.last >= most_slots) {
+        if (range.first > range.last || range.last >= max_slots_per_step) {
             return wire::problem{bad, "/received", "pairs [first, last]"};
         }
     }
@@ -131,21 +131,23 @@
 /// Returns the message in a request's body; answers a 4xx and returns nothing
 /// if there is none.
 template <class T>
-std::optional<T> body_of(const net::http_request& request,
-                         const net::http_responder& respond) {
+std::optional<T> parse_body(const net::http_request& request,
+                            const net::http_responder& respond) {
     if (request.content_type.rfind("application/json", 0) != 0) {
-        respond(problem(status_bad_type, "/content-type", "application/json"));
+        respond(problem(status_unsupported_media_type, "/content-type",
+                        "application/json"));
         return std::nullopt;
     }
     auto read = wire::from_json<T>(request.body);
     auto* value = base::value_if(read);
     if (value == nullptr) {
-        respond(problem(status_bad, "/body",
-                        std::get<wire::decode_error>(read).what));
+        respond(problem(status_bad_request, "/body",
+                        std::get<wire::decode_error>(read).message));
         return std::nullopt;
     }
     if (const auto wrong = check(*value)) {
-        respond({status_bad, wire::to_json(*wrong), "application/json"});
+        respond(
+            {status_bad_request, wire::to_json(*wrong), "application/json"});
         return std::nullopt;
     }
     return std::move(*value);
@@ -153,11 +155,12 @@
 
 /// Returns a function that counts an answer and sends it.
 template <class T>
-std::function<void(T)> answering(telemetry::metrics& counters, const char* kind,
-                                 net::http_responder respond) {
+std::function<void(T)> respond_with(telemetry::metrics& counters,
+                                    const char* kind,
+                                    net::http_responder respond) {
     return [&counters, kind, respond = std::move(respond)](const T& answer) {
-        counters.count_answer(kind, std::string(base::name_of(answer.result)),
-                              std::string(base::name_of(answer.why)));
+        counters.count_response(kind, std::string(base::name_of(answer.result)),
+                                std::string(base::name_of(answer.why)));
         respond({status_of(answer.result, answer.why), wire::to_json(answer),
                  "application/json"});
     };
@@ -165,18 +168,18 @@
 
 } // namespace
 
-callers_api::callers_api(base::node_id self, control& state,
-                         const shared_view& shared, service_gateway& services,
-                         telemetry::metrics& counters, base::clock clock,
-                         std::size_t most)
+public_api::public_api(base::node_id self, control_plane& state,
+                       const shared_view& shared, service_gateway& services,
+                       telemetry::metrics& counters, base::clock clock,
+                       std::size_t most)
     : self_(std::move(self)), control_(state), shared_(shared),
       services_(services), counters_(counters), clock_(std::move(clock)),
-      claimed_(most) {}
+      non_idempotent_limit_(most) {}
 
-void callers_api::handle(net::http_request request,
-                         net::http_responder respond) {
+void public_api::handle(net::http_request request,
+                        net::http_responder respond) {
     if (request.method == "GET") {
-        get(request, respond);
+        handle_get(request, respond);
         return;
     }
     const auto path = split(request.target);
@@ -185,20 +188,20 @@
         return;
     }
     if (path.size() >= 5 && path[0] == "v1" && path[1] == "trainers") {
-        trainer_call(request, path, respond);
+        handle_trainer_request(request, path, respond);
         return;
     }
     respond(problem(status_not_found, "/target", "a path of docs/API.md"));
 }
 
-void callers_api::get(const net::http_request& request,
-                      const net::http_responder& respond) {
+void public_api::handle_get(const net::http_request& request,
+                            const net::http_responder& respond) {
     const auto& target = request.target;
     if (target == "/healthz") {
         respond({status_ok, "ok\n", "text/plain"});
     } else if (target == "/readyz") {
         wire::reason why{};
-        const bool ready = takes_requests(why) &&
+        const bool ready = accepts_requests(why) &&
                            shared_.get()->state == wire::node_state::ready;
         respond({ready ? status_ok : status_unavailable,
                  std::string(base::name_of(shared_.get()->state)) + "\n",
@@ -207,9 +210,9 @@
         respond(
             {status_ok, counters_.serialize(), "text/plain; version=0.0.4"});
     } else if (target == "/v1/entries") {
-        entries(respond);
+        list_entries(respond);
     } else if (target == "/v1/status") {
-        control_.status([respond](std::string text) {
+        control_.write_status([respond](std::string text) {
             respond({status_ok, std::move(text), "application/json"});
         });
     } else {
@@ -217,16 +220,16 @@
     }
 }
 
-void callers_api::entries(const net::http_responder& respond) {
+void public_api::list_entries(const net::http_responder& respond) {
     const auto v = shared_.get();
-    wire::entries_answer answer;
+    wire::entries_response answer;
     answer.ttl_ms =
-        v->config ? v->config->content.limit.entries_ttl_ms : default_ttl;
+        v->config ? v->config->content.limit.entries_ttl_ms : default_ttl_ms;
     answer.entries = v->entries;
     respond({status_ok, wire::to_json(answer), "application/json"});
 }
 
-bool callers_api::takes_requests(wire::reason& why) const {
+bool public_api::accepts_requests(wire::reason& why) const {
     const auto state = shared_.get()->state;
     why = state == wire::node_state::isolated ? wire::reason::config_unknown
                                               : wire::reason::not_ready;
@@ -234,24 +237,25 @@
            state == wire::node_state::draining;
 }
 
-void callers_api::run_service(const net::http_request& request,
-                              const net::http_responder& respond) {
+void public_api::run_service(const net::http_request& request,
+                             const net::http_responder& respond) {
     if (request.method != "POST") {
-        respond(problem(status_bad_method, "/method", "POST"));
+        respond(problem(status_method_not_allowed, "/method", "POST"));
         return;
     }
-    const auto body = body_of<wire::service_request>(request, respond);
+    const auto body = parse_body<wire::service_request>(request, respond);
     if (!body) {
         return;
     }
-    auto done = answering<wire::answer>(counters_, "service", respond);
+    auto done =
+        respond_with<wire::service_response>(counters_, "service", respond);
     wire::reason why{};
-    if (!takes_requests(why)) {
-        done(wire::not_run(body->id, why, default_ttl, self_));
+    if (!accepts_requests(why)) {
+        done(wire::make_not_run_response(body->id, why, default_ttl_ms, self_));
     } else if (body->idempotent) {
         services_.run(*body, std::move(done));
     } else {
-        run_claimed(*body, std::move(done));
+        run_non_idempotent(*body, std::move(done));
     }
 }
 
@@ -259,35 +263,37 @@
 /// what it is given in turn, so without a bound an overload would let each
 /// request wait behind all others until its deadline; the caller is told at
 /// once instead.
-void callers_api::run_claimed(const wire::service_request& request,
-                              std::function<void(wire::answer)> done) {
+void public_api::run_non_idempotent(
+    const wire::service_request& request,
+    std::function<void(wire::service_response)> done) {
     std::optional<base::millis> refused_for;
     {
         const std::lock_guard<std::mutex> lock(mutex_);
-        if (!claimed_.enter()) {
-            refused_for = claimed_.retry_after(clock_.now());
+        if (!non_idempotent_limit_.try_acquire()) {
+            refused_for = non_idempotent_limit_.retry_after(clock_.now());
         }
     }
     if (refused_for) {
-        done(wire::not_run(request.id, wire::reason::overloaded, *refused_for,
-                           self_));
+        done(wire::make_not_run_response(request.id, wire::reason::overloaded,
+                                         *refused_for, self_));
         return;
     }
-    control_.run(request, [this, done = std::move(done)](wire::answer answer) {
-        {
-            const std::lock_guard<std::mutex> lock(mutex_);
-            claimed_.leave(clock_.now());
-        }
-        done(std::move(answer));
-    });
+    control_.run_request(
+        request, [this, done = std::move(done)](wire::service_response answer) {
+            {
+                const std::lock_guard<std::mutex> lock(mutex_);
+                non_idempotent_limit_.release(clock_.now());
+            }
+            done(std::move(answer));
+        });
 }
 
-void callers_api::trainer_call(const net::http_request& request,
-                               const std::vector<std::string>& path,
-                               const net::http_responder& respond) {
+void public_api::handle_trainer_request(const net::http_request& request,
+                                        const std::vector<std::string>& path,
+                                        const net::http_responder& respond) {
     const base::trainer_id trainer(path[2]);
     std::int64_t number = 0;
-    if (!valid_id(path[2]) || !parse_number(path[4], number)) {
+    if (!is_valid_id(path[2]) || !parse_number(path[4], number)) {
         respond(problem(status_not_found, "/target",
                         "a trainer's name and a number"));
         return;
@@ -297,50 +303,51 @@
     if (path.size() == 5 && path[3] == "steps" && put) {
         open_step(request, trainer, number, respond);
     } else if (path.size() == 5 && path[3] == "versions" && put) {
-        publish(trainer, number, respond);
+        publish_version(trainer, number, respond);
     } else if (path.size() == 6 && path[3] == "steps" && path[5] == "pull" &&
                post) {
-        pull(request, trainer, number, respond);
+        pull_samples(request, trainer, number, respond);
     } else if (path[3] == "steps" || path[3] == "versions") {
-        respond(problem(status_bad_method, "/method",
+        respond(problem(status_method_not_allowed, "/method",
                         "PUT steps/N, PUT versions/N or POST steps/N/pull"));
     } else {
         respond(problem(status_not_found, "/target", "a path of docs/API.md"));
     }
 }
 
-void callers_api::open_step(const net::http_request& request,
-                            const base::trainer_id& trainer,
-                            wire::step_number step,
-                            const net::http_responder& respond) {
-    const auto body = body_of<wire::step_request>(request, respond);
+void public_api::open_step(const net::http_request& request,
+                           const base::trainer_id& trainer,
+                           wire::step_number step,
+                           const net::http_responder& respond) {
+    const auto body = parse_body<wire::step_request>(request, respond);
     if (!body) {
         return;
     }
-    auto done = answering<wire::step_answer>(counters_, "step", respond);
+    auto done = respond_with<wire::step_response>(counters_, "step", respond);
     wire::reason why{};
-    if (!takes_requests(why)) {
-        done({wire::outcome::not_run, why, default_ttl, 0});
+    if (!accepts_requests(why)) {
+        done({wire::outcome::not_run, why, default_ttl_ms, 0});
         return;
     }
     control_.open_step({trainer, step, *body}, std::move(done));
 }
 
-void callers_api::pull(const net::http_request& request,
-                       const base::trainer_id& trainer, wire::step_number step,
-                       const net::http_responder& respond) {
-    auto body = body_of<wire::pull_request>(request, respond);
+void public_api::pull_samples(const net::http_request& request,
+                              const base::trainer_id& trainer,
+                              wire::step_number step,
+                              const net::http_responder& respond) {
+    auto body = parse_body<wire::pull_request>(request, respond);
     if (!body) {
         return;
     }
-    auto done = answering<wire::pull_answer>(counters_, "pull", respond);
+    auto done = respond_with<wire::pull_response>(counters_, "pull", respond);
     wire::reason why{};
-    if (!takes_requests(why)) {
-        wire::pull_answer answer;
+    if (!accepts_requests(why)) {
+        wire::pull_response answer;
         answer.pull = body->pull;
         answer.result = wire::outcome::not_run;
         answer.why = why;
-        answer.retry_after_ms = default_ttl;
+        answer.retry_after_ms = default_ttl_ms;
         answer.node = self_;
         done(std::move(answer));
         return;
@@ -350,25 +357,26 @@
         body->wait_ms =
             std::min(body->wait_ms, v->config->content.limit.pull_wait_ms);
     }
-    control_.pull({trainer, step, *body}, std::move(done));
+    control_.pull_samples({trainer, step, *body}, std::move(done));
 }
 
-void callers_api::publish(const base::trainer_id& trainer,
-                          wire::weight_version version,
-                          const net::http_responder& respond) {
-    auto done = answering<wire::version_answer>(counters_, "version", respond);
+void public_api::publish_version(const base::trainer_id& trainer,
+                                 wire::weight_version version,
+                                 const net::http_responder& respond) {
+    auto done =
+        respond_with<wire::version_response>(counters_, "version", respond);
     wire::reason why{};
-    if (!takes_requests(why)) {
-        done({wire::outcome::not_run, why, default_ttl, 0});
+    if (!accepts_requests(why)) {
+        done({wire::outcome::not_run, why, default_ttl_ms, 0});
         return;
     }
     const auto v = shared_.get();
     if (v->config && v->config->content.find(trainer) == nullptr) {
         done({wire::outcome::not_run, wire::reason::unknown_trainer,
-              default_ttl, 0});
+              default_ttl_ms, 0});
         return;
     }
-    control_.publish({trainer, version}, std::move(done));
+    control_.publish_version({trainer, version}, std::move(done));
 }
 
 } // namespace hibiscus::node
--- a/packages/node/src/rollout_planner.hpp
+++ b/packages/node/src/rollout_planner.hpp
@@ -27,7 +27,7 @@
 private:
     const cluster::engine_table& engines_;
     const cluster::version_table& versions_;
-    document_function document_;
+    document_function current_document_;
 };
 
 } // namespace hibiscus::node
--- /dev/null
+++ b/packages/node/src/sample_driver.hpp
@@ -0,0 +1,153 @@
+#pragma once
+
+#include "engine_client.hpp"
+#include "engine_selector.hpp"
+#include "event_log.hpp"
+#include "hibiscus/cluster/engine_coordinator.hpp"
+#include "hibiscus/cluster/engine_reachability.hpp"
+#include "hibiscus/cluster/engine_table.hpp"
+#include "hibiscus/cluster/member_table.hpp"
+#include "hibiscus/cluster/step_coordinator.hpp"
+#include "hibiscus/cluster/version_table.hpp"
+#include "hibiscus/platform/log_client.hpp"
+#include "hibiscus/telemetry/metrics.hpp"
+#include "peer_rpc_client.hpp"
+#include "rollout_planner.hpp"
+#include "usage_meter.hpp"
+
+#include <functional>
+#include <map>
+#include <set>
+
+namespace hibiscus::node {
+
+/// Carries out what the homes of steps and engines decide. Lives on the
+/// control thread.
+class sample_driver {
+public:
+    /// Takes the answer to one pull.
+    using pull_function = std::function<void(wire::pull_response)>;
+
+    /// Returns the document in force, or null.
+    using document_function = std::function<const document::document*()>;
+
+    /// Constructs a runner of the node `self`.
+    sample_driver(const base::node_id& self, boost::asio::io_context& control,
+                  const cluster::member_table& members, peer_rpc_client& calls,
+                  net::peer_mesh& mesh, platform::log_client& log,
+                  engine_client& engines, event_log& lines,
+                  telemetry::metrics& counters, base::clock clock,
+                  document_function document);
+
+    /// Opens a step whose home this node is.
+    wire::step_response open_step(const wire::open_step& message);
+
+    /// Answers a pull whose home this node is.
+    void pull_samples(const wire::pull_step& message, pull_function done);
+
+    /// Returns the answer of another home without what is too old by now.
+    wire::pull_response without_stale_samples(const base::trainer_id& trainer,
+                                              wire::pull_response answer) const;
+
+    /// Admits a stream at an engine whose home this node is.
+    wire::place_response admit_stream(const wire::place_sample& message);
+
+    /// Takes reports of an engine's home.
+    void on_report(const wire::sample_report& message);
+
+    /// Takes an acknowledgement of reports.
+    void on_acknowledgement(const wire::sample_ack& message);
+
+    /// Stops streams at engines whose home this node is.
+    void cancel_streams(const wire::cancel_streams& message);
+
+    /// Notes a trainer's version.
+    void update_newest_version(const base::trainer_id& trainer,
+                               wire::weight_version version);
+
+    /// Notes what a peer says of the engines whose home it is.
+    void on_heartbeat(const wire::heartbeat& beat);
+
+    /// Takes over the platform's list.
+    void update_instances(const wire::instance_list& page);
+
+    /// Takes over engines and trainers, or leaves them, as the members and
+    /// the document say.
+    void assign_homes();
+
+    /// Does what is due.
+    void tick();
+
+    /// Returns the loads of this home's engines, for heartbeats.
+    std::vector<wire::engine_status> engine_statuses() const;
+
+    /// Returns the newest versions.
+    const cluster::version_table& versions() const { return versions_; }
+
+    /// Returns all engines that are listed.
+    const cluster::engine_table& engines() const { return engines_; }
+
+    /// Returns the slot time of this home's engines by owner.
+    const policy::usage_meter& usage() const { return usage_; }
+
+    /// Returns the trainers whose steps this node has.
+    const cluster::step_coordinator& steps() const { return step_coordinator_; }
+
+private:
+    std::optional<int>
+    staleness_bound_of(const base::trainer_id& trainer) const;
+    cluster::straggler_policy
+    straggler_policy_of(const base::trainer_id& trainer) const;
+    cluster::engine_traits traits_of(const cluster::engine_entry& row,
+                                     const document::document& document,
+                                     const document::pool& pool) const;
+    void request_streams_of_moved_engines();
+    void forward_report(const wire::sample_report& message);
+
+    void note_ended(const wire::sample_report& message);
+    void execute_effects();
+    void execute(const cluster::place_stream& effect);
+    void execute(const cluster::cancel_stream& effect);
+    void execute(const cluster::send_pull_response& effect);
+    void execute(const cluster::start_at_engine& effect);
+    void execute(const cluster::stop_at_engine& effect);
+    void execute(const cluster::send_order& effect);
+    void execute(const cluster::send_report& effect);
+    void execute(const cluster::append_epoch& effect);
+    void on_place_response(const base::stream_id& stream,
+                           const wire::place_response& answer);
+    void poll_engines();
+    void
+    on_poll_response(const base::engine_id& engine,
+                     const std::optional<wire::engine_poll_response>& news);
+    std::optional<base::endpoint> address_of(const base::engine_id& e) const;
+    base::node_id home_of(const base::engine_id& engine) const;
+
+    base::node_id self_;
+    boost::asio::io_context& control_;
+    const cluster::member_table& members_;
+    peer_rpc_client& calls_;
+    net::peer_mesh& mesh_;
+    platform::log_client& log_;
+    engine_client& engine_client_;
+    event_log& logger_;
+    telemetry::metrics& counters_;
+    base::clock clock_;
+    document_function document_;
+    cluster::version_table versions_;
+    cluster::engine_table engines_;
+    engine_selector selector_;
+    cluster::step_coordinator step_coordinator_;
+    rollout_planner rollout_;
+    cluster::engine_coordinator engine_coordinator_;
+    cluster::engine_reachability reachability_;
+    std::map<base::engine_id, base::node_id> engine_homes_;
+    policy::usage_meter usage_;
+    std::map<cluster::waiter_id, pull_function> callbacks_;
+    cluster::waiter_id last_waiter_ = 0;
+    std::set<base::engine_id> engines_being_polled_;
+    std::map<base::engine_id, base::millis> last_poll_at_;
+    std::uint64_t epoch_append_count_ = 0;
+};
+
+} // namespace hibiscus::node
--- a/packages/node/src/service_gateway.cpp
+++ b/packages/node/src/service_gateway.cpp
@@ -10,19 +10,19 @@
 
 namespace {
 
-constexpr double budget_reserve = 20.0;
-constexpr double default_ratio = 0.1;
-constexpr int most_attempts = 3;
-constexpr base::millis refusal = 100;
-constexpr base::millis sweep_ms = 20;
+constexpr double retry_budget_reserve = 20.0;
+constexpr double default_retry_ratio = 0.1;
+constexpr int max_attempts = 3;
+constexpr base::millis default_retry_after_ms = 100;
+constexpr base::millis expiry_interval_ms = 20;
 constexpr int status_ok = 200;
-constexpr int status_overloaded = 503;
+constexpr int status_unavailable = 503;
 
 } // namespace
 
 /// A request between its arrival and its answer. Guarded by the gateway's
 /// lock, but for what never changes.
-struct service_gateway::pending {
+struct service_gateway::pending_request {
     wire::service_request request;
     done_function done;
     base::millis deadline = 0;
@@ -44,11 +44,11 @@
         : request(std::move(p)), timer(io) {}
 
     pending_ptr request;
-    policy::instance_choice instance;
+    policy::instance_candidate instance;
     int number = 0;
-    base::millis begun = 0;
-    base::millis patience = 0;
-    bool over = false;
+    base::millis started_at = 0;
+    base::millis hedge_after = 0;
+    bool finished = false;
     std::function<void()> cancel;
     boost::asio::steady_timer timer;
 };
@@ -56,17 +56,17 @@
 service_gateway::service_gateway(base::node_id self,
                                  boost::asio::io_context& io,
                                  net::http_client& http,
-                                 const shared_view& shared, decision_log& log,
+                                 const shared_view& shared, event_log& log,
                                  telemetry::metrics& counters,
                                  base::clock clock)
-    : self_(std::move(self)), io_(io), http_(http), shared_(shared), log_(log),
-      counters_(counters), clock_(std::move(clock)),
+    : self_(std::move(self)), io_(io), http_(http), shared_(shared),
+      logger_(log), counters_(counters), clock_(std::move(clock)),
       router_(base::stable_hash(self_.str())),
-      budget_(default_ratio, budget_reserve) {}
+      retry_budget_(default_retry_ratio, retry_budget_reserve) {}
 
 void service_gateway::run(const wire::service_request& request,
                           done_function done) {
-    auto p = std::make_shared<pending>();
+    auto p = std::make_shared<pending_request>();
     p->request = request;
     p->done = std::move(done);
     p->deadline = clock_.now() + request.deadline_ms;
@@ -74,85 +74,88 @@
     {
         const std::lock_guard<std::mutex> lock(mutex_);
         if (view->config) {
-            budget_.set_ratio(view->config->content.limit.retry_ratio);
+            retry_budget_.set_ratio(view->config->content.limit.retry_ratio);
         }
-        budget_.deposit();
+        retry_budget_.deposit();
     }
     start(p);
 }
 
-std::size_t service_gateway::queued() const {
+std::size_t service_gateway::queued_count() const {
     const std::lock_guard<std::mutex> lock(mutex_);
-    return queued_;
+    return queued_count_;
 }
 
 void service_gateway::start(const pending_ptr& p) {
     if (clock_.now() >= p->deadline) {
-        give_up(p, wire::reason::deadline_passed, refusal);
+        fail_request(p, wire::reason::deadline_passed, default_retry_after_ms);
         return;
     }
-    if (const auto a = choose(p)) {
+    if (const auto a = select_instance(p)) {
         dispatch(a);
     }
 }
 
 /// Returns an attempt to make now; or queues the request, or gives it up, and
 /// returns null.
-service_gateway::attempt_ptr service_gateway::choose(const pending_ptr& p) {
+service_gateway::attempt_ptr
+service_gateway::select_instance(const pending_ptr& p) {
     const auto view = shared_.get();
     const auto& name = p->request.service;
     const auto* service =
         view->config ? view->config->content.find(name) : nullptr;
     const auto listed = view->services.find(name);
     if (service == nullptr || listed == view->services.end()) {
-        give_up(p,
-                service == nullptr ? wire::reason::unknown_service
-                                   : wire::reason::no_backend,
-                refusal);
+        fail_request(p,
+                     service == nullptr ? wire::reason::unknown_service
+                                        : wire::reason::no_backend,
+                     default_retry_after_ms);
         return nullptr;
     }
-    policy::admission verdict;
+    policy::admission_decision verdict;
     {
         const std::lock_guard<std::mutex> lock(mutex_);
         auto& state = services_[name];
         if (state.queue.empty()) {
-            if (auto a = choose_locked(state, p, *service, listed->second)) {
+            if (auto a = select_instance_locked(state, p, *service,
+                                                listed->second)) {
                 return a;
             }
         }
         const auto now = clock_.now();
-        verdict = policy::admit({state.queue.size(), state.drained.per_ms(now),
+        verdict = policy::admit({state.queue.size(),
+                                 state.drain_rate.rate_per_ms(now),
                                  state.latency.mean(), p->deadline - now});
         if (verdict.admitted) {
             state.queue.push_back(p);
-            ++queued_;
-            arm_sweep();
+            ++queued_count_;
+            arm_expiry_timer();
         }
     }
     log_choice(*p, listed->second, verdict.admitted ? "queue" : "none",
                "all at their limit, predicted wait " +
                    std::to_string(verdict.wait) + " ms");
     if (!verdict.admitted) {
-        give_up(p, wire::reason::overloaded, verdict.wait);
+        fail_request(p, wire::reason::overloaded, verdict.wait);
     }
     return nullptr;
 }
 
-service_gateway::attempt_ptr service_gateway::choose_locked(
+service_gateway::attempt_ptr service_gateway::select_instance_locked(
     service_state& state, const pending_ptr& p,
     const document::service& service,
-    const std::vector<policy::instance_choice>& from) {
+    const std::vector<policy::instance_candidate>& from) {
     const auto now = clock_.now();
     const auto chosen =
-        router_.begin(from, service.max_in_flight, p->instance, now);
+        router_.begin_request(from, service.max_in_flight, p->instance, now);
     if (!chosen) {
         return nullptr;
     }
     auto a = std::make_shared<attempt>(io_, p);
     a->instance = from[*chosen];
     a->number = ++p->number;
-    a->begun = now;
-    a->patience = state.latency.patience();
+    a->started_at = now;
+    a->hedge_after = state.latency.timeout();
     p->instance = a->instance.id;
     p->retry_paid = false;
     ++p->in_flight;
@@ -174,32 +177,33 @@
     const bool may_reuse = request.idempotent && a->number == 1;
     auto cancel =
         http_.send(target.value_or(base::endpoint{}), std::move(message),
-                   a->request->deadline - a->begun,
-                   may_reuse ? net::reuse::allowed : net::reuse::never,
+                   a->request->deadline - a->started_at,
+                   may_reuse ? net::connection_reuse::allowed
+                             : net::connection_reuse::never,
                    [self = shared_from_this(), a](const net::http_result& r) {
-                       self->finished(a, r);
+                       self->on_http_result(a, r);
                    });
     const std::lock_guard<std::mutex> lock(mutex_);
-    if (!a->over && request.idempotent) {
+    if (!a->finished && request.idempotent) {
         a->cancel = std::move(cancel);
-        watch(a);
+        arm_hedge_timer(a);
     }
 }
 
 /// Looks at the attempt again when an answer should have come. On a silent
 /// connection none ever does, and without this the caller would wait until
 /// its deadline.
-void service_gateway::watch(const attempt_ptr& a) {
-    a->timer.expires_after(std::chrono::milliseconds(a->patience));
+void service_gateway::arm_hedge_timer(const attempt_ptr& a) {
+    a->timer.expires_after(std::chrono::milliseconds(a->hedge_after));
     a->timer.async_wait(
         [self = shared_from_this(), a](const boost::system::error_code& error) {
             if (!error) {
-                self->impatient(a);
+                self->on_hedge_timer(a);
             }
         });
 }
 
-void service_gateway::impatient(const attempt_ptr& a) {
+void service_gateway::on_hedge_timer(const attempt_ptr& a) {
     const auto& p = a->request;
     const auto view = shared_.get();
     const auto* service =
@@ -209,15 +213,15 @@
     attempt_ptr second;
     {
         const std::lock_guard<std::mutex> lock(mutex_);
-        if (a->over || p->answered || p->hedged || p->number >= most_attempts ||
-            service == nullptr || listed == view->services.end() ||
-            !budget_.withdraw()) {
+        if (a->finished || p->answered || p->hedged ||
+            p->number >= max_attempts || service == nullptr ||
+            listed == view->services.end() || !retry_budget_.withdraw()) {
             return;
         }
         if (service->hedge) {
             p->hedged = true;
             auto& state = services_[p->request.service];
-            second = choose_locked(state, p, *service, listed->second);
+            second = select_instance_locked(state, p, *service, listed->second);
         } else {
             p->retry_paid = true;
             cancel = a->cancel;
@@ -233,31 +237,32 @@
 }
 
 void service_gateway::log_choice(
-    const pending& p, const std::vector<policy::instance_choice>& instances,
+    const pending_request& p,
+    const std::vector<policy::instance_candidate>& instances,
     const std::string& choice, const std::string& reason) {
     decision d{"route", p.request.id.str(), {}, choice, reason};
     for (const auto& i : instances) {
         d.candidates.push_back(i.id);
     }
-    log_.write(d);
+    logger_.write_decision(d);
 }
 
-void service_gateway::finished(const attempt_ptr& a,
-                               const net::http_result& result) {
+void service_gateway::on_http_result(const attempt_ptr& a,
+                                     const net::http_result& result) {
     const auto* response = std::get_if<net::http_response>(&result);
     const auto& p = a->request;
     if (response == nullptr) {
-        note_end(a, policy::attempt_end::unreached);
-        failed(a, std::get<net::http_failure>(result).how);
-    } else if (response->status == status_overloaded) {
+        record_attempt_end(a, policy::attempt_outcome::no_response);
+        on_attempt_failed(a, std::get<net::http_failure>(result).status);
+    } else if (response->status == status_unavailable) {
         // A backend server says 503 only for what it did not start. That is
         // true of this send; an earlier one may have run.
-        note_end(a, policy::attempt_end::refused);
-        failed(a, response->repeated ? net::delivery::lost
-                                     : net::delivery::not_sent);
+        record_attempt_end(a, policy::attempt_outcome::rejected);
+        on_attempt_failed(a, response->resent ? net::delivery_status::lost
+                                              : net::delivery_status::not_sent);
     } else {
-        note_end(a, policy::attempt_end::answered);
-        wire::answer reply;
+        record_attempt_end(a, policy::attempt_outcome::answered);
+        wire::service_response reply;
         reply.id = p->request.id;
         reply.node = self_;
         reply.attempt = a->number;
@@ -265,32 +270,34 @@
         const bool ok = response->status == status_ok;
         reply.result = ok ? wire::outcome::completed : wire::outcome::unknown;
         reply.why = ok ? wire::reason::none : wire::reason::backend_failed;
-        answer(p, std::move(reply));
+        complete_request(p, std::move(reply));
     }
-    pump(p->request.service);
+    dispatch_queued(p->request.service);
 }
 
-void service_gateway::note_end(const attempt_ptr& a, policy::attempt_end how) {
+void service_gateway::record_attempt_end(const attempt_ptr& a,
+                                         policy::attempt_outcome how) {
     const auto now = clock_.now();
     const std::lock_guard<std::mutex> lock(mutex_);
-    a->over = true;
+    a->finished = true;
     a->timer.cancel();
     a->cancel = nullptr;
     --a->request->in_flight;
-    router_.end(a->instance.id, how, now);
+    router_.end_request(a->instance.id, how, now);
     auto& state = services_[a->request->request.service];
-    if (how == policy::attempt_end::answered) {
-        state.latency.note(now - a->begun);
-        state.drained.note(now);
+    if (how == policy::attempt_outcome::answered) {
+        state.latency.add_sample(now - a->started_at);
+        state.drain_rate.record_completion(now);
     }
 }
 
-void service_gateway::failed(const attempt_ptr& a, net::delivery how) {
+void service_gateway::on_attempt_failed(const attempt_ptr& a,
+                                        net::delivery_status how) {
     const auto& p = a->request;
     bool retry = false;
     {
         const std::lock_guard<std::mutex> lock(mutex_);
-        p->may_have_run = p->may_have_run || how == net::delivery::lost;
+        p->may_have_run = p->may_have_run || how == net::delivery_status::lost;
         if (p->answered || p->in_flight > 0) {
             return;
         }
@@ -300,30 +307,33 @@
         start(p);
         return;
     }
-    give_up(p,
-            p->may_have_run ? wire::reason::connection_lost
-                            : wire::reason::no_backend,
-            refusal);
+    fail_request(p,
+                 p->may_have_run ? wire::reason::connection_lost
+                                 : wire::reason::no_backend,
+                 default_retry_after_ms);
 }
 
-bool service_gateway::may_retry(const pending& p, net::delivery how) {
+bool service_gateway::may_retry(const pending_request& p,
+                                net::delivery_status how) {
     const bool repeatable =
-        p.request.idempotent || how == net::delivery::not_sent;
-    if (!repeatable || p.number >= most_attempts ||
-        clock_.now() >= p.deadline) {
+        p.request.idempotent || how == net::delivery_status::not_sent;
+    if (!repeatable || p.number >= max_attempts || clock_.now() >= p.deadline) {
         return false;
     }
-    return p.retry_paid || budget_.withdraw();
+    return p.retry_paid || retry_budget_.withdraw();
 }
 
-void service_gateway::give_up(const pending_ptr& p, wire::reason why,
-                              base::millis retry_after) {
+void service_gateway::fail_request(const pending_ptr& p, wire::reason why,
+                                   base::millis retry_after) {
     const auto& id = p->request.id;
-    answer(p, p->may_have_run ? wire::unknown(id, why, self_)
-                              : wire::not_run(id, why, retry_after, self_));
+    complete_request(
+        p, p->may_have_run
+               ? wire::make_unknown_response(id, why, self_)
+               : wire::make_not_run_response(id, why, retry_after, self_));
 }
 
-void service_gateway::answer(const pending_ptr& p, wire::answer answer) {
+void service_gateway::complete_request(const pending_ptr& p,
+                                       wire::service_response answer) {
     done_function done;
     {
         const std::lock_guard<std::mutex> lock(mutex_);
@@ -336,7 +346,7 @@
 }
 
 /// Sends the requests at the head of the queue for which there is room.
-void service_gateway::pump(const base::service_id& name) {
+void service_gateway::dispatch_queued(const base::service_id& name) {
     const auto view = shared_.get();
     const auto* service =
         view->config ? view->config->content.find(name) : nullptr;
@@ -349,13 +359,13 @@
         const std::lock_guard<std::mutex> lock(mutex_);
         auto& state = services_[name];
         while (!state.queue.empty()) {
-            auto a = choose_locked(state, state.queue.front(), *service,
-                                   listed->second);
+            auto a = select_instance_locked(state, state.queue.front(),
+                                            *service, listed->second);
             if (!a) {
                 break;
             }
             state.queue.pop_front();
-            --queued_;
+            --queued_count_;
             ready.push_back(std::move(a));
         }
     }
@@ -364,16 +374,16 @@
     }
 }
 
-void service_gateway::arm_sweep() {
-    if (std::exchange(sweeping_, true)) {
+void service_gateway::arm_expiry_timer() {
+    if (std::exchange(expiry_timer_armed_, true)) {
         return;
     }
     auto timer = std::make_shared<boost::asio::steady_timer>(io_);
-    timer->expires_after(std::chrono::milliseconds(sweep_ms));
+    timer->expires_after(std::chrono::milliseconds(expiry_interval_ms));
     timer->async_wait([self = shared_from_this(),
                        timer](const boost::system::error_code& error) {
         if (!error) {
-            self->sweep();
+            self->expire_queued();
         }
     });
 }
@@ -381,7 +391,7 @@
 /// Answers the waiting requests whose time is over, and tries the others: an
 /// instance may have been listed, or have come back, without any request that
 /// ended.
-void service_gateway::sweep() {
+void service_gateway::expire_queued() {
     const auto now = clock_.now();
     std::vector<pending_ptr> late;
     std::vector<base::service_id> waiting;
@@ -397,17 +407,17 @@
                 waiting.push_back(name);
             }
         }
-        queued_ -= late.size();
-        sweeping_ = false;
-        if (queued_ > 0) {
-            arm_sweep();
+        queued_count_ -= late.size();
+        expiry_timer_armed_ = false;
+        if (queued_count_ > 0) {
+            arm_expiry_timer();
         }
     }
     for (const auto& p : late) {
-        give_up(p, wire::reason::deadline_passed, refusal);
+        fail_request(p, wire::reason::deadline_passed, default_retry_after_ms);
     }
     for (const auto& name : waiting) {
-        pump(name);
+        dispatch_queued(name);
     }
 }
 
--- a/packages/node/src/service_gateway.hpp
+++ b/packages/node/src/service_gateway.hpp
@@ -1,10 +1,10 @@
 #pragma once
 
-#include "decision_log.hpp"
+#include "event_log.hpp"
 #include "hibiscus/net/http_client.hpp"
 #include "hibiscus/policy/admission.hpp"
 #include "hibiscus/telemetry/metrics.hpp"
-#include "hibiscus/wire/answers.hpp"
+#include "hibiscus/wire/service.hpp"
 #include "shared_view.hpp"
 
 #include <boost/asio/steady_timer.hpp>
@@ -22,12 +22,12 @@
 class service_gateway : public std::enable_shared_from_this<service_gateway> {
 public:
     /// Takes the answer to one request.
-    using done_function = std::function<void(wire::answer)>;
+    using done_function = std::function<void(wire::service_response)>;
 
     /// Constructs a gateway of the node `self`, with its timers on `io`.
     service_gateway(base::node_id self, boost::asio::io_context& io,
                     net::http_client& http, const shared_view& shared,
-                    decision_log& log, telemetry::metrics& counters,
+                    event_log& log, telemetry::metrics& counters,
                     base::clock clock);
 
     /// Sends a request and calls `done` once. An idempotent one is tried again
@@ -38,12 +38,12 @@
     void run(const wire::service_request& request, done_function done);
 
     /// Returns the requests that wait for an instance.
-    std::size_t queued() const;
+    std::size_t queued_count() const;
 
 private:
-    struct pending;
+    struct pending_request;
     struct attempt;
-    using pending_ptr = std::shared_ptr<pending>;
+    using pending_ptr = std::shared_ptr<pending_request>;
     using attempt_ptr = std::shared_ptr<attempt>;
 
     /// What is known of one service, and the requests that wait for it. Each
@@ -51,45 +51,46 @@
     /// delay the others.
     struct service_state {
         policy::latency_estimate latency;
-        policy::drain_meter drained;
+        policy::throughput_meter drain_rate;
         std::deque<pending_ptr> queue;
     };
 
     void start(const pending_ptr& p);
-    attempt_ptr choose(const pending_ptr& p);
-    attempt_ptr choose_locked(service_state& state, const pending_ptr& p,
-                              const document::service& service,
-                              const std::vector<policy::instance_choice>& from);
+    attempt_ptr select_instance(const pending_ptr& p);
+    attempt_ptr
+    select_instance_locked(service_state& state, const pending_ptr& p,
+                           const document::service& service,
+                           const std::vector<policy::instance_candidate>& from);
     void dispatch(const attempt_ptr& a);
-    void watch(const attempt_ptr& a);
-    void impatient(const attempt_ptr& a);
-    void finished(const attempt_ptr& a, const net::http_result& result);
-    void note_end(const attempt_ptr& a, policy::attempt_end how);
-    void failed(const attempt_ptr& a, net::delivery how);
-    bool may_retry(const pending& p, net::delivery how);
-    void give_up(const pending_ptr& p, wire::reason why,
-                 base::millis retry_after);
-    void answer(const pending_ptr& p, wire::answer answer);
-    void pump(const base::service_id& service);
-    void arm_sweep();
-    void sweep();
-    void log_choice(const pending& p,
-                    const std::vector<policy::instance_choice>& instances,
+    void arm_hedge_timer(const attempt_ptr& a);
+    void on_hedge_timer(const attempt_ptr& a);
+    void on_http_result(const attempt_ptr& a, const net::http_result& result);
+    void record_attempt_end(const attempt_ptr& a, policy::attempt_outcome how);
+    void on_attempt_failed(const attempt_ptr& a, net::delivery_status how);
+    bool may_retry(const pending_request& p, net::delivery_status how);
+    void fail_request(const pending_ptr& p, wire::reason why,
+                      base::millis retry_after);
+    void complete_request(const pending_ptr& p, wire::service_response answer);
+    void dispatch_queued(const base::service_id& service);
+    void arm_expiry_timer();
+    void expire_queued();
+    void log_choice(const pending_request& p,
+                    const std::vector<policy::instance_candidate>& instances,
                     const std::string& choice, const std::string& reason);
 
     base::node_id self_;
     boost::asio::io_context& io_;
     net::http_client& http_;
     const shared_view& shared_;
-    decision_log& log_;
+    event_log& logger_;
     telemetry::metrics& counters_;
     base::clock clock_;
     mutable std::mutex mutex_;
     policy::service_router router_;
-    policy::retry_budget budget_;
+    policy::retry_budget retry_budget_;
     std::map<base::service_id, service_state> services_;
-    std::size_t queued_ = 0;
-    bool sweeping_ = false;
+    std::size_t queued_count_ = 0;
+    bool expiry_timer_armed_ = false;
 };
 
 } // namespace hibiscus::node
--- a/packages/node/src/settings.cpp
+++ b/packages/node/src/settings.cpp
@@ -38,7 +38,7 @@
         m.integer("member_timeout_ms", s.member_timeout_ms, 100, 600000);
     });
     in.word("log_level", s.log_level, {"debug", "info", "warn", "error"});
-    in.finish();
+    in.report_unknown_keys();
     return s;
 }
 
--- a/packages/node/src/usage_meter.cpp
+++ b/packages/node/src/usage_meter.cpp
@@ -4,9 +4,9 @@
 
 namespace {
 
-void count_streams(const cluster::homed_engine& engine,
+void count_streams(const cluster::engine_state& engine,
                    const document::document& document,
-                   policy::engine_use& use) {
+                   policy::engine_usage& use) {
     for (const auto& [id, row] : engine.streams) {
         const auto* trainer = document.find(row.start.trainer);
         if (trainer == nullptr || row.state == wire::stream_state::done) {
@@ -19,10 +19,11 @@
 
 } // namespace
 
-std::vector<policy::engine_use> uses_of(const cluster::engine_home& home,
-                                        const cluster::engine_table& engines,
-                                        const document::document& document) {
-    std::vector<policy::engine_use> uses;
+std::vector<policy::engine_usage>
+collect_engine_uses(const cluster::engine_coordinator& home,
+                    const cluster::engine_table& engines,
+                    const document::document& document) {
+    std::vector<policy::engine_usage> uses;
     uses.reserve(home.engines().size());
     for (const auto& [id, engine] : home.engines()) {
         const auto* row = engines.find(id);
@@ -30,7 +31,7 @@
         if (pool == nullptr) {
             continue;
         }
-        policy::engine_use use;
+        policy::engine_usage use;
         use.engine = id;
         use.owner = pool->owner;
         use.slots = engine.traits.slots;
--- a/packages/node/test/rollout_planner_test.cpp
+++ b/packages/node/test/rollout_planner_test.cpp
@@ -30,7 +30,7 @@
     rollout_planner_test()
         : document_(one_pool()),
           planner_(table_, versions_, [this] { return &document_; }) {
-        wire::instance_page page;
+        wire::instance_list page;
         for (int i = 0; i < engines; ++i) {
             wire::instance row;
             row.id = "e" + std::to_string(i);
@@ -38,20 +38,20 @@
             row.group = shared.str();
             page.instances.push_back(row);
         }
-        table_.update(page);
+        table_.update_instances(page);
     }
 
     /// Returns how many engines that serve `served` may swap to `newest`.
     int turns(wire::weight_version served, wire::weight_version newest) {
-        versions_.learn(1000, tagger, newest);
+        versions_.update(1000, tagger, newest);
         for (const auto& [id, row] : table_.all()) {
-            wire::engine_digest digest;
+            wire::engine_status digest;
             digest.engine = id;
             digest.healthy = true;
             if (served > 0) {
                 digest.serving = {{tagger, served}};
             }
-            table_.hear(1000, digest);
+            table_.update_status(1000, digest);
         }
         int count = 0;
         for (const auto& [id, row] : table_.all()) {
--- a/packages/platform/include/hibiscus/platform/instance_client.hpp
+++ b/packages/platform/include/hibiscus/platform/instance_client.hpp
@@ -15,7 +15,7 @@
     instance_client(net::http_client& http, base::endpoint target);
 
     /// Reads the whole list; `done` gets nothing if it cannot be had.
-    void fetch(std::function<void(std::optional<wire::instance_page>)> done);
+    void fetch(std::function<void(std::optional<wire::instance_list>)> done);
 
 private:
     net::http_client& http_;
--- a/packages/platform/include/hibiscus/platform/log_client.hpp
+++ b/packages/platform/include/hibiscus/platform/log_client.hpp
@@ -10,23 +10,23 @@
 namespace hibiscus::platform {
 
 /// How the log service failed.
-enum class log_fault {
+enum class log_error_kind {
     refused, ///< It did not take the record, and will not.
     unknown, ///< It may have taken the record.
     corrupt  ///< It answered with something that is no answer.
 };
 
 /// Says that the log service did not do what it was asked.
-struct log_failure {
-    log_fault fault = log_fault::unknown;
+struct log_error {
+    log_error_kind kind = log_error_kind::unknown;
     /// How long to wait before the next try, in ms.
     base::millis retry_after_ms = 0;
 };
 
 /// What an append comes to.
-using append_result = std::variant<wire::append_answer, log_failure>;
+using append_result = std::variant<wire::append_response, log_error>;
 /// What a read comes to.
-using read_result = std::variant<wire::log_page, log_failure>;
+using read_result = std::variant<wire::log_page, log_error>;
 
 /// Speaks to the platform's log service.
 class log_client {
--- a/packages/platform/src/instance_client.cpp
+++ b/packages/platform/src/instance_client.cpp
@@ -15,10 +15,11 @@
     : http_(http), target_(std::move(target)) {}
 
 void instance_client::fetch(
-    std::function<void(std::optional<wire::instance_page>)> done) {
+    std::function<void(std::optional<wire::instance_list>)> done) {
     net::http_request request;
     request.target = "/v1/instances";
-    http_.send(target_, std::move(request), fetch_timeout, net::reuse::allowed,
+    http_.send(target_, std::move(request), fetch_timeout,
+               net::connection_reuse::allowed,
                [done = std::move(done)](const net::http_result& result) {
                    const auto* response =
                        std::get_if<net::http_response>(&result);
@@ -27,7 +28,7 @@
                        return;
                    }
                    auto page =
-                       wire::from_json<wire::instance_page>(response->body);
+                       wire::from_json<wire::instance_list>(response->body);
                    auto* value = base::value_if(page);
                    done(value != nullptr ? std::make_optional(std::move(*value))
                                          : std::nullopt);
--- a/packages/platform/src/log_client.cpp
+++ b/packages/platform/src/log_client.cpp
@@ -7,38 +7,40 @@
 namespace {
 
 constexpr base::millis append_timeout = 1500;
-constexpr base::millis read_margin = 1500;
-constexpr base::millis default_retry = 200;
+constexpr base::millis read_timeout_margin = 1500;
+constexpr base::millis default_retry_after = 200;
 constexpr int status_ok = 200;
 constexpr int status_too_many = 429;
 constexpr int status_unavailable = 503;
 
 /// Returns the failure that an answer stands for. The service answers 429 or
 /// 503 only for what it did not take; of other errors nothing is known.
-log_failure failure_of(const net::http_response& response) {
+log_error to_log_error(const net::http_response& response) {
     const bool refused = response.status == status_too_many ||
                          response.status == status_unavailable;
-    return {refused ? log_fault::refused : log_fault::unknown, default_retry};
+    return {refused ? log_error_kind::refused : log_error_kind::unknown,
+            default_retry_after};
 }
 
 /// Returns the message in a result, or the failure that it is.
 template <class T>
-std::variant<T, log_failure> decode(const net::http_result& result) {
+std::variant<T, log_error> decode(const net::http_result& result) {
     const auto* response = std::get_if<net::http_response>(&result);
     if (response == nullptr) {
-        const auto how = std::get<net::http_failure>(result).how;
-        return log_failure{how == net::delivery::not_sent ? log_fault::refused
-                                                          : log_fault::unknown,
-                           default_retry};
+        const auto how = std::get<net::http_failure>(result).status;
+        return log_error{how == net::delivery_status::not_sent
+                             ? log_error_kind::refused
+                             : log_error_kind::unknown,
+                         default_retry_after};
     }
     if (response->status != status_ok) {
-        return failure_of(*response);
+        return to_log_error(*response);
     }
     auto read = wire::from_json<T>(response->body);
     if (auto* value = base::value_if(read)) {
         return std::move(*value);
     }
-    return log_failure{log_fault::corrupt, default_retry};
+    return log_error{log_error_kind::corrupt, default_retry_after};
 }
 
 std::string path_of(const std::string& stream) {
@@ -57,9 +59,10 @@
     request.method = "POST";
     request.target = path_of(stream);
     request.body = wire::to_json(wire::append_request{id, std::move(data)});
-    http_.send(target_, std::move(request), append_timeout, net::reuse::never,
+    http_.send(target_, std::move(request), append_timeout,
+               net::connection_reuse::never,
                [done = std::move(done)](const net::http_result& result) {
-                   done(decode<wire::append_answer>(result));
+                   done(decode<wire::append_response>(result));
                });
 }
 
@@ -69,8 +72,8 @@
     net::http_request request;
     request.target = path_of(stream) + "?from=" + std::to_string(from) +
                      "&wait_ms=" + std::to_string(wait_ms);
-    http_.send(target_, std::move(request), wait_ms + read_margin,
-               net::reuse::allowed,
+    http_.send(target_, std::move(request), wait_ms + read_timeout_margin,
+               net::connection_reuse::allowed,
                [done = std::move(done)](const net::http_result& result) {
                    done(decode<wire::log_page>(result));
                });
--- a/packages/policy/include/hibiscus/policy/placement.hpp
+++ b/packages/policy/include/hibiscus/policy/placement.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "hibiscus/cluster/engine_table.hpp"
-#include "hibiscus/cluster/step_home.hpp"
+#include "hibiscus/cluster/step_coordinator.hpp"
 #include "hibiscus/document/document.hpp"
 
 #include <optional>
@@ -20,7 +20,7 @@
 /// Takes the engine that the prompt's hash prefers, so that a group shares
 /// its prefix cache, unless it is `slack` streams fuller than the emptiest.
 struct prefix_affinity {
-    int slack = 2;
+    int max_load_gap = 2;
 };
 
 /// Takes the engines in turn.
@@ -37,20 +37,21 @@
                  random_choice>;
 
 /// Returns the policy that the document calls `kind`.
-placement_policy make_placement(document::placement_kind kind);
+placement_policy make_placement_policy(document::placement_kind kind);
 
 /// An engine that may be chosen.
-struct candidate {
+struct engine_candidate {
     base::engine_id engine;
-    int load = 0;
+    int streams = 0;
     /// Streams that the engine takes, running and queued.
     int capacity = 1;
 };
 
 /// Returns the one of `candidates` that `policy` chooses, or null if all are
 /// full. A full engine is never chosen.
-const candidate* choose(placement_policy& policy,
-                        const std::vector<candidate>& candidates,
-                        const std::string& prompt, std::mt19937_64& random);
+const engine_candidate*
+choose_engine(placement_policy& policy,
+              const std::vector<engine_candidate>& candidates,
+              const std::string& prompt, std::mt19937_64& random);
 
 } // namespace hibiscus::policy
--- a/packages/policy/include/hibiscus/policy/routing.hpp
+++ b/packages/policy/include/hibiscus/policy/routing.hpp
@@ -12,18 +12,18 @@
 namespace hibiscus::policy {
 
 /// An instance of a service that may be chosen.
-struct instance_choice {
+struct instance_candidate {
     std::string id;
     std::string address;
     base::zone_id zone;
 };
 
 /// What became of a request to an instance.
-enum class attempt_end {
-    answered,  ///< It answered.
-    refused,   ///< It said that it has too much to do.
-    unreached, ///< No answer came.
-    dropped    ///< Nobody waits for the answer any more.
+enum class attempt_outcome {
+    answered,    ///< It answered.
+    rejected,    ///< It said that it has too much to do.
+    no_response, ///< No answer came.
+    cancelled    ///< Nobody waits for the answer any more.
 };
 
 /// Routes idempotent requests over the instances of services, by the better
@@ -38,37 +38,39 @@
     /// flight, or nothing if each has `max_in_flight` or there are none.
     /// An instance in `avoid` is used only when there is no other.
     std::optional<std::size_t>
-    begin(const std::vector<instance_choice>& instances, int max_in_flight,
-          const std::string& avoid, base::millis now);
+    begin_request(const std::vector<instance_candidate>& instances,
+                  int max_in_flight, const std::string& avoid,
+                  base::millis now);
 
     /// Counts the end of a request to the instance `id`. One that could not
     /// be reached is avoided for a while; one that refuses gets fewer requests
     /// at a time, and slowly more again while it answers.
-    void end(const std::string& id, attempt_end how, base::millis now);
+    void end_request(const std::string& id, attempt_outcome how,
+                     base::millis now);
 
     /// Returns the requests in flight to the instance `id`.
     int in_flight(const std::string& id) const;
 
 private:
-    struct load_row {
+    struct instance_state {
         int in_flight = 0;
-        int failures = 0;
+        int consecutive_failures = 0;
         base::millis ejected_until = 0;
         /// Requests that the instance takes at a time, as learned from its
         /// refusals; 0 before the first.
-        double limit = 0.0;
-        base::millis limited_at = 0;
+        double learned_limit = 0.0;
+        base::millis limit_lowered_at = 0;
     };
 
-    static bool is_full(const load_row& row, int max_in_flight);
-    static void refused(load_row& row, base::millis now);
+    static bool is_full(const instance_state& row, int max_in_flight);
+    static void lower_limit(instance_state& row, base::millis now);
 
     std::vector<std::size_t>
-    open_instances(const std::vector<instance_choice>& instances,
-                   int max_in_flight, const std::string& avoid,
-                   base::millis now);
+    available_instances(const std::vector<instance_candidate>& instances,
+                        int max_in_flight, const std::string& avoid,
+                        base::millis now);
 
-    std::map<std::string, load_row> rows_;
+    std::map<std::string, instance_state> instances_;
     std::mt19937_64 random_;
 };
 
--- a/packages/policy/include/hibiscus/policy/usage.hpp
+++ b/packages/policy/include/hibiscus/policy/usage.hpp
@@ -9,7 +9,7 @@
 namespace hibiscus::policy {
 
 /// What an engine does at a time.
-struct engine_use {
+struct engine_usage {
     base::engine_id engine;
     /// Who pays for the engine.
     base::owner_id owner;
@@ -35,13 +35,14 @@
 
 /// Adds up the slot time of engines by owner. Kept in memory only: a node that
 /// restarts begins at zero.
-class usage_account {
+class usage_meter {
 public:
     /// Adds the time since the last call, as if engines had done all the while
     /// what they do now. A gap of more than `longest` ms is not charged,
     /// because nobody saw it.
-    void add(base::millis now, const std::vector<engine_use>& engines,
-             base::millis longest = 1000);
+    void add_interval(base::millis now,
+                      const std::vector<engine_usage>& engines,
+                      base::millis longest = 1000);
 
     /// Returns the usage of each owner.
     const std::map<base::owner_id, owner_usage>& owners() const {
@@ -49,10 +50,10 @@
     }
 
 private:
-    void charge(double ms, const engine_use& engine, int queued_elsewhere);
+    void charge(double ms, const engine_usage& engine, int queued_elsewhere);
 
     std::map<base::owner_id, owner_usage> owners_;
-    base::millis last_ = 0;
+    base::millis last_added_at_ = 0;
 };
 
 } // namespace hibiscus::policy
--- a/packages/policy/src/admission.cpp
+++ b/packages/policy/src/admission.cpp
@@ -9,32 +9,32 @@
 
 constexpr double mean_gain = 0.125;
 constexpr double deviation_gain = 0.25;
-constexpr double deviations = 4.0;
+constexpr double timeout_deviations = 4.0;
 /// Below this a scheduler's hiccup looks like a lost connection.
-constexpr base::millis least_patience = 100;
-constexpr base::millis first_patience = 500;
+constexpr base::millis min_timeout_ms = 100;
+constexpr base::millis initial_timeout_ms = 500;
 constexpr base::millis bucket_ms = 100;
 /// What a refused caller is told when nothing has drained lately.
-constexpr base::millis unknown_wait = 1000;
-constexpr base::millis least_wait = 20;
-constexpr base::millis longest_wait = 10000;
+constexpr base::millis default_wait_ms = 1000;
+constexpr base::millis min_wait_ms = 20;
+constexpr base::millis max_wait_ms = 10000;
 
 /// Returns the time in which `ahead` requests drain.
-base::millis wait_for(double ahead, double per_ms) {
+base::millis estimate_wait(double ahead, double per_ms) {
     if (per_ms <= 0.0) {
-        return unknown_wait;
+        return default_wait_ms;
     }
     const double wait = std::ceil(ahead / per_ms);
     return static_cast<base::millis>(
-        std::min(wait, static_cast<double>(longest_wait)));
+        std::min(wait, static_cast<double>(max_wait_ms)));
 }
 
 } // namespace
 
-void latency_estimate::note(base::millis took) {
+void latency_estimate::add_sample(base::millis took) {
     const auto sample = static_cast<double>(took);
-    if (!seen_) {
-        seen_ = true;
+    if (!has_samples_) {
+        has_samples_ = true;
         mean_ = sample;
         deviation_ = sample / 2;
         return;
@@ -43,29 +43,29 @@
     mean_ += mean_gain * (sample - mean_);
 }
 
-base::millis latency_estimate::patience() const {
-    if (!seen_) {
-        return first_patience;
+base::millis latency_estimate::timeout() const {
+    if (!has_samples_) {
+        return initial_timeout_ms;
     }
-    const double patience = 2 * mean_ + deviations * deviation_;
-    return std::max(least_patience, static_cast<base::millis>(patience));
+    const double patience = 2 * mean_ + timeout_deviations * deviation_;
+    return std::max(min_timeout_ms, static_cast<base::millis>(patience));
 }
 
-void drain_meter::note(base::millis now) {
+void throughput_meter::record_completion(base::millis now) {
     const auto number = now / bucket_ms;
-    auto& b = ring_[static_cast<std::size_t>(number) % buckets];
+    auto& b = buckets_[static_cast<std::size_t>(number) % bucket_count];
     if (b.number != number) {
         b = {number, 0};
     }
     ++b.count;
 }
 
-double drain_meter::per_ms(base::millis now) const {
+double throughput_meter::rate_per_ms(base::millis now) const {
     const auto newest = now / bucket_ms;
-    const auto span = static_cast<std::int64_t>(buckets);
+    const auto span = static_cast<std::int64_t>(bucket_count);
     std::int64_t oldest = newest;
     int count = 0;
-    for (const auto& b : ring_) {
+    for (const auto& b : buckets_) {
         if (b.number > newest - span && b.number <= newest) {
             count += b.count;
             oldest = std::min(oldest, b.number);
@@ -75,30 +75,31 @@
     return static_cast<double>(count) / static_cast<double>(ms);
 }
 
-admission admit(const admission_query& query) {
+admission_decision admit(const admission_query& query) {
     const auto ahead = static_cast<double>(query.queued) + 1.0;
-    const auto wait = wait_for(ahead, query.drain_per_ms);
-    const bool in_time = wait + query.mean < query.left;
-    return {in_time, std::max(least_wait, wait)};
+    const auto wait = estimate_wait(ahead, query.throughput_per_ms);
+    const bool in_time = wait + query.mean_latency < query.time_to_deadline;
+    return {in_time, std::max(min_wait_ms, wait)};
 }
 
-bool work_limit::enter() {
-    if (in_work_ >= most_) {
+bool concurrency_limit::try_acquire() {
+    if (in_flight_ >= max_in_flight_) {
         return false;
     }
-    ++in_work_;
+    ++in_flight_;
     return true;
 }
 
-void work_limit::leave(base::millis now) {
-    in_work_ -= in_work_ > 0 ? 1 : 0;
-    drained_.note(now);
+void concurrency_limit::release(base::millis now) {
+    in_flight_ -= in_flight_ > 0 ? 1 : 0;
+    throughput_.record_completion(now);
 }
 
-base::millis work_limit::retry_after(base::millis now) const {
+base::millis concurrency_limit::retry_after(base::millis now) const {
     // Half of those in work gone leaves room for the many who come back.
-    const auto ahead = static_cast<double>(in_work_) / 2.0;
-    return std::max(least_wait, wait_for(ahead, drained_.per_ms(now)));
+    const auto ahead = static_cast<double>(in_flight_) / 2.0;
+    return std::max(min_wait_ms,
+                    estimate_wait(ahead, throughput_.rate_per_ms(now)));
 }
 
 } // namespace hibiscus::policy
--- a/packages/policy/src/fair_share.cpp
+++ b/packages/policy/src/fair_share.cpp
@@ -4,8 +4,8 @@
 
 namespace hibiscus::policy {
 
-double weight_of(const document::document& document,
-                 const document::trainer& trainer) {
+double effective_weight(const document::document& document,
+                        const document::trainer& trainer) {
     const auto at = std::find_if(
         document.owners.begin(), document.owners.end(),
         [&](const document::owner& o) { return o.name == trainer.owner; });
@@ -13,8 +13,8 @@
                                        : trainer.weight * at->weight;
 }
 
-fair_shares shares_of(const std::vector<pool_use>& uses,
-                      const base::trainer_id& trainer, int capacity) {
+fair_shares compute_shares(const std::vector<pool_usage>& uses,
+                           const base::trainer_id& trainer, int capacity) {
     double own = 0;
     double all = 0;
     double present = 0;
@@ -22,7 +22,7 @@
         const bool asking = use.trainer == trainer;
         own += asking ? use.weight : 0.0;
         all += use.weight;
-        present += asking || use.admitted > 0 ? use.weight : 0.0;
+        present += asking || use.admitted_streams > 0 ? use.weight : 0.0;
     }
     if (own <= 0) {
         return {};
@@ -30,7 +30,7 @@
     return {capacity * own / all, capacity * own / present};
 }
 
-int capacity_for(int admitted, const fair_shares& shares, int slots,
+int stream_limit(int admitted, const fair_shares& shares, int slots,
                  int queue) {
     if (admitted < shares.guaranteed) {
         return slots + queue;
@@ -39,7 +39,7 @@
     // full when it comes, the others would take each place that becomes free
     // before it, and its first sample would wait for the end of their steps.
     const int left_free = queue > 0 ? 1 : 0;
-    return admitted < shares.present ? slots + queue - left_free : slots;
+    return admitted < shares.active ? slots + queue - left_free : slots;
 }
 
 } // namespace hibiscus::policy
--- a/packages/policy/src/placement.cpp
+++ b/packages/policy/src/placement.cpp
@@ -9,33 +9,36 @@
 
 namespace {
 
-using candidates = std::vector<const candidate*>;
+using candidate_list = std::vector<const engine_candidate*>;
 
 /// Returns true if `a` has fewer streams for its capacity than `b`.
-bool emptier(const candidate* a, const candidate* b) {
-    return static_cast<std::int64_t>(a->load) * b->capacity <
-           static_cast<std::int64_t>(b->load) * a->capacity;
+bool is_less_loaded(const engine_candidate* a, const engine_candidate* b) {
+    return static_cast<std::int64_t>(a->streams) * b->capacity <
+           static_cast<std::int64_t>(b->streams) * a->capacity;
 }
 
-const candidate* any(const candidates& open, std::mt19937_64& random) {
+const engine_candidate* random_engine(const candidate_list& open,
+                                      std::mt19937_64& random) {
     std::uniform_int_distribution<std::size_t> index(0, open.size() - 1);
     return open[index(random)];
 }
 
-const candidate* preferred(const candidates& open, const std::string& prompt) {
+const engine_candidate* preferred_engine(const candidate_list& open,
+                                         const std::string& prompt) {
     const auto seed = base::stable_hash(prompt);
-    const auto score = [&](const candidate* c) {
+    const auto score = [&](const engine_candidate* c) {
         return base::stable_hash(c->engine.str(), seed);
     };
-    return *std::max_element(open.begin(), open.end(),
-                             [&](const candidate* a, const candidate* b) {
-                                 return score(a) < score(b);
-                             });
+    return *std::max_element(
+        open.begin(), open.end(),
+        [&](const engine_candidate* a, const engine_candidate* b) {
+            return score(a) < score(b);
+        });
 }
 
 } // namespace
 
-placement_policy make_placement(document::placement_kind kind) {
+placement_policy make_placement_policy(document::placement_kind kind) {
     switch (kind) {
     case document::placement_kind::least_admitted:
         return least_admitted{};
@@ -51,12 +54,13 @@
     return least_admitted{};
 }
 
-const candidate* choose(placement_policy& policy,
-                        const std::vector<candidate>& all,
-                        const std::string& prompt, std::mt19937_64& random) {
-    candidates open;
+const engine_candidate* choose_engine(placement_policy& policy,
+                                      const std::vector<engine_candidate>& all,
+                                      const std::string& prompt,
+                                      std::mt19937_64& random) {
+    candidate_list open;
     for (const auto& c : all) {
-        if (c.load < c.capacity) {
+        if (c.streams < c.capacity) {
             open.push_back(&c);
         }
     }
@@ -64,23 +68,24 @@
         return nullptr;
     }
     const auto emptiest = [&] {
-        return *std::min_element(open.begin(), open.end(), emptier);
+        return *std::min_element(open.begin(), open.end(), is_less_loaded);
     };
     return std::visit(
         base::overloaded{
             [&](least_admitted&) { return emptiest(); },
             [&](power_of_two&) {
-                const auto* a = any(open, random);
-                const auto* b = any(open, random);
-                return emptier(b, a) ? b : a;
+                const auto* a = random_engine(open, random);
+                const auto* b = random_engine(open, random);
+                return is_less_loaded(b, a) ? b : a;
             },
             [&](prefix_affinity& p) {
-                const auto* home = preferred(open, prompt);
+                const auto* home = preferred_engine(open, prompt);
                 const auto* least = emptiest();
-                return home->load - least->load > p.slack ? least : home;
+                return home->streams - least->streams > p.max_load_gap ? least
+                                                                       : home;
             },
             [&](round_robin& p) { return open[p.next++ % open.size()]; },
-            [&](random_choice&) { return any(open, random); }},
+            [&](random_choice&) { return random_engine(open, random); }},
         policy);
 }
 
