--- a/packages/policy/src/routing.cpp
+++ b/packages/policy/src/routing.cpp
@@ -7,23 +7,22 @@
 namespace {
 
 constexpr int failures_until_ejected = 2;
-constexpr base::millis ejection = 1000;
-constexpr double limit_cut = 0.8;
+constexpr base::millis ejection_ms = 1000;
+constexpr double limit_decrease_factor = 0.8;
 /// Refusals of requests that left together count as one.
-constexpr base::millis limit_pause = 100;
+constexpr base::millis limit_decrease_interval_ms = 100;
 
 } // namespace
 
 service_router::service_router(std::uint64_t seed) : random_(seed) {}
 
-std::vector<std::size_t>
-service_router::open_instances(const std::vector<instance_choice>& instances,
-                               int max_in_flight, const std::string& avoid,
-                               base::millis now) {
+std::vector<std::size_t> service_router::available_instances(
+    const std::vector<instance_candidate>& instances, int max_in_flight,
+    const std::string& avoid, base::millis now) {
     std::vector<std::size_t> open;
     std::vector<std::size_t> ejected;
     for (std::size_t i = 0; i < instances.size(); ++i) {
-        const auto& row = rows_[instances[i].id];
+        const auto& row = instances_[instances[i].id];
         if (is_full(row, max_in_flight) || instances[i].id == avoid) {
             continue;
         }
@@ -37,16 +36,16 @@
         ejected.pop_back();
     }
     if (open.empty() && !avoid.empty()) {
-        return open_instances(instances, max_in_flight, "", now);
+        return available_instances(instances, max_in_flight, "", now);
     }
     return open;
 }
 
 std::optional<std::size_t>
-service_router::begin(const std::vector<instance_choice>& instances,
-                      int max_in_flight, const std::string& avoid,
-                      base::millis now) {
-    const auto open = open_instances(instances, max_in_flight, avoid, now);
+service_router::begin_request(const std::vector<instance_candidate>& instances,
+                              int max_in_flight, const std::string& avoid,
+                              base::millis now) {
+    const auto open = available_instances(instances, max_in_flight, avoid, now);
     if (open.empty()) {
         return std::nullopt;
     }
@@ -56,53 +55,57 @@
     const bool b_emptier =
         in_flight(instances[b].id) < in_flight(instances[a].id);
     const auto chosen = b_emptier ? b : a;
-    ++rows_[instances[chosen].id].in_flight;
+    ++instances_[instances[chosen].id].in_flight;
     return chosen;
 }
 
-bool service_router::is_full(const load_row& row, int max_in_flight) {
-    const bool over = row.limit > 0.0 && row.in_flight + 1 > row.limit;
+bool service_router::is_full(const instance_state& row, int max_in_flight) {
+    const bool over =
+        row.learned_limit > 0.0 && row.in_flight + 1 > row.learned_limit;
     return row.in_flight >= max_in_flight || (over && row.in_flight > 0);
 }
 
 /// An instance is shared with other nodes, whose load this one does not see;
 /// without this, what is over its capacity would be sent and refused again
 /// and again, and spend the time of both.
-void service_router::refused(load_row& row, base::millis now) {
-    if (row.limit > 0.0 && now - row.limited_at < limit_pause) {
+void service_router::lower_limit(instance_state& row, base::millis now) {
+    if (row.learned_limit > 0.0 &&
+        now - row.limit_lowered_at < limit_decrease_interval_ms) {
         return;
     }
-    row.limited_at = now;
-    row.limit = std::max(1.0, (row.in_flight + 1) * limit_cut);
+    row.limit_lowered_at = now;
+    row.learned_limit =
+        std::max(1.0, (row.in_flight + 1) * limit_decrease_factor);
 }
 
-void service_router::end(const std::string& id, attempt_end how,
-                         base::millis now) {
-    auto& row = rows_[id];
+void service_router::end_request(const std::string& id, attempt_outcome how,
+                                 base::millis now) {
+    auto& row = instances_[id];
     row.in_flight = std::max(0, row.in_flight - 1);
     switch (how) {
-    case attempt_end::answered:
-        row.limit += row.limit > 0.0 ? 1.0 / row.limit : 0.0;
-        row.failures = 0;
+    case attempt_outcome::answered:
+        row.learned_limit +=
+            row.learned_limit > 0.0 ? 1.0 / row.learned_limit : 0.0;
+        row.consecutive_failures = 0;
         break;
-    case attempt_end::refused:
-        refused(row, now);
-        row.failures = 0;
+    case attempt_outcome::rejected:
+        lower_limit(row, now);
+        row.consecutive_failures = 0;
         break;
-    case attempt_end::unreached:
-        ++row.failures;
+    case attempt_outcome::no_response:
+        ++row.consecutive_failures;
         break;
-    case attempt_end::dropped:
+    case attempt_outcome::cancelled:
         break;
     }
-    if (row.failures >= failures_until_ejected) {
-        row.ejected_until = now + ejection;
+    if (row.consecutive_failures >= failures_until_ejected) {
+        row.ejected_until = now + ejection_ms;
     }
 }
 
 int service_router::in_flight(const std::string& id) const {
-    const auto at = rows_.find(id);
-    return at == rows_.end() ? 0 : at->second.in_flight;
+    const auto at = instances_.find(id);
+    return at == instances_.end() ? 0 : at->second.in_flight;
 }
 
 retry_budget::retry_budget(double ratio, double reserve)
--- a/packages/policy/src/start_version.cpp
+++ b/packages/policy/src/start_version.cpp
@@ -6,7 +6,8 @@
 
 namespace hibiscus::policy {
 
-start_version_policy make_start_version(document::start_version_kind kind) {
+start_version_policy
+make_start_version_policy(document::start_version_kind kind) {
     switch (kind) {
     case document::start_version_kind::within_bound:
         return within_bound{};
@@ -16,9 +17,9 @@
     return expect_publish{};
 }
 
-wire::weight_version oldest_start(const start_version_policy& policy,
-                                  const version_state& state) {
-    const auto in_bound = state.newest - state.staleness_bound;
+wire::weight_version oldest_start_version(const start_version_policy& policy,
+                                          const version_state& state) {
+    const auto in_bound = state.newest_version - state.staleness_bound;
     const auto oldest = std::visit(
         base::overloaded{[&](const within_bound&) { return in_bound; },
                          [&](const expect_publish& p) {
@@ -29,9 +30,10 @@
                              // no version could last, so the newest has to do;
                              // and when swaps fail for long, older samples are
                              // better than none.
-                             return state.newest_age > p.patience
+                             return state.newest_version_age > p.max_swap_wait
                                         ? in_bound
-                                        : std::min(in_bound + 1, state.newest);
+                                        : std::min(in_bound + 1,
+                                                   state.newest_version);
                          }},
         policy);
     return std::max<wire::weight_version>(1, oldest);
--- a/packages/policy/test/admission_test.cpp
+++ b/packages/policy/test/admission_test.cpp
@@ -8,41 +8,41 @@
 TEST(latency_estimate_test, patience_is_above_the_mean_of_steady_calls) {
     latency_estimate estimate;
     for (int i = 0; i < 100; ++i) {
-        estimate.note(400);
+        estimate.add_sample(400);
     }
     EXPECT_EQ(estimate.mean(), 400);
-    EXPECT_GE(estimate.patience(), 800);
-    EXPECT_LT(estimate.patience(), 1000);
+    EXPECT_GE(estimate.timeout(), 800);
+    EXPECT_LT(estimate.timeout(), 1000);
 }
 
 TEST(latency_estimate_test, patience_grows_with_the_deviation) {
     latency_estimate steady;
     latency_estimate uneven;
     for (int i = 0; i < 100; ++i) {
-        steady.note(200);
-        uneven.note(i % 2 == 0 ? 0 : 400);
+        steady.add_sample(200);
+        uneven.add_sample(i % 2 == 0 ? 0 : 400);
     }
-    EXPECT_GT(uneven.patience(), steady.patience());
+    EXPECT_GT(uneven.timeout(), steady.timeout());
 }
 
 TEST(latency_estimate_test, patience_has_a_floor) {
     latency_estimate estimate;
-    estimate.note(0);
-    EXPECT_EQ(estimate.patience(), 100);
+    estimate.add_sample(0);
+    EXPECT_EQ(estimate.timeout(), 100);
 }
 
-TEST(drain_meter_test, measures_a_steady_rate) {
-    drain_meter meter;
+TEST(throughput_meter_test, measures_a_steady_rate) {
+    throughput_meter meter;
     for (base::millis now = 0; now < 10000; now += 10) {
-        meter.note(now);
+        meter.record_completion(now);
     }
-    EXPECT_NEAR(meter.per_ms(10000), 0.1, 0.01);
+    EXPECT_NEAR(meter.rate_per_ms(10000), 0.1, 0.01);
 }
 
-TEST(drain_meter_test, forgets_what_is_long_ago) {
-    drain_meter meter;
-    meter.note(100);
-    EXPECT_EQ(meter.per_ms(10000), 0.0);
+TEST(throughput_meter_test, forgets_what_is_long_ago) {
+    throughput_meter meter;
+    meter.record_completion(100);
+    EXPECT_EQ(meter.rate_per_ms(10000), 0.0);
 }
 
 TEST(admission_test, waits_when_the_queue_drains_in_time) {
@@ -66,24 +66,24 @@
     EXPECT_EQ(a.wait, 1000);
 }
 
-TEST(work_limit_test, refuses_above_the_limit_until_one_leaves) {
-    work_limit limit(2);
-    EXPECT_TRUE(limit.enter());
-    EXPECT_TRUE(limit.enter());
-    EXPECT_FALSE(limit.enter());
-    limit.leave(100);
-    EXPECT_TRUE(limit.enter());
-    EXPECT_EQ(limit.in_work(), 2U);
+TEST(concurrency_limit_test, refuses_above_the_limit_until_one_leaves) {
+    concurrency_limit limit(2);
+    EXPECT_TRUE(limit.try_acquire());
+    EXPECT_TRUE(limit.try_acquire());
+    EXPECT_FALSE(limit.try_acquire());
+    limit.release(100);
+    EXPECT_TRUE(limit.try_acquire());
+    EXPECT_EQ(limit.in_flight(), 2U);
 }
 
-TEST(work_limit_test, says_when_half_of_the_work_is_gone) {
-    work_limit limit(100);
+TEST(concurrency_limit_test, says_when_half_of_the_work_is_gone) {
+    concurrency_limit limit(100);
     for (int i = 0; i < 100; ++i) {
-        ASSERT_TRUE(limit.enter());
+        ASSERT_TRUE(limit.try_acquire());
     }
     for (base::millis now = 0; now < 2000; now += 10) {
-        limit.leave(now);
-        ASSERT_TRUE(limit.enter());
+        limit.release(now);
+        ASSERT_TRUE(limit.try_acquire());
     }
     EXPECT_NEAR(static_cast<double>(limit.retry_after(2000)), 500, 50);
 }
--- a/packages/policy/test/fair_share_test.cpp
+++ b/packages/policy/test/fair_share_test.cpp
@@ -12,16 +12,16 @@
 const base::trainer_id light("light");
 
 TEST(fair_share_test, weights_divide_a_contended_pool) {
-    const std::vector<pool_use> uses{{heavy, 3.0, 10}, {light, 1.0, 10}};
-    EXPECT_DOUBLE_EQ(shares_of(uses, heavy, 80).present, 60.0);
-    EXPECT_DOUBLE_EQ(shares_of(uses, light, 80).present, 20.0);
+    const std::vector<pool_usage> uses{{heavy, 3.0, 10}, {light, 1.0, 10}};
+    EXPECT_DOUBLE_EQ(compute_shares(uses, heavy, 80).active, 60.0);
+    EXPECT_DOUBLE_EQ(compute_shares(uses, light, 80).active, 20.0);
 }
 
 TEST(fair_share_test, what_nobody_uses_is_shared_by_those_present) {
-    const std::vector<pool_use> uses{{heavy, 1.0, 10}, {light, 1.0, 0}};
-    EXPECT_DOUBLE_EQ(shares_of(uses, heavy, 80).present, 80.0);
-    EXPECT_DOUBLE_EQ(shares_of(uses, heavy, 80).guaranteed, 40.0);
-    EXPECT_DOUBLE_EQ(shares_of(uses, light, 80).present, 40.0);
+    const std::vector<pool_usage> uses{{heavy, 1.0, 10}, {light, 1.0, 0}};
+    EXPECT_DOUBLE_EQ(compute_shares(uses, heavy, 80).active, 80.0);
+    EXPECT_DOUBLE_EQ(compute_shares(uses, heavy, 80).guaranteed, 40.0);
+    EXPECT_DOUBLE_EQ(compute_shares(uses, light, 80).active, 40.0);
 }
 
 TEST(fair_share_test, an_owners_weight_multiplies_its_trainers) {
@@ -30,7 +30,7 @@
     document::trainer t;
     t.owner = base::owner_id("campus");
     t.weight = 1.5;
-    EXPECT_DOUBLE_EQ(weight_of(d, t), 3.0);
+    EXPECT_DOUBLE_EQ(effective_weight(d, t), 3.0);
 }
 
 // One trainer has filled the pool before another begins. Without shares the
@@ -48,13 +48,13 @@
         return sum;
     };
     const auto place = [&](std::size_t who) {
-        const std::vector<pool_use> uses{{heavy, 1.0, total_of(0)},
-                                         {light, 1.0, total_of(1)}};
+        const std::vector<pool_usage> uses{{heavy, 1.0, total_of(0)},
+                                           {light, 1.0, total_of(1)}};
         const auto share =
-            shares_of(uses, uses[who].trainer, engines * (slots + queue));
+            compute_shares(uses, uses[who].trainer, engines * (slots + queue));
         for (auto& e : streams) {
             if (e[0] + e[1] <
-                capacity_for(uses[who].admitted, share, slots, queue)) {
+                stream_limit(uses[who].admitted_streams, share, slots, queue)) {
                 ++e[who];
                 return true;
             }
@@ -76,9 +76,9 @@
 
 TEST(fair_share_test, free_slots_are_given_beyond_the_share) {
     const fair_shares shares{20.0, 40.0};
-    EXPECT_EQ(capacity_for(19, shares, 8, 8), 16);
-    EXPECT_EQ(capacity_for(39, shares, 8, 8), 15);
-    EXPECT_EQ(capacity_for(50, shares, 8, 8), 8);
+    EXPECT_EQ(stream_limit(19, shares, 8, 8), 16);
+    EXPECT_EQ(stream_limit(39, shares, 8, 8), 15);
+    EXPECT_EQ(stream_limit(50, shares, 8, 8), 8);
 }
 
 } // namespace
--- a/packages/policy/test/routing_test.cpp
+++ b/packages/policy/test/routing_test.cpp
@@ -10,13 +10,14 @@
 protected:
     /// Begins a request and returns the chosen instance's id, or "".
     std::string begin(int max_in_flight, const std::string& avoid = "") {
-        const auto at = router_.begin(instances_, max_in_flight, avoid, now_);
+        const auto at =
+            router_.begin_request(instances_, max_in_flight, avoid, now_);
         return at ? instances_[*at].id : "";
     }
 
     service_router router_{7};
-    std::vector<instance_choice> instances_{{"a", "", base::zone_id("z")},
-                                            {"b", "", base::zone_id("z")}};
+    std::vector<instance_candidate> instances_{{"a", "", base::zone_id("z")},
+                                               {"b", "", base::zone_id("z")}};
     base::millis now_ = 1000;
 };
 
@@ -35,8 +36,8 @@
 // One of two instances stops answering. Its callers would each wait for a
 // connection that never comes, so it gets no requests for a while.
 TEST_F(routing_test, an_unreachable_instance_is_left_out) {
-    router_.end("a", attempt_end::unreached, now_);
-    router_.end("a", attempt_end::unreached, now_);
+    router_.end_request("a", attempt_outcome::no_response, now_);
+    router_.end_request("a", attempt_outcome::no_response, now_);
     for (int i = 0; i < 20; ++i) {
         EXPECT_EQ(begin(100), "b");
     }
@@ -49,10 +50,10 @@
     for (int i = 0; i < 10; ++i) {
         EXPECT_EQ(begin(100, "b"), "a");
     }
-    router_.end("a", attempt_end::refused, now_);
+    router_.end_request("a", attempt_outcome::rejected, now_);
     EXPECT_EQ(begin(100, "b"), "b");
-    router_.end("a", attempt_end::answered, now_);
-    router_.end("a", attempt_end::answered, now_);
+    router_.end_request("a", attempt_outcome::answered, now_);
+    router_.end_request("a", attempt_outcome::answered, now_);
     EXPECT_EQ(begin(100, "b"), "a");
 }
 
--- a/packages/policy/test/samples_fuzz_test.cpp
+++ b/packages/policy/test/samples_fuzz_test.cpp
@@ -1,4 +1,4 @@
-#include "samples_trainer.hpp"
+#include "simulated_trainer.hpp"
 
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
@@ -10,14 +10,14 @@
 namespace {
 
 /// What happens to the system at one moment.
-enum class happening {
-    calm,
+enum class fault_kind {
+    none,
     publish,
     trainer_restarts,
     node_crashes,
     node_pauses,
-    nodes_parted,
-    engine_parted,
+    node_partition,
+    engine_partition,
     engine_crashes,
     swaps_fail,
     engine_leaves,
@@ -26,35 +26,37 @@
 
 /// A happening, to whom, for how long, and the time until the next.
 struct command {
-    happening what = happening::calm;
+    fault_kind kind = fault_kind::none;
     int first = 0;
     int second = 0;
-    base::millis lasts = 0;
-    base::millis then = 0;
+    base::millis duration = 0;
+    base::millis delay_after = 0;
 };
 
 rc::Gen<command> any_command() {
     return rc::gen::build<command>(
         rc::gen::set(
-            &command::what,
+            &command::kind,
             rc::gen::map(rc::gen::inRange(0, 11),
-                         [](int i) { return static_cast<happening>(i); })),
+                         [](int i) { return static_cast<fault_kind>(i); })),
         rc::gen::set(&command::first, rc::gen::inRange(0, 12)),
         rc::gen::set(&command::second, rc::gen::inRange(0, 12)),
-        rc::gen::set(&command::lasts, rc::gen::inRange<base::millis>(10, 6000)),
-        rc::gen::set(&command::then, rc::gen::inRange<base::millis>(0, 1500)));
+        rc::gen::set(&command::duration,
+                     rc::gen::inRange<base::millis>(10, 6000)),
+        rc::gen::set(&command::delay_after,
+                     rc::gen::inRange<base::millis>(0, 1500)));
 }
 
 /// The whole system under a list of commands.
 class samples_system {
 public:
     explicit samples_system(std::uint64_t seed)
-        : around_(seed), nodes_(around_) {
-        produce();
+        : environment_(seed), nodes_(environment_) {
+        step_engines();
         trainers_.push_back(
-            std::make_unique<model_trainer>(around_, nodes_, 0));
+            std::make_unique<simulated_trainer>(environment_, nodes_, 0));
         trainers_.push_back(
-            std::make_unique<model_trainer>(around_, nodes_, 1));
+            std::make_unique<simulated_trainer>(environment_, nodes_, 1));
     }
 
     /// Runs all commands, then lets the faults end. Returns what went wrong,
@@ -62,17 +64,22 @@
     std::string run(const std::vector<command>& commands) {
         for (const auto& c : commands) {
             apply(c);
-            around_.time.run_until(around_.time.now() + c.then);
+            environment_.scheduler.run_until(environment_.scheduler.now() +
+                                             c.delay_after);
         }
-        around_.time.run_until(around_.time.now() + longest_fault);
-        around_.faulty = false;
-        const auto end = around_.time.now() + recovery;
-        while (!whole() && fault().empty() && around_.time.now() < end) {
-            around_.time.run_until(around_.time.now() + 500);
+        environment_.scheduler.run_until(environment_.scheduler.now() +
+                                         longest_fault);
+        environment_.faulty = false;
+        const auto end = environment_.scheduler.now() + recovery;
+        while (!all_finished() && fault().empty() &&
+               environment_.scheduler.now() < end) {
+            environment_.scheduler.run_until(environment_.scheduler.now() +
+                                             500);
         }
-        if (fault().empty() && !whole()) {
-            return "a step does not become whole: " + trainers_[0]->state() +
-                   "; " + trainers_[1]->state();
+        if (fault().empty() && !all_finished()) {
+            return "a step does not become whole: " +
+                   trainers_[0]->describe_state() + "; " +
+                   trainers_[1]->describe_state();
         }
         return fault();
     }
@@ -81,81 +88,89 @@
     static constexpr base::millis longest_fault = 7000;
     static constexpr base::millis recovery = 120000;
 
-    bool whole() const {
-        return trainers_[0]->finished() && trainers_[1]->finished();
+    bool all_finished() const {
+        return trainers_[0]->is_finished() && trainers_[1]->is_finished();
     }
 
     std::string fault() const {
-        return trainers_[0]->fault() + trainers_[1]->fault();
+        return trainers_[0]->violation() + trainers_[1]->violation();
     }
 
-    void produce() {
-        for (auto& engine : around_.engines) {
-            if (engine.up) {
+    void step_engines() {
+        for (auto& engine : environment_.engines) {
+            if (engine.is_up) {
                 engine.step();
             }
         }
-        around_.time.after(model_engine::chunk_ms, [this] { produce(); });
+        environment_.scheduler.run_after(simulated_engine::chunk_ms,
+                                         [this] { step_engines(); });
     }
 
-    void cut(const std::string& a, const std::string& b, base::millis lasts) {
-        around_.cut.insert({a, b});
-        around_.time.after(lasts, [this, a, b] { around_.cut.erase({a, b}); });
+    void block_link(const std::string& a, const std::string& b,
+                    base::millis lasts) {
+        environment_.blocked_links.insert({a, b});
+        environment_.scheduler.run_after(lasts, [this, a, b] {
+            environment_.blocked_links.erase({a, b});
+        });
     }
 
     void apply(const command& c) {
         auto& engine =
-            around_.engines[static_cast<std::size_t>(c.first % world_engines)];
-        const auto node = "n" + std::to_string(c.first % world_nodes);
-        const auto other = "n" + std::to_string(c.second % world_nodes);
+            environment_
+                .engines[static_cast<std::size_t>(c.first % engine_count)];
+        const auto node = "n" + std::to_string(c.first % node_count);
+        const auto other = "n" + std::to_string(c.second % node_count);
         auto& trainer = *trainers_[static_cast<std::size_t>(c.first % 2)];
-        switch (c.what) {
-        case happening::calm:
+        switch (c.kind) {
+        case fault_kind::none:
             break;
-        case happening::publish:
+        case fault_kind::publish:
             trainer.publish();
             break;
-        case happening::trainer_restarts:
+        case fault_kind::trainer_restarts:
             trainer.restart();
             break;
-        case happening::node_crashes:
-            nodes_.crash(c.first, c.lasts);
+        case fault_kind::node_crashes:
+            nodes_.crash(c.first, c.duration);
             break;
-        case happening::node_pauses:
-            nodes_.pause(c.first, c.lasts);
+        case fault_kind::node_pauses:
+            nodes_.pause(c.first, c.duration);
             break;
-        case happening::nodes_parted:
-            cut(node, other, c.lasts);
+        case fault_kind::node_partition:
+            block_link(node, other, c.duration);
             if (c.first > c.second) {
-                cut(other, node, c.lasts);
+                block_link(other, node, c.duration);
             }
             break;
-        case happening::engine_parted:
-            cut(other, engine.id().str(), c.lasts);
+        case fault_kind::engine_partition:
+            block_link(other, engine.id().str(), c.duration);
             break;
-        case happening::engine_crashes:
+        case fault_kind::engine_crashes:
             engine.crash();
-            around_.time.after(c.lasts, [&engine] { engine.up = true; });
+            environment_.scheduler.run_after(
+                c.duration, [&engine] { engine.is_up = true; });
             break;
-        case happening::swaps_fail:
+        case fault_kind::swaps_fail:
             engine.swaps_fail = true;
-            around_.time.after(c.lasts,
-                               [&engine] { engine.swaps_fail = false; });
+            environment_.scheduler.run_after(
+                c.duration, [&engine] { engine.swaps_fail = false; });
             break;
-        case happening::engine_leaves:
-            engine.leaving = true;
-            around_.time.after(c.lasts, [&engine] { engine.leaving = false; });
+        case fault_kind::engine_leaves:
+            engine.is_leaving = true;
+            environment_.scheduler.run_after(
+                c.duration, [&engine] { engine.is_leaving = false; });
             break;
-        case happening::messages_lost:
-            around_.loss_percent = 20;
-            around_.time.after(c.lasts, [this] { around_.loss_percent = 2; });
+        case fault_kind::messages_lost:
+            environment_.loss_percent = 20;
+            environment_.scheduler.run_after(
+                c.duration, [this] { environment_.loss_percent = 2; });
             break;
         }
     }
 
-    surroundings around_;
-    node_processes nodes_;
-    std::vector<std::unique_ptr<model_trainer>> trainers_;
+    simulated_environment environment_;
+    simulated_processes nodes_;
+    std::vector<std::unique_ptr<simulated_trainer>> trainers_;
 };
 
 /// Runs the system that `seed` names; returns what went wrong, or "".
@@ -167,7 +182,7 @@
 }
 
 /// Returns the number in an environment variable, or `otherwise`.
-std::uint64_t number_in(const char* name, std::uint64_t otherwise) {
+std::uint64_t env_number(const char* name, std::uint64_t otherwise) {
     const char* text = std::getenv(name); // NOLINT(concurrency-mt-unsafe)
     return text == nullptr ? otherwise : std::strtoull(text, nullptr, 10);
 }
@@ -177,8 +192,8 @@
 // trainer gets each slot once, with the text and versions that an engine
 // produced, inside the bound; and when the faults end, each step becomes whole.
 TEST(samples_fuzz_test, samples_are_true_fresh_and_delivered_once) {
-    const auto first = number_in("HIBISCUS_FUZZ_SEED", 1);
-    const auto seconds = number_in("HIBISCUS_FUZZ_SECONDS", 0);
+    const auto first = env_number("HIBISCUS_FUZZ_SEED", 1);
+    const auto seconds = env_number("HIBISCUS_FUZZ_SECONDS", 0);
     const std::uint64_t fixed = 60;
     const base::clock clock;
     const auto end = clock.now() + static_cast<base::millis>(seconds * 1000);
--- a/packages/policy/test/samples_engine.hpp
+++ b/packages/policy/test/simulated_engine.hpp
@@ -12,23 +12,23 @@
 namespace hibiscus::policy {
 
 /// Time that the test moves, and what is to happen at which time.
-class schedule {
+class virtual_scheduler {
 public:
     /// Returns the present time in ms.
     base::millis now() const { return now_; }
 
     /// Calls `event` after `delay` ms.
-    void after(base::millis delay, std::function<void()> event) {
-        events_.emplace(now_ + std::max<base::millis>(delay, 0),
-                        std::move(event));
+    void run_after(base::millis delay, std::function<void()> event) {
+        pending_.emplace(now_ + std::max<base::millis>(delay, 0),
+                         std::move(event));
     }
 
     /// Lets all happen that is due until `end`.
     void run_until(base::millis end) {
-        while (!events_.empty() && events_.begin()->first <= end) {
-            now_ = events_.begin()->first;
-            const auto event = std::move(events_.begin()->second);
-            events_.erase(events_.begin());
+        while (!pending_.empty() && pending_.begin()->first <= end) {
+            now_ = pending_.begin()->first;
+            const auto event = std::move(pending_.begin()->second);
+            pending_.erase(pending_.begin());
             event();
         }
         now_ = end;
@@ -36,25 +36,25 @@
 
 private:
     base::millis now_ = 1000;
-    std::multimap<base::millis, std::function<void()>> events_;
+    std::multimap<base::millis, std::function<void()>> pending_;
 };
 
 /// A model engine: a batch of streams by priority, orders with or without a
 /// check of their numbers. It remembers the text of each run that ended.
-class model_engine {
+class simulated_engine {
 public:
     static constexpr base::millis chunk_ms = 50;
     static constexpr std::size_t slots = 3;
 
-    model_engine(base::engine_id id, bool checks_fencing)
+    simulated_engine(base::engine_id id, bool checks_fencing)
         : id_(std::move(id)), checks_fencing_(checks_fencing) {}
 
     /// Loses all streams and weights and stops answering.
     void crash() {
-        up = false;
+        is_up = false;
         streams_.clear();
         serving_.clear();
-        highest_ = {0, 0};
+        highest_order_ = {0, 0};
     }
 
     /// Starts a stream or raises the priority of a known one.
@@ -66,7 +66,7 @@
             return;
         }
         row.start = start;
-        row.run = ++runs_;
+        row.run = ++run_count_;
         row.length = 2 + start.seed % 9;
         if (start.seed % 17 == 0) {
             row.length *= 6;
@@ -90,12 +90,12 @@
                        std::make_tuple(b->chunks.empty(), -b->start.priority);
             });
         for (std::size_t i = 0; i < std::min(slots, order.size()); ++i) {
-            advance(*order[i]);
+            produce_chunk(*order[i]);
         }
     }
 
-    wire::engine_news poll(const wire::engine_poll& poll) const {
-        wire::engine_news news;
+    wire::engine_poll_response poll(const wire::engine_poll& poll) const {
+        wire::engine_poll_response news;
         for (const auto& cursor : poll.streams) {
             const auto at = streams_.find(cursor.stream);
             if (at == streams_.end()) {
@@ -122,27 +122,28 @@
         return news;
     }
 
-    wire::order_verdict order(const wire::version_order& order, bool fails) {
+    wire::order_result order(const wire::version_order& order, bool fails) {
         const auto number =
             std::make_pair(order.number.epoch, order.number.sequence);
-        if (checks_fencing_ && number < highest_) {
-            return wire::order_verdict::fenced;
+        if (checks_fencing_ && number < highest_order_) {
+            return wire::order_result::fenced;
         }
-        highest_ = std::max(highest_, number);
+        highest_order_ = std::max(highest_order_, number);
         if (fails) {
-            return wire::order_verdict::failed;
+            return wire::order_result::failed;
         }
         // Now and then an engine says that a swap was done and it was not.
-        if (++orders_ % 13 != 0) {
+        if (++order_count_ % 13 != 0) {
             serving_[order.trainer] = order.version;
         }
-        return wire::order_verdict::done;
+        return wire::order_result::done;
     }
 
     /// Returns true if `s` is the whole text of a run that ended.
-    bool produced(const wire::sample& s) const {
-        const auto at = ended_.find(s.chunks.empty() ? "" : s.chunks[0].text);
-        if (at == ended_.end() || at->second.size() != s.chunks.size()) {
+    bool has_produced(const wire::sample& s) const {
+        const auto at =
+            ended_runs_.find(s.chunks.empty() ? "" : s.chunks[0].text);
+        if (at == ended_runs_.end() || at->second.size() != s.chunks.size()) {
             return false;
         }
         for (std::size_t i = 0; i < s.chunks.size(); ++i) {
@@ -158,8 +159,8 @@
     const base::engine_id& id() const { return id_; }
     bool checks_fencing() const { return checks_fencing_; }
 
-    bool up = true;
-    bool leaving = false;
+    bool is_up = true;
+    bool is_leaving = false;
     bool swaps_fail = false;
 
 private:
@@ -170,7 +171,7 @@
         std::vector<wire::chunk> chunks;
     };
 
-    void advance(stream_row& row) {
+    void produce_chunk(stream_row& row) {
         const auto version = serving_[row.start.trainer];
         const auto seq = static_cast<std::uint32_t>(row.chunks.size());
         row.chunks.push_back({seq, version,
@@ -178,7 +179,7 @@
                                   row.start.stream.str() + ":" +
                                   std::to_string(seq)});
         if (row.chunks.size() == row.length) {
-            ended_[row.chunks[0].text] = row.chunks;
+            ended_runs_[row.chunks[0].text] = row.chunks;
         }
     }
 
@@ -186,10 +187,10 @@
     bool checks_fencing_;
     std::map<base::stream_id, stream_row> streams_;
     std::map<base::trainer_id, wire::weight_version> serving_;
-    std::pair<std::int64_t, std::int64_t> highest_{0, 0};
-    std::map<std::string, std::vector<wire::chunk>> ended_;
-    std::uint64_t runs_ = 0;
-    std::uint64_t orders_ = 0;
+    std::pair<std::int64_t, std::int64_t> highest_order_{0, 0};
+    std::map<std::string, std::vector<wire::chunk>> ended_runs_;
+    std::uint64_t run_count_ = 0;
+    std::uint64_t order_count_ = 0;
 };
 
 } // namespace hibiscus::policy
--- a/packages/policy/test/rollout_test.cpp
+++ b/packages/policy/test/swap_plan_test.cpp
@@ -1,4 +1,4 @@
-#include "hibiscus/policy/rollout.hpp"
+#include "hibiscus/policy/swap_plan.hpp"
 
 #include <gtest/gtest.h>
 
@@ -6,11 +6,11 @@
 namespace {
 
 /// Returns the engines of `behind` whose turn it is.
-std::size_t turns(const rollout& plan,
+std::size_t turns(const swap_plan& plan,
                   const std::vector<swap_candidate>& behind) {
     std::size_t count = 0;
     for (const auto& c : behind) {
-        count += swap_turn(plan, behind, c.engine) ? 1 : 0;
+        count += is_swap_turn(plan, behind, c.engine) ? 1 : 0;
     }
     return count;
 }
@@ -25,23 +25,23 @@
     return engines;
 }
 
-TEST(swap_turn_test, a_share_of_the_least_loaded_engines_swaps_first) {
-    const rollout plan{10, 0.34, 0, 6000};
+TEST(swap_plan_test, a_share_of_the_least_loaded_engines_swaps_first) {
+    const swap_plan plan{10, 0.34, 0, 6000};
     const auto engines = ten_engines();
     EXPECT_EQ(turns(plan, engines), 4U);
-    EXPECT_TRUE(swap_turn(plan, engines, base::engine_id("e3")));
-    EXPECT_FALSE(swap_turn(plan, engines, base::engine_id("e4")));
+    EXPECT_TRUE(is_swap_turn(plan, engines, base::engine_id("e3")));
+    EXPECT_FALSE(is_swap_turn(plan, engines, base::engine_id("e4")));
 }
 
 // The first engines fail to swap again and again. The others must not wait for
 // them for ever, or the whole pool falls out of the staleness bound.
-TEST(swap_turn_test, engines_that_do_not_swap_hold_up_nobody_for_long) {
+TEST(swap_plan_test, engines_that_do_not_swap_hold_up_nobody_for_long) {
     const auto engines = ten_engines();
     EXPECT_EQ(turns({10, 0.34, 6000, 6000}, engines), 8U);
     EXPECT_EQ(turns({10, 0.34, 12000, 6000}, engines), 10U);
 }
 
-TEST(swap_turn_test, a_small_share_still_lets_one_engine_swap) {
+TEST(swap_plan_test, a_small_share_still_lets_one_engine_swap) {
     EXPECT_EQ(turns({10, 0.01, 0, 6000}, ten_engines()), 1U);
 }
 
--- a/packages/samplers/include/hibiscus/samplers/sampler_table.hpp
+++ b/packages/samplers/include/hibiscus/samplers/sampler_table.hpp
@@ -2,8 +2,8 @@
 
 #include "hibiscus/base/clock.hpp"
 #include "hibiscus/base/endpoint.hpp"
+#include "hibiscus/base/features.hpp"
 #include "hibiscus/base/ids.hpp"
-#include "hibiscus/base/mechanisms.hpp"
 
 #include <cstdint>
 #include <map>
@@ -29,7 +29,7 @@
     /// The weights that it serves, by model.
     std::map<std::string, std::int64_t> versions;
     /// The time of day of its start, in ms since 1970; 0 if it doesn't say.
-    std::int64_t started = 0;
+    std::int64_t started_ms = 0;
 };
 
 /// One row of the table.
@@ -37,26 +37,26 @@
     registration registered;
     /// Requests of this process that it works on, and the tokens that they
     /// are expected to hold in its memory at their ends.
-    int running = 0;
-    std::int64_t tokens = 0;
+    int in_flight = 0;
+    std::int64_t reserved_tokens = 0;
     /// Nothing is sent before this time.
     base::millis blocked_until = 0;
     /// Failures in a row.
-    int failures = 0;
+    int consecutive_failures = 0;
     /// The models whose weights it is known to load, and until when at most.
     /// It refuses new runs of these alone.
-    std::map<std::string, base::millis> loading;
+    std::map<std::string, base::millis> loading_until;
     /// The mean time between two events of a run, in ms; 0 if not known.
-    double event_ms = 0;
-    base::millis event_seen = 0;
+    double event_interval_ms = 0;
+    base::millis last_event_at = 0;
     /// The mean time of a plain answer, in ms; 0 if not known.
-    double answer_ms = 0;
+    double mean_response_ms = 0;
     /// When it last answered a plain request; 0 for never.
-    base::millis answered_at = 0;
+    base::millis last_response_at = 0;
     /// A number from 0 to 1 that differs between processes.
-    double draw = 0;
+    double tie_breaker = 0;
     /// Weights that its own answers or orders showed, newer than registered.
-    std::map<std::string, std::int64_t> seen_versions;
+    std::map<std::string, std::int64_t> observed_versions;
     /// The newer of what is registered and what was seen, for each model.
     std::map<std::string, std::int64_t> known_versions;
     /// Set when its entry is gone from the registry, but the registry may be
@@ -73,11 +73,11 @@
     /// `salt` differs between processes, so that they choose differently
     /// among servers that are alike.
     explicit sampler_table(base::clock clock, std::uint64_t salt = 0,
-                           base::mechanism_set mechanisms = {})
-        : clock_(std::move(clock)), salt_(salt), mechanisms_(mechanisms) {}
+                           base::feature_set mechanisms = {})
+        : clock_(std::move(clock)), salt_(salt), features_(mechanisms) {}
 
     /// Returns true if decisions over the table may use `m`.
-    bool uses(base::mechanism m) const { return mechanisms_.has(m); }
+    bool is_enabled(base::feature m) const { return features_.is_enabled(m); }
 
     /// Takes in an entry. A server that started anew under its id is a new
     /// one: what was seen of it before no longer holds.
@@ -94,18 +94,18 @@
 
     /// Returns true if a server of the service that stays has weights of a
     /// model.
-    bool serves(const service_name& service, const std::string& model) const;
+    bool has_model(const service_name& service, const std::string& model) const;
 
     sampler_row* find(const sampler_id& id);
     const std::map<sampler_id, sampler_row>& rows() const { return rows_; }
 
     /// A request was sent to a server, or has ended there. `tokens` is what
     /// it is expected to hold in the server's memory.
-    void started(const sampler_id& id, std::int64_t tokens = 0);
-    void ended(const sampler_id& id, std::int64_t tokens = 0);
+    void on_request_started(const sampler_id& id, std::int64_t tokens = 0);
+    void on_request_ended(const sampler_id& id, std::int64_t tokens = 0);
 
     /// Sets the memory of the servers of a service, in tokens.
-    void set_memory(const service_name& service, std::int64_t tokens);
+    void set_memory_tokens(const service_name& service, std::int64_t tokens);
 
     /// Returns the share of a server's memory that is taken once a request
     /// with `tokens` is added; 0 if its memory is not known.
@@ -113,48 +113,48 @@
 
     /// A request failed there without an answer: the server is left alone for
     /// a time that doubles with each failure in a row.
-    void failed(const sampler_id& id);
+    void on_failure(const sampler_id& id);
 
     /// A server refused without running: it is full, loading or not the one
     /// that was expected. It is left alone for `ms`.
     void block(const sampler_id& id, base::millis ms);
 
     /// A whole answer came after `ms`.
-    void answered(const sampler_id& id, base::millis ms);
+    void on_response(const sampler_id& id, base::millis ms);
 
     /// An event came `ms` after the one before.
-    void event(const sampler_id& id, base::millis ms);
+    void on_event(const sampler_id& id, base::millis ms);
 
     /// An answer or an order showed which weights a server has.
-    void saw_version(const sampler_id& id, const std::string& model,
-                     std::int64_t version);
+    void set_observed_version(const sampler_id& id, const std::string& model,
+                              std::int64_t version);
 
     /// A server loads weights of a model, for `longest` ms at most, or has
     /// done so.
-    void loading(const sampler_id& id, const std::string& model,
-                 base::millis longest);
-    void loaded(const sampler_id& id);
+    void set_loading(const sampler_id& id, const std::string& model,
+                     base::millis longest);
+    void clear_loading_of(const sampler_id& id);
     /// Nothing is known of loads any more.
-    void clear_loading();
+    void clear_all_loading();
 
 private:
     using row_map = std::map<sampler_id, sampler_row>;
 
     /// What goes on at a server.
-    struct unlisted_load {
-        int running = 0;
-        std::int64_t tokens = 0;
+    struct unlisted_usage {
+        int in_flight = 0;
+        std::int64_t reserved_tokens = 0;
     };
 
     row_map::iterator erase(row_map::iterator row);
 
     base::clock clock_;
     std::uint64_t salt_;
-    base::mechanism_set mechanisms_;
+    base::feature_set features_;
     row_map rows_;
     /// The work that goes on at servers whose entries are gone.
-    std::map<sampler_id, unlisted_load> unlisted_loads_;
-    std::map<service_name, std::int64_t> memory_;
+    std::map<sampler_id, unlisted_usage> unlisted_usage_;
+    std::map<service_name, std::int64_t> memory_tokens_;
 };
 
 } // namespace hibiscus::samplers
--- a/packages/samplers/test/placement_test.cpp
+++ b/packages/samplers/test/plain_placement_test.cpp
@@ -1,4 +1,4 @@
-#include "hibiscus/samplers/placement.hpp"
+#include "hibiscus/samplers/plain_placement.hpp"
 
 #include <gtest/gtest.h>
 
@@ -12,7 +12,7 @@
 
 const service_name engines("engines");
 
-class placement_test : public testing::Test {
+class plain_placement_test : public testing::Test {
 protected:
     void add(const char* id, int slots = 8) {
         registration r;
@@ -24,8 +24,8 @@
     }
 
     std::string plain() {
-        const auto to =
-            place_plain(table_, engines, base::zone_id("z"), {}, clock_.now());
+        const auto to = choose_plain_server(table_, engines, base::zone_id("z"),
+                                            {}, clock_.now());
         return to ? to->str() : "";
     }
 
@@ -35,7 +35,8 @@
     sampler_table table_{clock_};
 };
 
-TEST_F(placement_test, requests_now_and_then_go_to_the_server_known_already) {
+TEST_F(plain_placement_test,
+       requests_now_and_then_go_to_the_server_known_already) {
     // A node gets a lookup each second. Went it through the servers in turn,
     // each lookup would wait for a new connection.
     for (const char* id : {"a", "b", "c"}) {
@@ -44,28 +45,28 @@
     time_->advance(1);
     const auto first = plain();
     for (int n = 0; n < 10; ++n) {
-        table_.answered(sampler_id(first), 30);
+        table_.on_response(sampler_id(first), 30);
         time_->advance(1000);
         EXPECT_EQ(plain(), first);
     }
-    table_.started(sampler_id(first));
+    table_.on_request_started(sampler_id(first));
     EXPECT_NE(plain(), first);
 }
 
-TEST_F(placement_test, a_server_that_answers_slowly_is_left) {
+TEST_F(plain_placement_test, a_server_that_answers_slowly_is_left) {
     add("a");
     add("b");
     time_->advance(1);
     const auto first = plain();
     for (int n = 0; n < 60; ++n) {
-        table_.answered(sampler_id(first), 400);
+        table_.on_response(sampler_id(first), 400);
     }
-    table_.answered(sampler_id(first == "a" ? "b" : "a"), 30);
+    table_.on_response(sampler_id(first == "a" ? "b" : "a"), 30);
     time_->advance(1000);
     EXPECT_NE(plain(), first);
 }
 
-TEST_F(placement_test, processes_choose_differently_among_equal_servers) {
+TEST_F(plain_placement_test, processes_choose_differently_among_equal_servers) {
     // All nodes start at once and know nothing of the servers. If all chose
     // the first by name, it alone would get their first requests.
     std::set<std::string> chosen;
@@ -77,7 +78,8 @@
             table.put(sampler_id(id), r);
         }
         chosen.insert(
-            place_plain(table, engines, base::zone_id("z"), {}, 0)->str());
+            choose_plain_server(table, engines, base::zone_id("z"), {}, 0)
+                ->str());
     }
     EXPECT_EQ(chosen.size(), 3U);
 }
--- a/packages/samplers/test/sampler_table_test.cpp
+++ b/packages/samplers/test/sampler_table_test.cpp
@@ -20,21 +20,21 @@
 
 TEST_F(sampler_table_test, runs_at_a_server_that_is_listed_again_still_count) {
     // Guards against more runs than places at a server that is listed again.
-    table_.started(server_, 100);
-    table_.started(server_, 200);
-    table_.started(server_, 400);
+    table_.on_request_started(server_, 100);
+    table_.on_request_started(server_, 200);
+    table_.on_request_started(server_, 400);
     table_.remove(server_);
-    table_.ended(server_, 100);
+    table_.on_request_ended(server_, 100);
     table_.put(server_, {});
-    EXPECT_EQ(table_.find(server_)->running, 2);
-    EXPECT_EQ(table_.find(server_)->tokens, 600);
+    EXPECT_EQ(table_.find(server_)->in_flight, 2);
+    EXPECT_EQ(table_.find(server_)->reserved_tokens, 600);
     table_.mark_unlisted(server_);
     table_.remove_unlisted();
-    table_.ended(server_, 200);
-    table_.ended(server_, 400);
+    table_.on_request_ended(server_, 200);
+    table_.on_request_ended(server_, 400);
     table_.put(server_, {});
-    EXPECT_EQ(table_.find(server_)->running, 0);
-    EXPECT_EQ(table_.find(server_)->tokens, 0);
+    EXPECT_EQ(table_.find(server_)->in_flight, 0);
+    EXPECT_EQ(table_.find(server_)->reserved_tokens, 0);
 }
 
 } // namespace
--- a/packages/samplers/test/weight_rollout_test.cpp
+++ b/packages/samplers/test/weight_rollout_test.cpp
@@ -39,11 +39,11 @@
     std::map<std::string, int> loads_of(int rounds) {
         std::map<std::string, int> out;
         for (int n = 0; n < rounds; ++n) {
-            for (const auto& o : rollout_.due(table_)) {
-                rollout_.accepted(o);
+            for (const auto& o : rollout_.take_due_orders(table_)) {
+                rollout_.on_order_accepted(o);
                 ++out[o.model];
-                rollout_.done(o.sampler, {{o.model, o.version}});
-                table_.saw_version(o.sampler, o.model, o.version);
+                rollout_.on_load_done(o.sampler, {{o.model, o.version}});
+                table_.set_observed_version(o.sampler, o.model, o.version);
             }
         }
         return out;
@@ -51,16 +51,16 @@
 
     std::set<std::string> accept_due() {
         std::set<std::string> out;
-        for (const auto& o : rollout_.due(table_)) {
-            rollout_.accepted(o);
+        for (const auto& o : rollout_.take_due_orders(table_)) {
+            rollout_.on_order_accepted(o);
             out.insert(o.sampler.str());
         }
         return out;
     }
 
     void done(const std::string& id, std::int64_t version) {
-        rollout_.done(sampler_id(id), {{"m", version}});
-        table_.saw_version(sampler_id(id), "m", version);
+        rollout_.on_load_done(sampler_id(id), {{"m", version}});
+        table_.set_observed_version(sampler_id(id), "m", version);
     }
 
     std::shared_ptr<base::manual_time> time_ =
@@ -72,7 +72,7 @@
 
 TEST_F(weight_rollout_test, two_of_nine_load_at_a_time) {
     add(9);
-    rollout_.name_version("m", 2);
+    rollout_.announce_version("m", 2);
     EXPECT_EQ(accept_due().size(), 2U);
     EXPECT_TRUE(accept_due().empty());
 }
@@ -83,8 +83,8 @@
     // load its weights first, and the other trainer's next step would find no
     // server at all.
     add_shared(12, 3, 8);
-    rollout_.name_version("late", 4);
-    rollout_.name_version("prompt", 9);
+    rollout_.announce_version("late", 4);
+    rollout_.announce_version("prompt", 9);
     const auto loads = loads_of(4);
     EXPECT_EQ(loads.at("late"), loads.at("prompt"));
 }
@@ -95,9 +95,9 @@
     // stand idle.
     add(4);
     for (const char* id : {"s10", "s11"}) {
-        table_.saw_version(sampler_id(id), "m", 2);
+        table_.set_observed_version(sampler_id(id), "m", 2);
     }
-    rollout_.name_version("m", 3);
+    rollout_.announce_version("m", 3);
     EXPECT_EQ(accept_due(), (std::set<std::string>{"s12", "s13"}));
 }
 
@@ -108,17 +108,17 @@
     for (int n = 0; n < 9; ++n) {
         const sampler_id id("s" + std::to_string(10 + n));
         for (int event = 0; event < 20; ++event) {
-            table_.event(id, n == 0 ? 160 : 40);
+            table_.on_event(id, n == 0 ? 160 : 40);
         }
     }
     table_.block(sampler_id("s11"), 5000);
-    rollout_.name_version("m", 2);
+    rollout_.announce_version("m", 2);
     EXPECT_EQ(accept_due(), (std::set<std::string>{"s12", "s13"}));
 }
 
 TEST_F(weight_rollout_test, more_of_a_large_fleet_load_at_a_time) {
     add(44);
-    rollout_.name_version("m", 2);
+    rollout_.announce_version("m", 2);
     EXPECT_EQ(accept_due().size(), 9U);
 }
 
@@ -126,7 +126,7 @@
 // began meanwhile, steps would have a fifth fewer servers with their weights.
 TEST_F(weight_rollout_test, loads_past_their_time_do_not_hold_up_all_others) {
     add(44);
-    rollout_.name_version("m", 2);
+    rollout_.announce_version("m", 2);
     EXPECT_EQ(accept_due().size(), 9U);
     time_->advance(1000);
     EXPECT_EQ(accept_due().size(), 3U);
@@ -135,7 +135,7 @@
 
 TEST_F(weight_rollout_test, all_get_the_version_and_those_behind_come_first) {
     add(5);
-    rollout_.name_version("m", 2);
+    rollout_.announce_version("m", 2);
     std::set<std::string> seen;
     for (int round = 0; round < 3; ++round) {
         for (const auto& id : accept_due()) {
@@ -153,21 +153,21 @@
     // counted as done after its usual time, all servers would soon load at
     // once, and a step would find no place at all.
     add(12);
-    rollout_.name_version("m", 2);
+    rollout_.announce_version("m", 2);
     std::set<std::string> loading;
     for (int n = 0; n < 5; ++n) {
         for (const auto& id : accept_due()) {
             loading.insert(id);
         }
         time_->advance(1000);
-        rollout_.checks();
+        rollout_.take_due_checks();
     }
     EXPECT_LE(loading.size(), 3U);
 }
 
 TEST_F(weight_rollout_test, a_server_that_never_reports_holds_up_nobody) {
     add(9);
-    rollout_.name_version("m", 2);
+    rollout_.announce_version("m", 2);
     const auto first = accept_due();
     time_->advance(6001);
     EXPECT_FALSE(accept_due().empty());
@@ -175,14 +175,14 @@
 
 TEST_F(weight_rollout_test, asks_whether_a_load_has_ended) {
     add(3);
-    rollout_.name_version("m", 2);
+    rollout_.announce_version("m", 2);
     accept_due();
-    EXPECT_TRUE(rollout_.checks().empty());
+    EXPECT_TRUE(rollout_.take_due_checks().empty());
     time_->advance(950);
-    EXPECT_EQ(rollout_.checks().size(), 2U);
-    EXPECT_TRUE(rollout_.checks().empty());
+    EXPECT_EQ(rollout_.take_due_checks().size(), 2U);
+    EXPECT_TRUE(rollout_.take_due_checks().empty());
     time_->advance(200);
-    EXPECT_EQ(rollout_.checks().size(), 2U);
+    EXPECT_EQ(rollout_.take_due_checks().size(), 2U);
 }
 
 // The store is away for six seconds, and no server is asked for its load
@@ -191,18 +191,18 @@
 // long been there.
 TEST_F(weight_rollout_test, loads_that_nobody_could_ask_for_do_not_seem_long) {
     add(40);
-    rollout_.name_version("m", 2);
+    rollout_.announce_version("m", 2);
     const auto before = accept_due();
     time_->advance(700);
-    rollout_.checks();
+    rollout_.take_due_checks();
     time_->advance(6000);
-    rollout_.checks();
+    rollout_.take_due_checks();
     for (const auto& id : before) {
         done(id, 2);
     }
     ASSERT_FALSE(accept_due().empty());
     time_->advance(1200);
-    EXPECT_FALSE(rollout_.checks().empty());
+    EXPECT_FALSE(rollout_.take_due_checks().empty());
 }
 
 // Loads were slow for a while and are fast again. Each is found at its end soon
@@ -217,12 +217,12 @@
         int ended = 0;
         for (base::millis at = 0; at < length; at += 50) {
             if (at % 4000 == 0) {
-                rollout_.name_version("m", ++version);
+                rollout_.announce_version("m", ++version);
             }
             for (const auto& id : accept_due()) {
                 loads[id] = clock_.now() + lasts;
             }
-            for (const auto& id : rollout_.checks()) {
+            for (const auto& id : rollout_.take_due_checks()) {
                 if (clock_.now() >= loads[id.str()]) {
                     done(id.str(), version);
                     ++ended;
@@ -245,7 +245,7 @@
     add(40);
     std::int64_t version = 1;
     for (int n = 0; n < 30; ++n) {
-        rollout_.name_version("m", ++version);
+        rollout_.announce_version("m", ++version);
         const auto ids = accept_due();
         time_->advance(short_ms);
         for (const auto& id : ids) {
@@ -254,12 +254,12 @@
     }
     base::millis first_question = 0;
     for (int n = 0; n < 8; ++n) {
-        rollout_.name_version("m", ++version);
+        rollout_.announce_version("m", ++version);
         const auto ids = accept_due();
         first_question = 0;
         for (base::millis at = 0; at < long_ms; at += 50) {
             time_->advance(50);
-            if (!rollout_.checks().empty() && first_question == 0) {
+            if (!rollout_.take_due_checks().empty() && first_question == 0) {
                 first_question = at + 50;
             }
         }
@@ -279,8 +279,8 @@
     constexpr int slots = 12;
     constexpr base::millis load_ms = 900;
     add(servers);
-    rollout_.name_version("m", 2);
-    rollout_.want("m", needed * slots);
+    rollout_.announce_version("m", 2);
+    rollout_.set_wanted_slots("m", needed * slots);
     const auto load_for = [&](base::millis length) {
         for (base::millis at = 0; at < length; at += load_ms) {
             const auto ids = accept_due();
@@ -306,15 +306,15 @@
 TEST_F(weight_rollout_test, places_that_others_have_taken_do_not_count) {
     constexpr int slots = 12;
     add(40);
-    rollout_.name_version("m", 2);
-    rollout_.want("m", 2 * slots);
+    rollout_.announce_version("m", 2);
+    rollout_.set_wanted_slots("m", 2 * slots);
     const auto first = accept_due();
     EXPECT_EQ(first.size(), 2U);
     time_->advance(900);
     for (const auto& id : first) {
         done(id, 2);
         for (int n = 0; n < slots; ++n) {
-            table_.started(sampler_id(id));
+            table_.on_request_started(sampler_id(id));
         }
     }
     EXPECT_EQ(accept_due().size(), 2U);
@@ -322,13 +322,13 @@
 
 TEST_F(weight_rollout_test, an_order_that_was_not_taken_is_sent_again_later) {
     add(1);
-    rollout_.name_version("m", 2);
-    const auto orders = rollout_.due(table_);
+    rollout_.announce_version("m", 2);
+    const auto orders = rollout_.take_due_orders(table_);
     ASSERT_EQ(orders.size(), 1U);
-    rollout_.not_taken(orders[0]);
-    EXPECT_TRUE(rollout_.due(table_).empty());
+    rollout_.on_order_rejected(orders[0]);
+    EXPECT_TRUE(rollout_.take_due_orders(table_).empty());
     time_->advance(400);
-    EXPECT_EQ(rollout_.due(table_).size(), 1U);
+    EXPECT_EQ(rollout_.take_due_orders(table_).size(), 1U);
 }
 
 } // namespace
--- a/packages/settings/include/hibiscus/settings/errors.hpp
+++ b/packages/settings/include/hibiscus/settings/errors.hpp
@@ -20,7 +20,7 @@
 
 /// One error of a settings file.
 struct setting_error {
-    setting_fault what = setting_fault::unreadable;
+    setting_fault fault = setting_fault::unreadable;
     std::string file;
     /// The line, from 1; 0 if it cannot be told.
     int line = 0;
--- a/packages/settings/include/hibiscus/settings/mapping_reader.hpp
+++ b/packages/settings/include/hibiscus/settings/mapping_reader.hpp
@@ -19,13 +19,13 @@
         : node_(node), path_(std::move(path)), file_(std::move(file)),
           errors_(errors) {
         if (!node_.IsMap()) {
-            note(setting_fault::wrong_type, node_, "", "a mapping");
+            add_error(setting_fault::wrong_type, node_, "", "a mapping");
         }
     }
 
     /// Reads a number with a fraction, if it is there.
     void decimal(const char* key, double& target, double low, double high) {
-        const auto value = find(key);
+        const auto value = find_value(key);
         if (!value.IsDefined()) {
             return;
         }
@@ -33,9 +33,10 @@
         double number = 0;
         if (!value.IsScalar() ||
             !YAML::convert<double>::decode(value, number)) {
-            note(setting_fault::wrong_type, value, key, "a number, " + range);
+            add_error(setting_fault::wrong_type, value, key,
+                      "a number, " + range);
         } else if (number < low || number > high) {
-            note(setting_fault::out_of_range, value, key, range);
+            add_error(setting_fault::out_of_range, value, key, range);
         } else {
             target = number;
         }
@@ -44,7 +45,7 @@
     /// Reads a name, which must be there.
     template <class Id>
     void name(const char* key, Id& target) {
-        const auto value = required(key, "a name");
+        const auto value = find_required_value(key, "a name");
         if (value.IsScalar()) {
             target = Id(value.Scalar());
         }
@@ -53,7 +54,7 @@
     /// Reads an address, which must be there.
     void address(const char* key, base::endpoint& target) {
         constexpr const char* form = "an IP number and a port, 127.0.0.1:80";
-        const auto value = required(key, form);
+        const auto value = find_required_value(key, form);
         if (!value.IsDefined() || value.IsNull()) {
             return;
         }
@@ -61,7 +62,7 @@
                                 ? base::parse_endpoint(value.Scalar())
                                 : std::nullopt;
         if (!parsed) {
-            note(setting_fault::wrong_type, value, key, form);
+            add_error(setting_fault::wrong_type, value, key, form);
             return;
         }
         target = *parsed;
@@ -70,17 +71,17 @@
     /// Reads a whole number from `low` to `high`, if it is there.
     template <class T>
     void integer(const char* key, T& target, long low, long high) {
-        const auto value = find(key);
+        const auto value = find_value(key);
         if (!value.IsDefined()) {
             return;
         }
         const auto range = std::to_string(low) + " to " + std::to_string(high);
         long number = 0;
         if (!value.IsScalar() || !YAML::convert<long>::decode(value, number)) {
-            note(setting_fault::wrong_type, value, key,
-                 "a whole number, " + range);
+            add_error(setting_fault::wrong_type, value, key,
+                      "a whole number, " + range);
         } else if (number < low || number > high) {
-            note(setting_fault::out_of_range, value, key, range);
+            add_error(setting_fault::out_of_range, value, key, range);
         } else {
             target = static_cast<T>(number);
         }
@@ -96,12 +97,13 @@
     /// Reads one of some words, if it is there.
     void word(const char* key, std::string& target,
               const std::set<std::string>& words) {
-        const auto value = find(key);
+        const auto value = find_value(key);
         if (!value.IsDefined()) {
             return;
         }
         if (!value.IsScalar() || words.count(value.Scalar()) == 0) {
-            note(setting_fault::wrong_type, value, key, one_of(words));
+            add_error(setting_fault::wrong_type, value, key,
+                      describe_choices(words));
             return;
         }
         target = value.Scalar();
@@ -110,45 +112,47 @@
     /// Reads a mapping, which must be there if `needed`, with `read`.
     template <class F>
     void mapping(const char* key, bool needed, F read) {
-        const auto value = needed ? required(key, "a mapping") : find(key);
+        const auto value =
+            needed ? find_required_value(key, "a mapping") : find_value(key);
         if (!value.IsDefined() || value.IsNull()) {
             return;
         }
-        mapping_reader reader(value, join(key), file_, errors_);
+        mapping_reader reader(value, full_key(key), file_, errors_);
         read(reader);
-        reader.finish();
+        reader.report_unknown_keys();
     }
 
     /// Notes the keys that were not asked for.
-    void finish() {
+    void report_unknown_keys() {
         if (!node_.IsMap()) {
             return;
         }
         for (const auto& row : node_) {
             const auto key = row.first.as<std::string>("");
-            if (asked_.count(key) == 0) {
-                note(setting_fault::unknown_key, row.first, key,
-                     one_of(asked_));
+            if (known_keys_.count(key) == 0) {
+                add_error(setting_fault::unknown_key, row.first, key,
+                          describe_choices(known_keys_));
             }
         }
     }
 
 private:
-    YAML::Node find(const char* key) {
-        asked_.insert(key);
+    YAML::Node find_value(const char* key) {
+        known_keys_.insert(key);
         return node_.IsMap() ? node_[key]
                              : YAML::Node(YAML::NodeType::Undefined);
     }
 
-    YAML::Node required(const char* key, const std::string& expected) {
-        auto value = find(key);
+    YAML::Node find_required_value(const char* key,
+                                   const std::string& expected) {
+        auto value = find_value(key);
         if (!value.IsDefined() || value.IsNull()) {
-            note(setting_fault::missing, node_, key, expected);
+            add_error(setting_fault::missing, node_, key, expected);
         }
         return value;
     }
 
-    static std::string one_of(const std::set<std::string>& words) {
+    static std::string describe_choices(const std::set<std::string>& words) {
         std::string out = "one of";
         for (const auto& w : words) {
             out += " " + w;
@@ -156,24 +160,25 @@
         return out;
     }
 
-    std::string join(const std::string& key) const {
+    std::string full_key(const std::string& key) const {
         if (path_.empty() || key.empty()) {
             return path_ + key;
         }
         return path_ + "." + key;
     }
 
-    void note(setting_fault what, const YAML::Node& at, const std::string& key,
-              std::string expected) {
+    void add_error(setting_fault what, const YAML::Node& at,
+                   const std::string& key, std::string expected) {
         const int line = at.IsDefined() ? at.Mark().line + 1 : 0;
-        errors_.push_back({what, file_, line, join(key), std::move(expected)});
+        errors_.push_back(
+            {what, file_, line, full_key(key), std::move(expected)});
     }
 
     YAML::Node node_;
     std::string path_;
     std::string file_;
     setting_errors& errors_;
-    std::set<std::string> asked_;
+    std::set<std::string> known_keys_;
 };
 
 /// Returns the YAML of the file `path`, or why it can't be read.
--- a/packages/settings/src/mapping_reader.cpp
+++ b/packages/settings/src/mapping_reader.cpp
@@ -23,7 +23,7 @@
 
 std::string to_string(const setting_error& error) {
     return error.file + ":" + std::to_string(error.line) + ": " + error.key +
-           ": " + std::string(base::name_of(error.what)) + ", expected " +
+           ": " + std::string(base::name_of(error.fault)) + ", expected " +
            error.expected;
 }
 
--- a/packages/store/include/hibiscus/store/log_store.hpp
+++ b/packages/store/include/hibiscus/store/log_store.hpp
@@ -29,17 +29,17 @@
 
 /// A record and where it stands.
 struct stored_record {
-    log_offset at = 0;
+    log_offset offset = 0;
     record content;
 };
 
 /// The store answered that it did nothing.
-struct refused {
+struct rejected {
     int status = 0;
 };
 
 /// No answer came: the call may have been carried out, or may be later.
-struct unanswered {};
+struct outcome_unknown {};
 
 /// All records of an append stand from `first` on; the partition ends at
 /// `end`.
@@ -50,38 +50,40 @@
 
 /// Nothing was appended, since the partition does not end where the caller
 /// expected it.
-struct end_differs {
+struct append_conflict {
     log_offset end = 0;
 };
 
-using append_result = base::result<appended, end_differs, refused, unanswered>;
+using append_result =
+    base::result<appended, append_conflict, rejected, outcome_unknown>;
 
 /// What a partition held from the asked offset on; no records if none came
 /// within the wait.
-struct read_records {
+struct fetched_records {
     log_offset end = 0;
     std::vector<stored_record> records;
 };
 
 /// The asked records are no longer kept.
-struct trimmed {};
+struct records_trimmed {};
 
-using read_result = base::result<read_records, trimmed, refused, unanswered>;
+using read_result =
+    base::result<fetched_records, records_trimmed, rejected, outcome_unknown>;
 
 /// A page of the newest record of each key, in the order of keys.
-struct newest_page {
+struct latest_page {
     std::vector<stored_record> records;
-    bool more = false;
+    bool has_more = false;
     log_offset end = 0;
 };
 
 /// Returns true if a page holds nothing though others follow: no key says
 /// where to go on, and what stands behind it is not absent.
-inline bool lacks_cursor(const newest_page& page) {
-    return page.more && page.records.empty();
+inline bool has_no_cursor(const latest_page& page) {
+    return page.has_more && page.records.empty();
 }
 
-using newest_result = base::result<newest_page, refused, unanswered>;
+using latest_result = base::result<latest_page, rejected, outcome_unknown>;
 
 /// The calls of the store. Each calls its last argument once, later.
 struct log_store {
@@ -97,11 +99,12 @@
         read;
     /// Reads the newest records of the keys after `after`.
     std::function<void(const partition&, const std::string& after,
-                       std::function<void(newest_result)>)>
-        newest;
+                       std::function<void(latest_result)>)>
+        read_latest;
 };
 
 /// Calls a function after so many ms, on the caller's thread.
-using delay_function = std::function<void(base::millis, std::function<void()>)>;
+using run_after_function =
+    std::function<void(base::millis, std::function<void()>)>;
 
 } // namespace hibiscus::store
--- a/packages/store/include/hibiscus/store/pieces.hpp
+++ b/packages/store/include/hibiscus/store/value_chunks.hpp
@@ -15,22 +15,22 @@
 /// What the store takes, in bytes.
 struct append_limits {
     /// One record, with its key.
-    std::size_t record = 262144;
+    std::size_t max_record_bytes = 262144;
     /// All records of one append.
-    std::size_t call = 2097152;
+    std::size_t max_append_bytes = 2097152;
 };
 
 /// Cuts values that do not fit into a record, and deals all records to
 /// appends that the store takes, in their order. The appends are not all or
 /// nothing together; a value of which pieces are missing is read as absent.
-std::vector<std::vector<record>> to_appends(std::vector<record> records,
-                                            const append_limits& limits);
+std::vector<std::vector<record>>
+split_into_appends(std::vector<record> records, const append_limits& limits);
 
 /// Returns true unless the record is a piece that others follow.
-bool ends_value(const record& r);
+bool completes_value(const record& r);
 
 /// Joins pieces that stand in the order of their keys. Values of which a
 /// piece is missing are left out.
-std::vector<record> join_pieces(std::vector<record> records);
+std::vector<record> join_chunks(std::vector<record> records);
 
 } // namespace hibiscus::store
--- a/packages/store/src/prefix_reader.cpp
+++ b/packages/store/src/prefix_operations.cpp
@@ -1,6 +1,6 @@
-#include "hibiscus/store/prefix_reader.hpp"
+#include "hibiscus/store/prefix_operations.hpp"
 
-#include "hibiscus/store/pieces.hpp"
+#include "hibiscus/store/value_chunks.hpp"
 
 #include <memory>
 #include <utility>
@@ -9,30 +9,32 @@
 
 namespace {
 
-struct reading : std::enable_shared_from_this<reading> {
+struct prefix_read_operation
+    : std::enable_shared_from_this<prefix_read_operation> {
     const log_store& store;
     partition source;
     std::string prefix;
-    std::size_t most_bytes;
+    std::size_t max_bytes;
     std::function<void(std::optional<std::vector<record>>)> done;
     std::vector<record> found;
-    std::size_t bytes = 0;
+    std::size_t found_bytes = 0;
 
-    reading(const log_store& s, partition p, std::string pre, std::size_t most,
-            std::function<void(std::optional<std::vector<record>>)> d)
+    prefix_read_operation(
+        const log_store& s, partition p, std::string pre, std::size_t most,
+        std::function<void(std::optional<std::vector<record>>)> d)
         : store(s), source(std::move(p)), prefix(std::move(pre)),
-          most_bytes(most), done(std::move(d)) {}
+          max_bytes(most), done(std::move(d)) {}
 
-    void page(const std::string& after) {
-        store.newest(source, after,
-                     [self = shared_from_this()](newest_result r) {
-                         self->on_page(std::move(r));
-                     });
+    void request_page(const std::string& after) {
+        store.read_latest(source, after,
+                          [self = shared_from_this()](latest_result r) {
+                              self->on_page(std::move(r));
+                          });
     }
 
-    void on_page(newest_result result) {
+    void on_page(latest_result result) {
         auto* p = base::value_if(result);
-        if (p == nullptr || lacks_cursor(*p)) {
+        if (p == nullptr || has_no_cursor(*p)) {
             done(std::nullopt);
             return;
         }
@@ -43,46 +45,47 @@
                 finish();
                 return;
             }
-            bytes += r.content.value.size();
+            found_bytes += r.content.value.size();
             found.push_back(std::move(r.content));
-            if (bytes >= most_bytes && ends_value(found.back())) {
+            if (found_bytes >= max_bytes && completes_value(found.back())) {
                 finish();
                 return;
             }
         }
-        if (p->more) {
-            page(last);
+        if (p->has_more) {
+            request_page(last);
             return;
         }
         finish();
     }
 
-    void finish() { done(join_pieces(std::move(found))); }
+    void finish() { done(join_chunks(std::move(found))); }
 };
 
 /// Erases page by page; each page begins anew behind the prefix, since what
 /// was erased is no longer there.
-struct erasing : std::enable_shared_from_this<erasing> {
+struct prefix_erase_operation
+    : std::enable_shared_from_this<prefix_erase_operation> {
     const log_store& store;
     partition source;
     std::string prefix;
     std::function<void(bool)> done;
 
-    erasing(const log_store& s, partition p, std::string pre,
-            std::function<void(bool)> d)
+    prefix_erase_operation(const log_store& s, partition p, std::string pre,
+                           std::function<void(bool)> d)
         : store(s), source(std::move(p)), prefix(std::move(pre)),
           done(std::move(d)) {}
 
-    void page() {
-        store.newest(source, prefix,
-                     [self = shared_from_this()](const newest_result& r) {
-                         self->on_page(r);
-                     });
+    void request_page() {
+        store.read_latest(source, prefix,
+                          [self = shared_from_this()](const latest_result& r) {
+                              self->on_page(r);
+                          });
     }
 
-    void on_page(const newest_result& result) {
+    void on_page(const latest_result& result) {
         const auto* p = base::value_if(result);
-        if (p == nullptr || lacks_cursor(*p)) {
+        if (p == nullptr || has_no_cursor(*p)) {
             done(false);
             return;
         }
@@ -102,7 +105,7 @@
                          if (base::value_if(r) == nullptr) {
                              self->done(false);
                          } else {
-                             self->page();
+                             self->request_page();
                          }
                      });
     }
@@ -112,16 +115,18 @@
 
 void erase_prefix(const log_store& store, const partition& source,
                   const std::string& prefix, std::function<void(bool)> done) {
-    std::make_shared<erasing>(store, source, prefix, std::move(done))->page();
+    std::make_shared<prefix_erase_operation>(store, source, prefix,
+                                             std::move(done))
+        ->request_page();
 }
 
 void read_prefix(const log_store& store, const partition& source,
                  const std::string& prefix, const std::string& after,
                  std::size_t most_bytes,
                  std::function<void(std::optional<std::vector<record>>)> done) {
-    std::make_shared<reading>(store, source, prefix, most_bytes,
-                              std::move(done))
-        ->page(after);
+    std::make_shared<prefix_read_operation>(store, source, prefix, most_bytes,
+                                            std::move(done))
+        ->request_page(after);
 }
 
 } // namespace hibiscus::store
--- a/packages/telemetry/include/hibiscus/telemetry/metrics.hpp
+++ b/packages/telemetry/include/hibiscus/telemetry/metrics.hpp
@@ -20,8 +20,8 @@
 
     /// Counts an answer to a caller. `kind` is "service", "pull", "step",
     /// "version" or "entries".
-    void count_answer(const std::string& kind, const std::string& outcome,
-                      const std::string& reason);
+    void count_response(const std::string& kind, const std::string& outcome,
+                        const std::string& reason);
 
     /// Counts an event: "peer_malformed", "log_failure", "stale_dropped", ...
     void count_event(const std::string& name);
--- a/packages/telemetry/src/event_log.cpp
+++ b/packages/telemetry/src/event_log.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-constexpr base::millis second_ms = 1000;
+constexpr base::millis rate_window_ms = 1000;
 
 /// Lines are written once so many bytes are held, without waiting for the
 /// next flush.
-constexpr std::size_t write_bytes = 32 * 1024;
+constexpr std::size_t flush_threshold_bytes = 32 * 1024;
 
 } // namespace
 
@@ -32,47 +32,47 @@
     flush();
 }
 
-bool event_log::take_token() {
+bool event_log::acquire_rate_limit() {
     const auto now = clock_.now();
-    if (now - second_ >= second_ms) {
-        second_ = now;
-        lines_ = 0;
+    if (now - rate_window_start_ >= rate_window_ms) {
+        rate_window_start_ = now;
+        lines_in_window_ = 0;
     }
-    return ++lines_ <= limits_.lines_per_s;
+    return ++lines_in_window_ <= limits_.max_lines_per_s;
 }
 
 void event_log::write(const char* event,
-                      std::initializer_list<log_value> values) {
-    if (!take_token() || held_.size() > limits_.held_bytes) {
-        ++dropped_;
+                      std::initializer_list<log_field> values) {
+    if (!acquire_rate_limit() || buffer_.size() > limits_.max_buffered_bytes) {
+        ++dropped_lines_;
         return;
     }
-    nlohmann::ordered_json line{{"t", clock_.wall()},
+    nlohmann::ordered_json line{{"t", clock_.wall_time()},
                                 {"mono", clock_.now()},
                                 {"node", node_},
                                 {"event", event}};
-    if (dropped_ != told_) {
-        line["dropped_lines"] = dropped_ - told_;
-        told_ = dropped_;
+    if (dropped_lines_ != reported_dropped_lines_) {
+        line["dropped_lines"] = dropped_lines_ - reported_dropped_lines_;
+        reported_dropped_lines_ = dropped_lines_;
     }
     for (const auto& v : values) {
         std::visit([&](const auto& value) { line[v.name] = value; }, v.value);
     }
-    held_ += line.dump(-1, ' ', false,
-                       nlohmann::ordered_json::error_handler_t::replace);
-    held_ += '\n';
-    if (held_.size() > write_bytes) {
+    buffer_ += line.dump(-1, ' ', false,
+                         nlohmann::ordered_json::error_handler_t::replace);
+    buffer_ += '\n';
+    if (buffer_.size() > flush_threshold_bytes) {
         flush();
     }
 }
 
 void event_log::flush() {
-    while (!held_.empty()) {
-        const auto n = ::write(descriptor_, held_.data(), held_.size());
+    while (!buffer_.empty()) {
+        const auto n = ::write(descriptor_, buffer_.data(), buffer_.size());
         if (n <= 0) {
             return;
         }
-        held_.erase(0, static_cast<std::size_t>(n));
+        buffer_.erase(0, static_cast<std::size_t>(n));
     }
 }
 
--- a/packages/telemetry/src/metrics.cpp
+++ b/packages/telemetry/src/metrics.cpp
@@ -12,7 +12,7 @@
 class metrics::impl {
 public:
     prometheus::Registry registry;
-    prometheus::Family<prometheus::Counter>& answers =
+    prometheus::Family<prometheus::Counter>& responses =
         prometheus::BuildCounter()
             .Name("hibiscus_answers_total")
             .Help("Answers to callers")
@@ -38,9 +38,10 @@
 
 metrics::~metrics() = default;
 
-void metrics::count_answer(const std::string& kind, const std::string& outcome,
-                           const std::string& reason) {
-    impl_->answers
+void metrics::count_response(const std::string& kind,
+                             const std::string& outcome,
+                             const std::string& reason) {
+    impl_->responses
         .Add({{"kind", kind}, {"outcome", outcome}, {"reason", reason}})
         .Increment();
 }
--- a/packages/transport/include/hibiscus/transport/event_stream.hpp
+++ b/packages/transport/include/hibiscus/transport/event_stream.hpp
@@ -14,7 +14,7 @@
     /// Its `data` lines, joined by line feeds.
     std::string data;
     /// Fields other than `id` and `data`, in their order.
-    std::vector<std::pair<std::string, std::string>> other;
+    std::vector<std::pair<std::string, std::string>> other_fields;
 };
 
 /// Splits the bytes of a stream into events. An event counts once the empty
@@ -26,34 +26,34 @@
     std::vector<stream_event> feed(std::string_view bytes);
 
 private:
-    void line(std::string_view text, std::vector<stream_event>& out);
+    void parse_line(std::string_view text, std::vector<stream_event>& out);
 
-    std::string rest_;
-    stream_event event_;
+    std::string partial_line_;
+    stream_event current_event_;
     bool has_data_ = false;
 };
 
 /// The whole events in a piece of a stream.
-struct whole_events {
+struct complete_events {
     /// Their bytes as they came, to be handed on.
     std::string bytes;
     /// The id of the last one that has one; empty if none has.
-    std::string last_id;
+    std::string last_event_id;
 };
 
 /// Hands on a stream event by event. A stream that goes on at another server
 /// begins with a whole event; what the first server had sent of that event
 /// must not have been handed on before.
-class event_gate {
+class event_assembler {
 public:
     /// Takes the next bytes and returns the events that they complete.
-    whole_events feed(std::string_view bytes);
+    complete_events feed(std::string_view bytes);
 
     /// Drops what has come of an event that is not complete.
-    void reset();
+    void discard_partial_event();
 
 private:
-    std::string rest_;
+    std::string partial_event_;
 };
 
 } // namespace hibiscus::transport
--- a/packages/transport/include/hibiscus/transport/upstream.hpp
+++ b/packages/transport/include/hibiscus/transport/upstream.hpp
@@ -25,43 +25,44 @@
 };
 
 /// The status and header fields of an answer.
-struct upstream_head {
+struct response_head {
     int status = 0;
     headers fields;
 };
 
 /// How a call ended.
-enum class call_end {
-    complete,  ///< The whole answer came.
-    closed,    ///< An answer without a length ended with its connection.
-    not_sent,  ///< No byte of the request can have left.
-    broken,    ///< The connection ended or sent bytes that are no answer.
-    stale,     ///< A kept connection ended without an answer, or held another
-               ///< request's; whether the request ran is open.
-    silent,    ///< Nothing came for as long as the call allows.
-    timed_out, ///< The call's whole time was over.
+enum class call_outcome {
+    complete,              ///< The whole answer came.
+    closed_without_length, ///< An answer without a length ended with its
+                           ///< connection.
+    not_sent,              ///< No byte of the request can have left.
+    broken, ///< The connection ended or sent bytes that are no answer.
+    stale_connection, ///< A kept connection ended without an answer, or held
+                      ///< another request's; whether the request ran is open.
+    idle_timeout,     ///< Nothing came for as long as the call allows.
+    total_timeout,    ///< The call's whole time was over.
 };
 
 /// What a call tells, on the thread of its context. After `ended` nothing
 /// more comes; a cancelled call tells nothing further.
-struct upstream_events {
-    std::function<void(const upstream_head&)> head;
-    std::function<void(std::string_view)> data;
-    std::function<void(call_end)> ended;
+struct upstream_callbacks {
+    std::function<void(const response_head&)> on_head;
+    std::function<void(std::string_view)> on_data;
+    std::function<void(call_outcome)> on_end;
 };
 
 /// The bounds of one call, in ms; 0 stands for no bound. Time in which the
 /// thread was held up counts only for the whole time, and an answer that has
 /// come by then is taken.
-struct call_options {
-    base::millis connect_ms = 1000;
+struct upstream_call_options {
+    base::millis connect_timeout_ms = 1000;
     /// The longest time without a byte.
-    base::millis silence_ms = 0;
-    base::millis total_ms = 0;
+    base::millis idle_timeout_ms = 0;
+    base::millis total_timeout_ms = 0;
     /// Whether a connection that was used before may serve. Its server may
     /// have closed it at the same moment, which leaves open whether the
     /// request ran.
-    bool reuse = true;
+    bool reuse_connection = true;
 };
 
 /// One call under way.
@@ -73,14 +74,14 @@
     virtual void cancel() = 0;
 
     /// Returns true if the call has opened a connection of its own.
-    virtual bool opened() const = 0;
+    virtual bool opened_connection() const = 0;
 };
 
 /// Counts of what a client did.
 struct upstream_counts {
-    std::uint64_t connections = 0;
-    std::uint64_t reused = 0;
-    std::uint64_t stray_bytes = 0;
+    std::uint64_t connections_opened = 0;
+    std::uint64_t connections_reused = 0;
+    std::uint64_t unsolicited_reads = 0;
 };
 
 /// Sends HTTP/1.1 requests over kept connections and hands answers on as they
@@ -98,8 +99,8 @@
     /// `echo` asks for no such check.
     std::shared_ptr<upstream_call> start(const base::endpoint& target,
                                          upstream_request request,
-                                         call_options options,
-                                         upstream_events events,
+                                         upstream_call_options options,
+                                         upstream_callbacks events,
                                          const std::string& echo = "");
 
     /// Ends all calls to `target` that began before `before` as timed out, or
@@ -107,10 +108,11 @@
     /// a target that was silent and answers again: what it was asked before
     /// will never be answered, and would hold up its callers until their
     /// bounds.
-    void abandon(const base::endpoint& target, base::millis before);
+    void end_calls_started_before(const base::endpoint& target,
+                                  base::millis before);
 
     /// Closes the kept connections to `target`.
-    void forget(const base::endpoint& target);
+    void close_idle_connections(const base::endpoint& target);
 
     upstream_counts counts() const;
 
@@ -124,15 +126,15 @@
 namespace hibiscus::base {
 
 template <>
-struct enum_names<transport::call_end> {
-    static constexpr std::array<enum_name<transport::call_end>, 7> table{{
-        {transport::call_end::complete, "complete"},
-        {transport::call_end::closed, "closed"},
-        {transport::call_end::not_sent, "not_sent"},
-        {transport::call_end::broken, "broken"},
-        {transport::call_end::stale, "stale"},
-        {transport::call_end::silent, "silent"},
-        {transport::call_end::timed_out, "timed_out"},
+struct enum_names<transport::call_outcome> {
+    static constexpr std::array<enum_name<transport::call_outcome>, 7> table{{
+        {transport::call_outcome::complete, "complete"},
+        {transport::call_outcome::closed_without_length, "closed"},
+        {transport::call_outcome::not_sent, "not_sent"},
+        {transport::call_outcome::broken, "broken"},
+        {transport::call_outcome::stale_connection, "stale"},
+        {transport::call_outcome::idle_timeout, "silent"},
+        {transport::call_outcome::total_timeout, "timed_out"},
     }};
 };
 
--- a/packages/transport/src/headers.cpp
+++ b/packages/transport/src/headers.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-bool same_name(std::string_view a, std::string_view b) {
+bool equals_ignore_case(std::string_view a, std::string_view b) {
     return std::equal(a.begin(), a.end(), b.begin(), b.end(),
                       [](unsigned char x, unsigned char y) {
                           return std::tolower(x) == std::tolower(y);
@@ -16,7 +16,7 @@
 }
 
 /// RFC 9110, section 7.6.1, and the framing of the message itself.
-constexpr std::array<std::string_view, 11> hop_by_hop{
+constexpr std::array<std::string_view, 11> hop_by_hop_headers{
     "connection", "keep-alive", "proxy-connection", "te",   "transfer-encoding",
     "upgrade",    "trailer",    "content-length",   "host", "accept-encoding",
     "expect"};
@@ -25,7 +25,7 @@
 
 const std::string* find_header(const headers& fields, std::string_view name) {
     for (const auto& field : fields) {
-        if (same_name(field.name, name)) {
+        if (equals_ignore_case(field.name, name)) {
             return &field.value;
         }
     }
@@ -33,8 +33,8 @@
 }
 
 bool is_hop_by_hop(std::string_view name) {
-    return std::any_of(hop_by_hop.begin(), hop_by_hop.end(),
-                       [&](auto row) { return same_name(row, name); });
+    return std::any_of(hop_by_hop_headers.begin(), hop_by_hop_headers.end(),
+                       [&](auto row) { return equals_ignore_case(row, name); });
 }
 
 } // namespace hibiscus::transport
--- a/packages/transport/src/server_session.cpp
+++ b/packages/transport/src/server_session.cpp
@@ -16,18 +16,18 @@
 
 /// A caller sends its request as soon as its connection is open. A closing
 /// server waits for it so long, in ms.
-constexpr base::millis first_request_ms = 250;
+constexpr base::millis first_request_timeout_ms = 250;
 
 /// An answer that a caller does not take for so long is given up; it bounds
 /// the memory that callers who stopped reading hold.
-constexpr base::millis write_ms = 15000;
+constexpr base::millis write_timeout_ms = 15000;
 
 /// How long the rest of what a refused caller sends is read and dropped. To
 /// close with unread bytes resets the connection, and the caller would lose
 /// the answer that says why.
-constexpr base::millis linger_ms = 2000;
+constexpr base::millis linger_timeout_ms = 2000;
 
-std::string head_of(int status, const headers& fields) {
+std::string serialize_head(int status, const headers& fields) {
     std::string out = "HTTP/1.1 " + std::to_string(status) + " ";
     const auto reason =
         http::obsolete_reason(static_cast<http::status>(status));
@@ -42,50 +42,51 @@
     return out;
 }
 
-std::string empty_answer(int status) {
-    return head_of(status, {{"Connection", "close"}, {"Content-Length", "0"}}) +
+std::string serialize_empty_response(int status) {
+    return serialize_head(status,
+                          {{"Connection", "close"}, {"Content-Length", "0"}}) +
            "\r\n";
 }
 
 } // namespace
 
 /// The way to answer one request of a session.
-class server_session::answer : public exchange {
+class server_session::writer : public response_writer {
 public:
-    answer(std::shared_ptr<server_session> owner, std::uint64_t number)
+    writer(std::shared_ptr<server_session> owner, std::uint64_t number)
         : session_(std::move(owner)), number_(number) {}
 
-    ~answer() override {
+    ~writer() override {
         // A handler that forgets to answer would leave its caller waiting.
-        if (!ended_) {
+        if (!finished_) {
             session_->abort(number_);
         }
     }
 
-    answer(const answer&) = delete;
-    answer& operator=(const answer&) = delete;
+    writer(const writer&) = delete;
+    writer& operator=(const writer&) = delete;
 
-    void respond(outbound_response response) override {
-        if (std::exchange(ended_, true)) {
+    void send(outbound_response response) override {
+        if (std::exchange(finished_, true)) {
             return;
         }
-        auto bytes = head_of(response.status, response.fields);
-        add_connection(bytes);
+        auto bytes = serialize_head(response.status, response.fields);
+        append_connection_header(bytes);
         bytes += "Content-Length: " + std::to_string(response.body.size());
         bytes += "\r\n\r\n";
         bytes += response.body;
         session_->send(number_, std::move(bytes), true);
     }
 
-    void begin(int status, const headers& fields) override {
-        auto bytes = head_of(status, fields);
-        add_connection(bytes);
+    void send_head(int status, const headers& fields) override {
+        auto bytes = serialize_head(status, fields);
+        append_connection_header(bytes);
         bytes += "Transfer-Encoding: chunked\r\n\r\n";
         session_->send(number_, std::move(bytes), false);
     }
 
     void write(std::string_view piece) override {
-        if (piece.empty() || ended_) {
+        if (piece.empty() || finished_) {
             return;
         }
         char size[32];
@@ -96,32 +97,32 @@
         session_->send(number_, std::move(bytes), false);
     }
 
-    void end() override {
-        if (!std::exchange(ended_, true)) {
+    void finish() override {
+        if (!std::exchange(finished_, true)) {
             session_->send(number_, "0\r\n\r\n", true);
         }
     }
 
     void abort() override {
-        ended_ = true;
+        finished_ = true;
         session_->abort(number_);
     }
 
-    void on_closed(std::function<void()> closed) override {
-        session_->set_closed(number_, std::move(closed));
+    void on_disconnect(std::function<void()> closed) override {
+        session_->set_on_disconnect(number_, std::move(closed));
     }
 
 private:
-    void add_connection(std::string& bytes) const {
+    void append_connection_header(std::string& bytes) const {
         if (!session_->keep_alive()) {
-            session_->drop_keep_alive();
+            session_->disable_keep_alive();
             bytes += "Connection: close\r\n";
         }
     }
 
     std::shared_ptr<server_session> session_;
     std::uint64_t number_;
-    bool ended_ = false;
+    bool finished_ = false;
 };
 
 server_session::server_session(tcp::socket socket,
@@ -129,48 +130,48 @@
     : socket_(std::move(socket)), state_(std::move(state)),
       opened_at_(state_->clock.now()) {
     state_->sessions.insert(this);
-    ++state_->connections;
+    ++state_->open_connections;
 }
 
 server_session::~server_session() {
     state_->sessions.erase(this);
-    state_->connections -= open_ ? 1 : 0;
+    state_->open_connections -= open_ ? 1 : 0;
 }
 
-void server_session::sweep(base::millis now) {
-    if (write_due_ != 0 && now > write_due_) {
-        close(cut_cause::write_overdue);
+void server_session::check_timeouts(base::millis now) {
+    if (write_deadline_ != 0 && now > write_deadline_) {
+        close(abort_cause::write_timeout);
     }
-    if (current_) {
+    if (current_request_number_) {
         return;
     }
-    const bool overdue = is_overdue(now);
+    const bool overdue = is_idle_timeout_over(now);
     if (lingering_) {
         if (overdue) {
             close();
         }
-    } else if (overdue || (!given_more_time_ && may_close(now))) {
+    } else if (overdue || (!read_deadline_extended_ && may_close_idle(now))) {
         cancel_idle_read();
     }
 }
 
-void server_session::set_closed(std::uint64_t number,
-                                std::function<void()> closed) {
-    if (current_ != number || !open_) {
+void server_session::set_on_disconnect(std::uint64_t number,
+                                       std::function<void()> closed) {
+    if (current_request_number_ != number || !open_) {
         closed();
         return;
     }
-    on_caller_closed_ = std::move(closed);
+    on_disconnect_ = std::move(closed);
 }
 
 void server_session::send(std::uint64_t number, std::string bytes, bool last) {
-    if (current_ != number || !open_) {
+    if (current_request_number_ != number || !open_) {
         return;
     }
-    last_ = last;
-    began_ = true;
-    out_.push_back(std::move(bytes));
-    if (out_.size() == 1) {
+    last_write_queued_ = last;
+    response_started_ = true;
+    write_queue_.push_back(std::move(bytes));
+    if (write_queue_.size() == 1) {
         write_next();
     }
 }
@@ -180,58 +181,59 @@
 }
 
 void server_session::abort(std::uint64_t number) {
-    if (current_ == number) {
-        close(cut_cause::abandoned);
+    if (current_request_number_ == number) {
+        close(abort_cause::handler_aborted);
     }
 }
 
-void server_session::answer_open(int status) {
-    if (!current_ || last_) {
+void server_session::fail_open_request(int status) {
+    if (!current_request_number_ || last_write_queued_) {
         return;
     }
-    if (began_) {
-        close(cut_cause::server_ended);
+    if (response_started_) {
+        close(abort_cause::server_shutdown);
         return;
     }
-    report_cut(cut_cause::server_ended);
-    current_ = ++numbers_;
+    report_abort(abort_cause::server_shutdown);
+    current_request_number_ = ++last_request_number_;
     keep_alive_ = false;
-    send(current_, empty_answer(status), true);
-    if (auto closed = std::exchange(on_caller_closed_, nullptr)) {
+    send(current_request_number_, serialize_empty_response(status), true);
+    if (auto closed = std::exchange(on_disconnect_, nullptr)) {
         closed();
     }
 }
 
-void server_session::read() {
+void server_session::read_next_request() {
     parser_.emplace();
-    take_limits();
-    given_more_time_ = false;
-    read_on();
+    apply_limits();
+    read_deadline_extended_ = false;
+    continue_read();
 }
 
-void server_session::take_limits() {
+void server_session::apply_limits() {
     if (!parser_ || parser_->got_some()) {
         return;
     }
     parser_->header_limit(
-        static_cast<std::uint32_t>(state_->limits.header_bytes));
-    parser_->body_limit(state_->limits.body_bytes);
+        static_cast<std::uint32_t>(state_->limits.max_header_bytes));
+    parser_->body_limit(state_->limits.max_body_bytes);
 }
 
-void server_session::wait_for_caller() {
-    waits_since_ = state_->clock.now();
-    idle_ms_ = state_->limits.idle_ms;
+void server_session::start_idle_timer() {
+    idle_since_ = state_->clock.now();
+    idle_timeout_ms_ = state_->limits.idle_timeout_ms;
 }
 
 /// A caller may go by the limit that it knew or by the one in force.
-bool server_session::is_overdue(base::millis now) const {
-    const auto idle_ms = std::max(idle_ms_, state_->limits.idle_ms);
-    return waits_since_ &&
-           now - *waits_since_ > (lingering_ ? linger_ms : idle_ms);
+bool server_session::is_idle_timeout_over(base::millis now) const {
+    const auto idle_ms =
+        std::max(idle_timeout_ms_, state_->limits.idle_timeout_ms);
+    return idle_since_ &&
+           now - *idle_since_ > (lingering_ ? linger_timeout_ms : idle_ms);
 }
 
-void server_session::read_on() {
-    wait_for_caller();
+void server_session::continue_read() {
+    start_idle_timer();
     http::async_read(
         socket_, buffer_, *parser_,
         [self = shared_from_this()](beast::error_code error, std::size_t) {
@@ -239,9 +241,10 @@
         });
 }
 
-bool server_session::may_close(base::millis now) const {
+bool server_session::may_close_idle(base::millis now) const {
     return state_->phase == server_phase::closing &&
-           (numbers_ > 0 || now - opened_at_ > first_request_ms);
+           (last_request_number_ > 0 ||
+            now - opened_at_ > first_request_timeout_ms);
 }
 
 void server_session::cancel_idle_read() {
@@ -254,17 +257,17 @@
     beast::error_code ignored;
     const bool request_began = parser_->got_some() || buffer_.size() > 0 ||
                                socket_.available(ignored) > 0;
-    if (!request_began || given_more_time_) {
+    if (!request_began || read_deadline_extended_) {
         close();
         return;
     }
-    given_more_time_ = true;
-    read_on();
+    read_deadline_extended_ = true;
+    continue_read();
 }
 
 void server_session::on_read(beast::error_code error) {
     const bool cancelled = std::exchange(idle_read_cancelled_, false);
-    waits_since_.reset();
+    idle_since_.reset();
     if (!open_) {
         return;
     }
@@ -277,15 +280,15 @@
         return;
     }
     if (lingering_) {
-        wait_for_caller();
-        discard();
+        start_idle_timer();
+        discard_input();
         return;
     }
-    if (current_) {
-        waiting_ = true;
+    if (current_request_number_) {
+        next_request_ready_ = true;
         return;
     }
-    handle();
+    dispatch_request();
 }
 
 void server_session::on_read_error(beast::error_code error) {
@@ -298,10 +301,10 @@
         close();
         return;
     }
-    if (current_) {
+    if (current_request_number_) {
         // What follows is no request; the one before is still answered.
         keep_alive_ = false;
-        discard_rest_ = true;
+        discard_remaining_input_ = true;
         return;
     }
     int status = 400;
@@ -310,33 +313,34 @@
     } else if (error == http::error::header_limit) {
         status = 431;
     }
-    current_ = ++numbers_;
-    ++state_->in_flight;
+    current_request_number_ = ++last_request_number_;
+    ++state_->requests_in_flight;
     malformed_ = true;
     keep_alive_ = false;
-    discard_rest_ = true;
-    send(current_, empty_answer(status), true);
+    discard_remaining_input_ = true;
+    send(current_request_number_, serialize_empty_response(status), true);
 }
 
-void server_session::note_request(const inbound_request& request) {
-    const auto* id = find_header(request.fields, state_->report.id_field);
+void server_session::record_request(const inbound_request& request) {
+    const auto* id =
+        find_header(request.fields, state_->reporting.request_id_header);
     request_id_ = id == nullptr ? "" : *id;
     target_ = request.target;
-    read_at_ = state_->clock.now();
-    began_ = false;
+    request_read_at_ = state_->clock.now();
+    response_started_ = false;
 }
 
 void server_session::write_next() {
-    write_due_ = state_->clock.now() + write_ms;
+    write_deadline_ = state_->clock.now() + write_timeout_ms;
     asio::async_write(
-        socket_, asio::buffer(out_.front()),
+        socket_, asio::buffer(write_queue_.front()),
         [self = shared_from_this()](beast::error_code error, std::size_t) {
             self->on_write(error);
         });
 }
 
 void server_session::on_write(beast::error_code error) {
-    write_due_ = 0;
+    write_deadline_ = 0;
     if (!open_) {
         return;
     }
@@ -344,84 +348,85 @@
         close();
         return;
     }
-    out_.pop_front();
-    if (!out_.empty()) {
+    write_queue_.pop_front();
+    if (!write_queue_.empty()) {
         write_next();
         return;
     }
-    if (last_) {
-        finish();
+    if (last_write_queued_) {
+        on_response_sent();
     }
 }
 
-void server_session::finish() {
-    last_ = false;
-    current_ = 0;
-    --state_->in_flight;
-    on_caller_closed_ = nullptr;
-    if (discard_rest_ || !keep_alive_) {
+void server_session::on_response_sent() {
+    last_write_queued_ = false;
+    current_request_number_ = 0;
+    --state_->requests_in_flight;
+    on_disconnect_ = nullptr;
+    if (discard_remaining_input_ || !keep_alive_) {
         shutdown_send();
         return;
     }
-    if (waiting_) {
-        waiting_ = false;
-        handle();
+    if (next_request_ready_) {
+        next_request_ready_ = false;
+        dispatch_request();
         return;
     }
-    wait_for_caller();
+    start_idle_timer();
 }
 
 void server_session::shutdown_send() {
     lingering_ = true;
     beast::error_code ignored;
     socket_.shutdown(tcp::socket::shutdown_send, ignored);
-    wait_for_caller();
-    if (discard_rest_ || waiting_) {
-        discard();
+    start_idle_timer();
+    if (discard_remaining_input_ || next_request_ready_) {
+        discard_input();
     }
 }
 
-void server_session::discard() {
+void server_session::discard_input() {
     if (!open_) {
         return;
     }
-    dropped_.resize(16 * 1024);
+    discard_buffer_.resize(16 * 1024);
     socket_.async_read_some(
-        asio::buffer(dropped_),
+        asio::buffer(discard_buffer_),
         [self = shared_from_this()](beast::error_code error, std::size_t) {
             if (error) {
                 self->close();
             } else {
-                self->discard();
+                self->discard_input();
             }
         });
 }
 
-void server_session::close(cut_cause cause) {
+void server_session::close(abort_cause cause) {
     if (!std::exchange(open_, false)) {
         return;
     }
-    --state_->connections;
+    --state_->open_connections;
     beast::error_code ignored;
     socket_.close(ignored);
-    if (current_) {
-        report_cut(cause);
-        current_ = 0;
-        --state_->in_flight;
+    if (current_request_number_) {
+        report_abort(cause);
+        current_request_number_ = 0;
+        --state_->requests_in_flight;
     }
-    if (auto closed = std::exchange(on_caller_closed_, nullptr)) {
+    if (auto closed = std::exchange(on_disconnect_, nullptr)) {
         closed();
     }
 }
 
-void server_session::report_cut(cut_cause cause) const {
-    if (state_->report.cut && !malformed_) {
-        state_->report.cut({request_id_, target_, cause,
-                            state_->clock.now() - read_at_, began_});
+void server_session::report_abort(abort_cause cause) const {
+    if (state_->reporting.on_abort && !malformed_) {
+        state_->reporting.on_abort({request_id_, target_, cause,
+                                    state_->clock.now() - request_read_at_,
+                                    response_started_});
     }
 }
 
-void server_session::handle() {
+void server_session::dispatch_request() {
     auto message = parser_->release();
     keep_alive_ = message.keep_alive();
     inbound_request request;
@@ -432,11 +437,12 @@
             {std::string(f.name_string()), std::string(f.value())});
     }
     request.body = std::move(message.body());
-    current_ = ++numbers_;
-    ++state_->in_flight;
-    note_request(request);
-    auto responder = std::make_shared<answer>(shared_from_this(), current_);
-    read();
+    current_request_number_ = ++last_request_number_;
+    ++state_->requests_in_flight;
+    record_request(request);
+    auto responder =
+        std::make_shared<writer>(shared_from_this(), current_request_number_);
+    read_next_request();
     state_->handler(std::move(request), std::move(responder));
 }
 
--- a/packages/transport/src/event_server.cpp
+++ b/packages/transport/src/streaming_http_server.cpp
@@ -1,4 +1,4 @@
-#include "hibiscus/transport/event_server.hpp"
+#include "hibiscus/transport/streaming_http_server.hpp"
 
 #include "server_session.hpp"
 
@@ -18,22 +18,22 @@
 
 /// How often connections are looked through for overdue reads, in ms. A
 /// caller's time-outs are seconds, so a delay of half a second does not matter.
-constexpr base::millis sweep_ms = 500;
+constexpr base::millis sweep_interval_ms = 500;
 
 /// The same while the server closes, in ms.
-constexpr base::millis closing_sweep_ms = 20;
+constexpr base::millis closing_sweep_interval_ms = 20;
 
 } // namespace
 
 /// Accepts connections and looks through them for overdue ones.
-class event_server::impl : public std::enable_shared_from_this<impl> {
+class streaming_http_server::impl : public std::enable_shared_from_this<impl> {
 public:
-    impl(asio::io_context& io, event_server_limits limits,
-         exchange_handler handler, event_server_report report)
+    impl(asio::io_context& io, http_server_limits limits,
+         request_handler handler, abort_reporting report)
         : acceptor_(io), timer_(io), state_(std::make_shared<server_state>()) {
         state_->limits = limits;
         state_->handler = std::move(handler);
-        state_->report = std::move(report);
+        state_->reporting = std::move(report);
     }
 
     std::optional<base::endpoint> listen(const base::endpoint& address) {
@@ -57,7 +57,7 @@
             return std::nullopt;
         }
         accept();
-        sweep();
+        schedule_sweep();
         return base::endpoint{address.ip, acceptor_.local_endpoint().port()};
     }
 
@@ -69,15 +69,15 @@
 
     void close() {
         state_->phase = server_phase::closing;
-        accept_waiting();
+        accept_pending();
         beast::error_code ignored;
         acceptor_.close(ignored);
-        sweep();
+        schedule_sweep();
     }
 
-    bool closed() const {
+    bool is_closed() const {
         return state_->phase == server_phase::closing && !accepting_ &&
-               state_->connections == 0;
+               state_->open_connections == 0;
     }
 
     server_state& state() { return *state_; }
@@ -102,7 +102,7 @@
                                         tcp::socket socket) {
                 self->accepting_ = false;
                 if (!error) {
-                    self->serve(std::move(socket));
+                    self->start_session(std::move(socket));
                 }
                 if (self->acceptor_.is_open()) {
                     self->accept();
@@ -110,37 +110,38 @@
             });
     }
 
-    void serve(tcp::socket socket) {
+    void start_session(tcp::socket socket) {
         beast::error_code ignored;
         socket.set_option(tcp::no_delay(true), ignored);
-        std::make_shared<server_session>(std::move(socket), state_)->run();
+        std::make_shared<server_session>(std::move(socket), state_)->start();
     }
 
     /// Accepts what the kernel has connected already: to close the listener
     /// would reset it, and its callers may have sent their requests.
-    void accept_waiting() {
+    void accept_pending() {
         beast::error_code error;
         acceptor_.non_blocking(true, error);
         while (!error) {
             tcp::socket socket(acceptor_.get_executor());
             acceptor_.accept(socket, error);
             if (!error) {
-                serve(std::move(socket));
+                start_session(std::move(socket));
             }
         }
     }
 
-    void sweep() {
+    void schedule_sweep() {
         const bool closing = state_->phase == server_phase::closing;
-        timer_.expires_after(
-            std::chrono::milliseconds(closing ? closing_sweep_ms : sweep_ms));
+        timer_.expires_after(std::chrono::milliseconds(
+            closing ? closing_sweep_interval_ms : sweep_interval_ms));
         timer_.async_wait([self = shared_from_this()](beast::error_code error) {
             if (error) {
                 return;
             }
             const auto now = self->state_->clock.now();
-            self->for_each_session([now](server_session& s) { s.sweep(now); });
-            self->sweep();
+            self->for_each_session(
+                [now](server_session& s) { s.check_timeouts(now); });
+            self->schedule_sweep();
         });
     }
 
@@ -150,44 +151,46 @@
     bool accepting_ = false;
 };
 
-event_server::event_server(asio::io_context& io, event_server_limits limits,
-                           exchange_handler handler, event_server_report report)
+streaming_http_server::streaming_http_server(asio::io_context& io,
+                                             http_server_limits limits,
+                                             request_handler handler,
+                                             abort_reporting report)
     : impl_(std::make_shared<impl>(io, limits, std::move(handler),
                                    std::move(report))) {}
 
-event_server::~event_server() {
+streaming_http_server::~streaming_http_server() {
     impl_->stop();
 }
 
 std::optional<base::endpoint>
-event_server::listen(const base::endpoint& address) {
+streaming_http_server::listen(const base::endpoint& address) {
     return impl_->listen(address);
 }
 
-void event_server::set_limits(event_server_limits limits) {
+void streaming_http_server::set_limits(http_server_limits limits) {
     impl_->state().limits = limits;
-    impl_->for_each_session([](server_session& s) { s.take_limits(); });
+    impl_->for_each_session([](server_session& s) { s.apply_limits(); });
 }
 
-void event_server::drain() {
+void streaming_http_server::drain() {
     impl_->state().phase = server_phase::draining;
 }
 
-void event_server::close() {
+void streaming_http_server::close() {
     impl_->close();
 }
 
-bool event_server::closed() const {
-    return impl_->closed();
+bool streaming_http_server::is_closed() const {
+    return impl_->is_closed();
 }
 
-void event_server::answer_open(int status) {
+void streaming_http_server::fail_open_requests(int status) {
     impl_->for_each_session(
-        [status](server_session& s) { s.answer_open(status); });
+        [status](server_session& s) { s.fail_open_request(status); });
 }
 
-std::size_t event_server::in_flight() const {
-    return impl_->state().in_flight;
+std::size_t streaming_http_server::requests_in_flight() const {
+    return impl_->state().requests_in_flight;
 }
 
 } // namespace hibiscus::transport
--- a/packages/transport/test/upstream_test.cpp
+++ b/packages/transport/test/upstream_test.cpp
@@ -89,30 +89,30 @@
     int requests_ = 0;
 };
 
-struct outcome {
+struct call_result {
     int status = 0;
     std::string body;
     int pieces = 0;
-    std::optional<call_end> end;
+    std::optional<call_outcome> outcome;
 };
 
 class upstream_test : public testing::Test {
 protected:
-    outcome get(const base::endpoint& to, const std::string& id = "",
-                call_options options = {}) {
-        auto out = std::make_shared<outcome>();
+    call_result get(const base::endpoint& to, const std::string& id = "",
+                    upstream_call_options options = {}) {
+        auto out = std::make_shared<call_result>();
         upstream_request request;
         if (!id.empty()) {
             request.fields.push_back({"Request-Id", id});
         }
-        upstream_events events;
-        events.head = [out](const auto& h) { out->status = h.status; };
-        events.data = [out](std::string_view piece) {
+        upstream_callbacks events;
+        events.on_head = [out](const auto& h) { out->status = h.status; };
+        events.on_data = [out](std::string_view piece) {
             out->body += piece;
             ++out->pieces;
         };
-        events.ended = [this, out](call_end end) {
-            out->end = end;
+        events.on_end = [this, out](call_outcome end) {
+            out->outcome = end;
             io_.stop();
         };
         const auto call = client_.start(to, request, options, events,
@@ -126,7 +126,7 @@
     upstream_client client_{io_};
 };
 
-std::string chunked(const std::string& piece) {
+std::string encode_chunk(const std::string& piece) {
     char size[16];
     std::snprintf(size, sizeof size, "%zx\r\n", piece.size());
     return size + piece + "\r\n";
@@ -140,11 +140,11 @@
     const std::string event(350, 'x');
     std::string bytes = chunked_head;
     for (int i = 0; i < 20; ++i) {
-        bytes += chunked(event);
+        bytes += encode_chunk(event);
     }
     scripted_server server(io_, {{bytes + "0\r\n\r\n"}});
     const auto got = get(server.address());
-    EXPECT_EQ(got.end, call_end::complete);
+    EXPECT_EQ(got.outcome, call_outcome::complete);
     EXPECT_EQ(got.body.size(), 20 * event.size());
 }
 
@@ -152,11 +152,11 @@
     // The first piece and its head fill more than one read; the server then
     // pauses. A reader of events must see the first one at once.
     const std::string event(900, 'x');
-    scripted_server server(io_, {{chunked_head + chunked(event)}});
-    call_options options;
-    options.silence_ms = 300;
+    scripted_server server(io_, {{chunked_head + encode_chunk(event)}});
+    upstream_call_options options;
+    options.idle_timeout_ms = 300;
     const auto got = get(server.address(), "", options);
-    EXPECT_EQ(got.end, call_end::silent);
+    EXPECT_EQ(got.outcome, call_outcome::idle_timeout);
     EXPECT_EQ(got.body.size(), event.size());
 }
 
@@ -166,7 +166,7 @@
     EXPECT_EQ(get(server.address()).body, "ok");
     EXPECT_EQ(get(server.address()).body, "ok");
     EXPECT_EQ(server.connections(), 1);
-    EXPECT_EQ(client_.counts().reused, 1U);
+    EXPECT_EQ(client_.counts().connections_reused, 1U);
 }
 
 TEST_F(upstream_test, an_answer_to_another_request_is_broken) {
@@ -176,7 +176,7 @@
                               "Content-Length: 2\r\n\r\nok";
     scripted_server server(io_, {{other}});
     const auto got = get(server.address(), "b");
-    EXPECT_EQ(got.end, call_end::broken);
+    EXPECT_EQ(got.outcome, call_outcome::broken);
     EXPECT_EQ(got.status, 0);
 }
 
@@ -185,21 +185,21 @@
     // request; the next one must go out on another connection.
     const std::string whole = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
     scripted_server server(io_, {{whole + "HTTP/1.1 200 OK\r\n"}, {whole}});
-    EXPECT_EQ(get(server.address()).end, call_end::complete);
-    EXPECT_EQ(get(server.address()).end, call_end::complete);
+    EXPECT_EQ(get(server.address()).outcome, call_outcome::complete);
+    EXPECT_EQ(get(server.address()).outcome, call_outcome::complete);
     EXPECT_EQ(server.connections(), 2);
 }
 
 TEST_F(upstream_test, an_answer_without_a_length_is_told_from_a_framed_one) {
     scripted_server server(io_, {{"HTTP/1.1 200 OK\r\n\r\nabc", true}});
     const auto got = get(server.address());
-    EXPECT_EQ(got.end, call_end::closed);
+    EXPECT_EQ(got.outcome, call_outcome::closed_without_length);
     EXPECT_EQ(got.body, "abc");
 }
 
 TEST_F(upstream_test, a_chunked_body_that_breaks_off_is_broken) {
-    scripted_server server(io_, {{chunked_head + chunked("abc"), true}});
-    EXPECT_EQ(get(server.address()).end, call_end::broken);
+    scripted_server server(io_, {{chunked_head + encode_chunk("abc"), true}});
+    EXPECT_EQ(get(server.address()).outcome, call_outcome::broken);
 }
 
 TEST_F(upstream_test, says_not_sent_if_nobody_listens) {
@@ -208,7 +208,7 @@
         scripted_server server(io_, {});
         nobody = server.address();
     }
-    EXPECT_EQ(get(nobody).end, call_end::not_sent);
+    EXPECT_EQ(get(nobody).outcome, call_outcome::not_sent);
 }
 
 TEST_F(upstream_test, calls_from_before_a_silence_are_abandoned) {
@@ -217,26 +217,26 @@
     // vain until its bound.
     scripted_server silent(io_, {{"HTTP/1.1 "}, {"HTTP/1.1 "}, {"HTTP/1.1 "}});
     const auto now = base::clock().now();
-    std::map<std::string, call_end> ends;
+    std::map<std::string, call_outcome> ends;
     const auto begin = [&](const std::string& name) {
-        upstream_events events;
-        events.ended = [&ends, name](call_end end) { ends[name] = end; };
+        upstream_callbacks events;
+        events.on_end = [&ends, name](call_outcome end) { ends[name] = end; };
         return client_.start(silent.address(), {}, {}, std::move(events));
     };
     const auto kept = begin("other server");
-    client_.abandon({"127.0.0.1", 1}, now + 60000);
-    client_.abandon(silent.address(), now);
+    client_.end_calls_started_before({"127.0.0.1", 1}, now + 60000);
+    client_.end_calls_started_before(silent.address(), now);
     EXPECT_TRUE(ends.empty());
     const auto unconnected = begin("without a connection");
-    client_.abandon(silent.address(), now + 60000);
-    EXPECT_EQ(ends.at("other server"), call_end::not_sent);
-    EXPECT_EQ(ends.at("without a connection"), call_end::not_sent);
+    client_.end_calls_started_before(silent.address(), now + 60000);
+    EXPECT_EQ(ends.at("other server"), call_outcome::not_sent);
+    EXPECT_EQ(ends.at("without a connection"), call_outcome::not_sent);
     const auto asked = begin("asked");
     while (silent.requests() < 1) {
         io_.run_one_for(std::chrono::seconds(20));
     }
-    client_.abandon(silent.address(), now + 60000);
-    EXPECT_EQ(ends.at("asked"), call_end::timed_out);
+    client_.end_calls_started_before(silent.address(), now + 60000);
+    EXPECT_EQ(ends.at("asked"), call_outcome::total_timeout);
 }
 
 // Guards against a crash when an event of a call makes its owner cancel it.
@@ -245,7 +245,7 @@
         std::shared_ptr<upstream_call> call;
         int cancelled = 0;
     };
-    const std::string bytes = chunked_head + chunked("abc");
+    const std::string bytes = chunked_head + encode_chunk("abc");
     scripted_server server(io_, {{bytes}, {bytes}});
     for (const bool at_head : {true, false}) {
         owner state;
@@ -253,11 +253,11 @@
             at->call->cancel();
             at->cancelled = number;
         };
-        upstream_events events;
+        upstream_callbacks events;
         if (at_head) {
-            events.head = [cancel](const auto&) { cancel(1); };
+            events.on_head = [cancel](const auto&) { cancel(1); };
         } else {
-            events.data = [cancel](std::string_view) { cancel(2); };
+            events.on_data = [cancel](std::string_view) { cancel(2); };
         }
         state.call = client_.start(server.address(), {}, {}, std::move(events));
         io_.restart();
@@ -270,11 +270,12 @@
 
 /// A client whose thread is held up for longer than the bounds of its call,
 /// with a sweep due as soon as the thread goes on.
-class held_up_test : public upstream_test {
+class stalled_thread_test : public upstream_test {
 protected:
-    held_up_test() {
+    stalled_thread_test() {
         // Keeps the client sweeping.
-        open_ = client_.start(address_of(unanswered_), {}, {}, {});
+        background_call_ =
+            client_.start(address_of(silent_acceptor_), {}, {}, {});
         run_until([] { return false; }, 4);
     }
 
@@ -282,19 +283,20 @@
         return {"127.0.0.1", at.local_endpoint().port()};
     }
 
-    void start(call_options options) {
-        upstream_events events;
-        events.data = [this](std::string_view piece) {
-            bytes_ += piece.size();
+    void start(upstream_call_options options) {
+        upstream_callbacks events;
+        events.on_data = [this](std::string_view piece) {
+            received_bytes_ += piece.size();
         };
-        events.ended = [this](call_end end) { end_ = end; };
-        call_ = client_.start(address_of(acceptor_), {}, options, events);
+        events.on_end = [this](call_outcome end) { outcome_ = end; };
+        call_ = client_.start(address_of(responding_acceptor_), {}, options,
+                              events);
     }
 
     /// Starts a call and runs until its server has the request.
-    void start_and_send(call_options options) {
+    void start_and_send(upstream_call_options options) {
         start(options);
-        server_.emplace(acceptor_.accept());
+        server_.emplace(responding_acceptor_.accept());
         run_until([this] { return server_->available() > 0; });
     }
 
@@ -311,88 +313,92 @@
     }
 
     /// Runs `before` on the client's thread and holds the thread up then.
-    void hold_up(const std::function<void()>& before) {
-        std::this_thread::sleep_for(sweep);
+    void stall_thread(const std::function<void()>& before) {
+        std::this_thread::sleep_for(sweep_interval);
         bool over = false;
         asio::post(io_, [&] {
             before();
-            std::this_thread::sleep_for(std::chrono::milliseconds(bound + 300));
+            std::this_thread::sleep_for(
+                std::chrono::milliseconds(timeout_ms + 300));
             over = true;
         });
         run_until([&] { return over; });
     }
 
     void run_to_end() {
-        run_until([this] { return end_.has_value(); });
+        run_until([this] { return outcome_.has_value(); });
     }
 
-    static constexpr base::millis bound = 1000;
-    static constexpr std::chrono::milliseconds sweep{60};
-    tcp::acceptor acceptor_{io_,
-                            tcp::endpoint(asio::ip::address_v4::loopback(), 0)};
-    tcp::acceptor unanswered_{
+    static constexpr base::millis timeout_ms = 1000;
+    static constexpr std::chrono::milliseconds sweep_interval{60};
+    tcp::acceptor responding_acceptor_{
         io_, tcp::endpoint(asio::ip::address_v4::loopback(), 0)};
-    std::shared_ptr<upstream_call> open_;
+    tcp::acceptor silent_acceptor_{
+        io_, tcp::endpoint(asio::ip::address_v4::loopback(), 0)};
+    std::shared_ptr<upstream_call> background_call_;
     std::shared_ptr<upstream_call> call_;
     std::optional<tcp::socket> server_;
-    std::optional<call_end> end_;
-    std::size_t bytes_ = 0;
+    std::optional<call_outcome> outcome_;
+    std::size_t received_bytes_ = 0;
 };
 
 // Guards against a sound server that counts as unreachable.
-TEST_F(held_up_test, a_connection_that_has_opened_is_used) {
-    call_options options;
-    options.connect_ms = bound;
-    hold_up([&] { start(options); });
-    server_.emplace(acceptor_.accept());
+TEST_F(stalled_thread_test, a_connection_that_has_opened_is_used) {
+    upstream_call_options options;
+    options.connect_timeout_ms = timeout_ms;
+    stall_thread([&] { start(options); });
+    server_.emplace(responding_acceptor_.accept());
     write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi");
     run_to_end();
-    ASSERT_TRUE(end_);
-    EXPECT_EQ(*end_, call_end::complete);
+    ASSERT_TRUE(outcome_);
+    EXPECT_EQ(*outcome_, call_outcome::complete);
 }
 
 // Guards against a stream that is cut although its bytes have come.
-TEST_F(held_up_test, a_stream_that_moves_is_not_silent) {
-    call_options options;
-    options.silence_ms = bound;
+TEST_F(stalled_thread_test, a_stream_that_moves_is_not_silent) {
+    upstream_call_options options;
+    options.idle_timeout_ms = timeout_ms;
     start_and_send(options);
-    hold_up([&] { write(chunked_head + chunked("abc")); });
-    run_until([this] { return end_ || bytes_ > 0; });
-    EXPECT_FALSE(end_);
+    stall_thread([&] { write(chunked_head + encode_chunk("abc")); });
+    run_until([this] { return outcome_ || received_bytes_ > 0; });
+    EXPECT_FALSE(outcome_);
     write("0\r\n\r\n");
     run_to_end();
-    ASSERT_TRUE(end_);
-    EXPECT_EQ(*end_, call_end::complete);
+    ASSERT_TRUE(outcome_);
+    EXPECT_EQ(*outcome_, call_outcome::complete);
 }
 
 // Guards against a time-out of a call whose answer is there.
-TEST_F(held_up_test, an_answer_that_has_come_counts_behind_the_deadline) {
-    call_options options;
-    options.total_ms = bound;
+TEST_F(stalled_thread_test,
+       an_answer_that_has_come_counts_behind_the_deadline) {
+    upstream_call_options options;
+    options.total_timeout_ms = timeout_ms;
     start_and_send(options);
-    hold_up([&] {
+    stall_thread([&] {
         write("HTTP/1.1 200 OK\r\nContent-Length: 40000\r\n\r\n" +
               std::string(40000, 'x'));
     });
     run_to_end();
-    ASSERT_TRUE(end_);
-    EXPECT_EQ(*end_, call_end::complete);
+    ASSERT_TRUE(outcome_);
+    EXPECT_EQ(*outcome_, call_outcome::complete);
 }
 
 // Guards against a call without an end in a thread that is always late.
-TEST_F(held_up_test, bounds_hold_in_a_thread_that_is_always_late) {
-    for (const auto end : {call_end::silent, call_end::timed_out}) {
-        call_options options;
-        (end == call_end::silent ? options.silence_ms : options.total_ms) = 100;
-        end_.reset();
+TEST_F(stalled_thread_test, bounds_hold_in_a_thread_that_is_always_late) {
+    for (const auto end :
+         {call_outcome::idle_timeout, call_outcome::total_timeout}) {
+        upstream_call_options options;
+        (end == call_outcome::idle_timeout ? options.idle_timeout_ms
+                                           : options.total_timeout_ms) = 100;
+        outcome_.reset();
         start_and_send(options);
-        for (int n = 0; n < 100 && !end_; ++n) {
+        for (int n = 0; n < 100 && !outcome_; ++n) {
             std::this_thread::sleep_for(std::chrono::milliseconds(150));
             io_.restart();
             io_.poll();
         }
-        ASSERT_TRUE(end_);
-        EXPECT_EQ(*end_, end);
+        ASSERT_TRUE(outcome_);
+        EXPECT_EQ(*outcome_, end);
     }
 }
 
@@ -408,8 +414,8 @@
         ASSERT_EQ(events.size(), 2U) << cut;
         EXPECT_EQ(events[0].id, "1");
         EXPECT_EQ(events[1].data, "b\nc");
-        ASSERT_EQ(events[1].other.size(), 1U);
-        EXPECT_EQ(events[1].other[0].second, "3");
+        ASSERT_EQ(events[1].other_fields.size(), 1U);
+        EXPECT_EQ(events[1].other_fields[0].second, "3");
     }
 }
 
--- a/packages/wire/include/hibiscus/wire/codec.hpp
+++ b/packages/wire/include/hibiscus/wire/codec.hpp
@@ -12,7 +12,7 @@
 /// Says that bytes are not the message that was expected.
 struct decode_error {
     /// What is wrong, for the log and for the sender.
-    std::string what;
+    std::string message;
 };
 
 /// Returns `message` as JSON text. Instantiated for the messages of this
--- a/packages/wire/include/hibiscus/wire/engine.hpp
+++ b/packages/wire/include/hibiscus/wire/engine.hpp
@@ -31,7 +31,7 @@
 enum class stream_state { queued, running, done, missing };
 
 /// News of one stream.
-struct stream_news {
+struct stream_update {
     base::stream_id stream;
     stream_state state = stream_state::missing;
     std::vector<chunk> chunks;
@@ -44,8 +44,8 @@
 };
 
 /// An engine's answer to engine_poll. The load may lag behind.
-struct engine_news {
-    std::vector<stream_news> streams;
+struct engine_poll_response {
+    std::vector<stream_update> streams;
     int running = 0;
     int queued = 0;
     int slots = 0;
@@ -53,7 +53,7 @@
 };
 
 /// The number that orders the homes of an engine and their orders.
-struct fence {
+struct fencing_token {
     std::int64_t epoch = 0;
     std::int64_t sequence = 0;
 };
@@ -62,15 +62,15 @@
 struct version_order {
     base::trainer_id trainer;
     weight_version version = 0;
-    fence number;
+    fencing_token number;
 };
 
 /// What an engine makes of an order.
-enum class order_verdict { done, fenced, failed };
+enum class order_result { done, fenced, failed };
 
 /// The answer to a version_order.
-struct order_answer {
-    order_verdict verdict = order_verdict::failed;
+struct order_response {
+    order_result verdict = order_result::failed;
 };
 
 } // namespace hibiscus::wire
@@ -88,11 +88,11 @@
 };
 
 template <>
-struct enum_names<wire::order_verdict> {
-    static constexpr std::array<enum_name<wire::order_verdict>, 3> table{{
-        {wire::order_verdict::done, "done"},
-        {wire::order_verdict::fenced, "fenced"},
-        {wire::order_verdict::failed, "failed"},
+struct enum_names<wire::order_result> {
+    static constexpr std::array<enum_name<wire::order_result>, 3> table{{
+        {wire::order_result::done, "done"},
+        {wire::order_result::fenced, "fenced"},
+        {wire::order_result::failed, "failed"},
     }};
 };
 
--- a/packages/wire/include/hibiscus/wire/peer.hpp
+++ b/packages/wire/include/hibiscus/wire/peer.hpp
@@ -29,7 +29,7 @@
 };
 
 /// The load of an engine as its home knows it.
-struct engine_digest {
+struct engine_status {
     base::engine_id engine;
     /// Streams that its home has admitted and not seen end.
     int admitted = 0;
@@ -54,11 +54,11 @@
     /// The revision of the document that the node has in force.
     log_offset revision = 0;
     std::vector<trainer_version> versions;
-    std::vector<engine_digest> engines;
+    std::vector<engine_status> engines;
 };
 
 /// Asks a peer for the document that it has in force.
-struct document_want {
+struct document_request {
     base::node_id from;
     log_offset revision = 0;
 };
@@ -103,7 +103,7 @@
 };
 
 /// The answer to place_sample.
-struct place_answer {
+struct place_response {
     outcome result = outcome::unknown;
     reason why = reason::none;
     base::millis retry_after_ms = 0;
@@ -114,8 +114,8 @@
                                place_sample>;
 
 /// What a reply says.
-using reply_body = std::variant<step_answer, pull_answer, version_answer,
-                                answer, place_answer>;
+using reply_body = std::variant<step_response, pull_response, version_response,
+                                service_response, place_response>;
 
 /// A call from one node to another; it has one reply.
 struct call {
@@ -167,11 +167,11 @@
 
 /// Everything that nodes say to each other.
 using peer_message =
-    std::variant<heartbeat, document_want, document_offer, call, reply,
+    std::variant<heartbeat, document_request, document_offer, call, reply,
                  sample_report, sample_ack, cancel_streams>;
 
 /// The version of the peer protocol; a message of another one is refused.
-constexpr int peer_protocol = 1;
+constexpr int peer_protocol_version = 1;
 
 } // namespace hibiscus::wire
 
--- a/packages/wire/include/hibiscus/wire/platform.hpp
+++ b/packages/wire/include/hibiscus/wire/platform.hpp
@@ -30,7 +30,7 @@
 };
 
 /// Where an append ended up.
-struct append_answer {
+struct append_response {
     log_offset offset = 0;
 };
 
@@ -55,7 +55,7 @@
 };
 
 /// The platform's list of instances, some seconds old.
-struct instance_page {
+struct instance_list {
     std::vector<instance> instances;
 };
 
--- a/packages/wire/include/hibiscus/wire/samples.hpp
+++ b/packages/wire/include/hibiscus/wire/samples.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "hibiscus/wire/answers.hpp"
+#include "hibiscus/wire/service.hpp"
 
 #include <cstdint>
 #include <vector>
@@ -28,7 +28,7 @@
 };
 
 /// The answer to a step_request.
-struct step_answer {
+struct step_response {
     outcome result = outcome::unknown;
     reason why = reason::none;
     base::millis retry_after_ms = 0;
@@ -70,7 +70,7 @@
 };
 
 /// The answer to a pull_request.
-struct pull_answer {
+struct pull_response {
     std::int64_t pull = 0;
     outcome result = outcome::unknown;
     reason why = reason::none;
@@ -88,7 +88,7 @@
 
 /// The answer to a version_request. `completed` means that no sample older
 /// than the bound leaves any entry from now on.
-struct version_answer {
+struct version_response {
     outcome result = outcome::unknown;
     reason why = reason::none;
     base::millis retry_after_ms = 0;
@@ -103,7 +103,7 @@
 };
 
 /// The addresses that callers may use, best first, and for how long.
-struct entries_answer {
+struct entries_response {
     base::millis ttl_ms = 0;
     std::vector<entry_address> entries;
 };
--- a/packages/wire/include/hibiscus/wire/answers.hpp
+++ b/packages/wire/include/hibiscus/wire/service.hpp
@@ -54,7 +54,7 @@
 };
 
 /// The one answer to a service_request.
-struct answer {
+struct service_response {
     base::request_id id;
     outcome result = outcome::unknown;
     reason why = reason::none;
@@ -68,14 +68,17 @@
 };
 
 /// Returns the answer that says that the request `id` was not run.
-inline answer not_run(const base::request_id& id, reason why,
-                      base::millis retry_after_ms, const base::node_id& node) {
+inline service_response make_not_run_response(const base::request_id& id,
+                                              reason why,
+                                              base::millis retry_after_ms,
+                                              const base::node_id& node) {
     return {id, outcome::not_run, why, retry_after_ms, {}, node, 0};
 }
 
 /// Returns the answer that says that the request `id` may have run.
-inline answer unknown(const base::request_id& id, reason why,
-                      const base::node_id& node) {
+inline service_response make_unknown_response(const base::request_id& id,
+                                              reason why,
+                                              const base::node_id& node) {
     return {id, outcome::unknown, why, 0, {}, node, 0};
 }
 
--- a/packages/wire/src/codec.cpp
+++ b/packages/wire/src/codec.cpp
@@ -14,7 +14,7 @@
 constexpr int max_depth = 32;
 
 /// Returns false as soon as a parse event nests deeper than max_depth.
-class depth_limit {
+class json_depth_filter {
 public:
     /// Returns true if `depth` is allowed.
     bool operator()(int depth, json::parse_event_t event, json& parsed) {
@@ -32,7 +32,7 @@
 };
 
 /// Counts the nesting of CBOR without building anything, and stops early.
-class depth_counter : public json::json_sax_t {
+class json_depth_checker : public json::json_sax_t {
 public:
     bool null() override { return true; }
     bool boolean(bool) override { return true; }
@@ -43,16 +43,16 @@
     bool binary(json::binary_t&) override { return true; }
     bool start_object(std::size_t) override { return ++depth_ <= max_depth; }
     bool key(std::string&) override { return true; }
-    bool end_object() override { return leave(); }
+    bool end_object() override { return end_level(); }
     bool start_array(std::size_t) override { return ++depth_ <= max_depth; }
-    bool end_array() override { return leave(); }
+    bool end_array() override { return end_level(); }
     bool parse_error(std::size_t, const std::string&,
                      const json::exception&) override {
         return false;
     }
 
 private:
-    bool leave() {
+    bool end_level() {
         --depth_;
         return true;
     }
@@ -63,7 +63,7 @@
 /// Runs `decode`, which throws the json library's errors, and returns what it
 /// returns or a decode_error. Here the library's exceptions end.
 template <class T, class F>
-base::result<T, decode_error> guarded(F decode) {
+base::result<T, decode_error> decode_guarded(F decode) {
     try {
         return decode();
     } catch (const json::exception& e) {
@@ -195,8 +195,8 @@
 
 template <class T>
 base::result<T, decode_error> from_json(std::string_view text) {
-    return guarded<T>([&]() -> base::result<T, decode_error> {
-        depth_limit limit;
+    return decode_guarded<T>([&]() -> base::result<T, decode_error> {
+        json_depth_filter limit;
         const json j = json::parse(text, std::ref(limit));
         if (limit.too_deep()) {
             return decode_error{"nested too deeply"};
@@ -207,7 +207,7 @@
 
 std::string to_cbor(const peer_message& message) {
     json j = variant_to_json(message);
-    j["v"] = peer_protocol;
+    j["v"] = peer_protocol_version;
     std::string bytes;
     json::to_cbor(j, bytes);
     return bytes;
@@ -215,14 +215,14 @@
 
 base::result<peer_message, decode_error> from_cbor(std::string_view bytes) {
     using result = base::result<peer_message, decode_error>;
-    return guarded<peer_message>([&]() -> result {
-        depth_counter counter;
+    return decode_guarded<peer_message>([&]() -> result {
+        json_depth_checker counter;
         if (!json::sax_parse(bytes.begin(), bytes.end(), &counter,
                              json::input_format_t::cbor)) {
             return decode_error{"not CBOR, or nested too deeply"};
         }
         const json j = json::from_cbor(bytes.begin(), bytes.end());
-        if (j.at("v").get<int>() != peer_protocol) {
+        if (j.at("v").get<int>() != peer_protocol_version) {
             return decode_error{"another version of the protocol"};
         }
         return variant_from_json<peer_message>(j);
@@ -234,29 +234,29 @@
     template base::result<type, decode_error> from_json(std::string_view);
 
 HIBISCUS_CODEC(service_request)
-HIBISCUS_CODEC(answer)
+HIBISCUS_CODEC(service_response)
 HIBISCUS_CODEC(step_request)
-HIBISCUS_CODEC(step_answer)
+HIBISCUS_CODEC(step_response)
 HIBISCUS_CODEC(sample)
 HIBISCUS_CODEC(pull_request)
-HIBISCUS_CODEC(pull_answer)
+HIBISCUS_CODEC(pull_response)
 HIBISCUS_CODEC(version_request)
-HIBISCUS_CODEC(version_answer)
-HIBISCUS_CODEC(entries_answer)
+HIBISCUS_CODEC(version_response)
+HIBISCUS_CODEC(entries_response)
 HIBISCUS_CODEC(problem)
 HIBISCUS_CODEC(log_page)
 HIBISCUS_CODEC(append_request)
-HIBISCUS_CODEC(append_answer)
+HIBISCUS_CODEC(append_response)
 HIBISCUS_CODEC(instance)
-HIBISCUS_CODEC(instance_page)
+HIBISCUS_CODEC(instance_list)
 HIBISCUS_CODEC(config_record)
 HIBISCUS_CODEC(claim_record)
 HIBISCUS_CODEC(cancel_streams)
 HIBISCUS_CODEC(stream_start)
 HIBISCUS_CODEC(engine_poll)
-HIBISCUS_CODEC(engine_news)
+HIBISCUS_CODEC(engine_poll_response)
 HIBISCUS_CODEC(version_order)
-HIBISCUS_CODEC(order_answer)
+HIBISCUS_CODEC(order_response)
 
 #undef HIBISCUS_CODEC
 
--- a/packages/wire/src/mapping.hpp
+++ b/packages/wire/src/mapping.hpp
@@ -56,29 +56,29 @@
 // NOLINTBEGIN
 #define HIBISCUS_WIRE(...) NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(__VA_ARGS__)
 
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(answer, id, result, why,
-                                                retry_after_ms, body, node,
+NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(service_response, id, result,
+                                                why, retry_after_ms, body, node,
                                                 attempt)
 HIBISCUS_WIRE(prompt_group, prompt, samples, max_tokens)
 HIBISCUS_WIRE(step_request, version, groups)
-HIBISCUS_WIRE(step_answer, result, why, retry_after_ms, slots)
+HIBISCUS_WIRE(step_response, result, why, retry_after_ms, slots)
 HIBISCUS_WIRE(chunk, seq, version, text)
 HIBISCUS_WIRE(sample, slot, attempt, engine, chunks)
-HIBISCUS_WIRE(pull_answer, pull, result, why, retry_after_ms, node, missing,
+HIBISCUS_WIRE(pull_response, pull, result, why, retry_after_ms, node, missing,
               samples)
 HIBISCUS_WIRE(version_request, version)
-HIBISCUS_WIRE(version_answer, result, why, retry_after_ms, newest)
+HIBISCUS_WIRE(version_response, result, why, retry_after_ms, newest)
 HIBISCUS_WIRE(entry_address, node, zone, address)
-HIBISCUS_WIRE(entries_answer, ttl_ms, entries)
+HIBISCUS_WIRE(entries_response, ttl_ms, entries)
 HIBISCUS_WIRE(problem, why, where, expected)
 HIBISCUS_WIRE(log_record, offset, id, data)
 HIBISCUS_WIRE(log_page, first, end, records)
 HIBISCUS_WIRE(append_request, id, data)
-HIBISCUS_WIRE(append_answer, offset)
+HIBISCUS_WIRE(append_response, offset)
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(instance, id, role, state,
                                                 group, zone, address,
                                                 peer_address)
-HIBISCUS_WIRE(instance_page, instances)
+HIBISCUS_WIRE(instance_list, instances)
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(config_record, schema,
                                                 publish_id, base, document,
                                                 revision, covers)
@@ -92,22 +92,22 @@
 HIBISCUS_WIRE(stream_start, stream, trainer, prompt, max_tokens, priority, seed)
 HIBISCUS_WIRE(stream_cursor, stream, from)
 HIBISCUS_WIRE(engine_poll, streams, wait_ms)
-HIBISCUS_WIRE(stream_news, stream, state, chunks)
+HIBISCUS_WIRE(stream_update, stream, state, chunks)
 HIBISCUS_WIRE(served_version, trainer, version)
-HIBISCUS_WIRE(engine_news, streams, running, queued, slots, serving)
-HIBISCUS_WIRE(fence, epoch, sequence)
+HIBISCUS_WIRE(engine_poll_response, streams, running, queued, slots, serving)
+HIBISCUS_WIRE(fencing_token, epoch, sequence)
 HIBISCUS_WIRE(version_order, trainer, version, number)
-HIBISCUS_WIRE(order_answer, verdict)
+HIBISCUS_WIRE(order_response, verdict)
 HIBISCUS_WIRE(trainer_version, trainer, version)
 HIBISCUS_WIRE(trainer_streams, trainer, admitted)
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(engine_digest, engine, admitted,
+NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(engine_status, engine, admitted,
                                                 slots, healthy, serving,
                                                 reachable, streams)
 HIBISCUS_WIRE(heartbeat, node, incarnation, zone, address, peer_address, state,
               revision, versions, engines)
-HIBISCUS_WIRE(document_want, from, revision)
+HIBISCUS_WIRE(document_request, from, revision)
 HIBISCUS_WIRE(document_offer, revision, document)
-HIBISCUS_WIRE(place_answer, result, why, retry_after_ms)
+HIBISCUS_WIRE(place_response, result, why, retry_after_ms)
 HIBISCUS_WIRE(learn_version, trainer, version)
 HIBISCUS_WIRE(place_sample, engine, home, start)
 HIBISCUS_WIRE(stream_report, engine, stream, state, chunks, oldest, produced)
--- a/packages/wire/test/codec_test.cpp
+++ b/packages/wire/test/codec_test.cpp
@@ -9,7 +9,7 @@
 peer_message round_trip(const peer_message& message) {
     auto read = from_cbor(to_cbor(message));
     auto* value = base::value_if(read);
-    EXPECT_NE(value, nullptr) << std::get<decode_error>(read).what;
+    EXPECT_NE(value, nullptr) << std::get<decode_error>(read).message;
     return value != nullptr ? *value : peer_message{};
 }
 
@@ -38,7 +38,7 @@
 }
 
 TEST(codec_test, refuses_another_protocol_version) {
-    auto bytes = to_cbor(document_want{base::node_id("n"), 1});
+    auto bytes = to_cbor(document_request{base::node_id("n"), 1});
     const auto at = bytes.find(std::string("\x61") + "v");
     ASSERT_NE(at, std::string::npos);
     bytes[at + 2] = 2;
--- a/testing/bench/capacity.cpp
+++ b/testing/bench/capacity.cpp
@@ -2,9 +2,9 @@
 // process, sizes of messages, and processor time and memory of real nodes that
 // only watch each other and their engines.
 
-#include "fills.hpp"
+#include "full_tables.hpp"
 
-#include "support/system.hpp"
+#include "support/test_cluster.hpp"
 
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
@@ -24,16 +24,16 @@
 namespace {
 
 constexpr int zones = 3;
-constexpr base::millis settling = 2000;
+constexpr base::millis settling_time_ms = 2000;
 
-void print(const std::vector<figure>& all) {
+void print(const std::vector<measurement>& all) {
     for (const auto& f : all) {
         std::printf("| %s | %s | %.4g %s |\n", f.name.c_str(), f.size.c_str(),
                     f.value, f.unit.c_str());
     }
 }
 
-std::string zone_of(int i) {
+std::string zone_name(int i) {
     return "z" + std::to_string(i % zones + 1);
 }
 
@@ -44,34 +44,34 @@
 }
 
 /// Runs `count` nodes without requests and prints what one of them takes.
-bool watch(int count, int engines) {
-    system s(absl::GetFlag(FLAGS_programs));
+bool measure_idle_nodes(int count, int engines) {
+    test_cluster s(absl::GetFlag(FLAGS_programs));
     s.start_platform();
     for (int i = 0; i < count; ++i) {
         s.start_node("127.1." + std::to_string(i % zones + 1) + "." +
                          std::to_string(i / zones + 1),
-                     zone_of(i), "log_level: warn\n");
+                     zone_name(i), "log_level: warn\n");
     }
     for (int i = 0; i < engines; ++i) {
-        s.start_engine("shared", zone_of(i));
+        s.start_engine("shared", zone_name(i));
     }
-    if (s.publish(document_text()) != 0 || !s.wait_ready()) {
+    if (s.publish_document(document_text()) != 0 || !s.wait_until_ready()) {
         std::cerr << "capacity: " << count << " nodes did not get ready\n";
         return false;
     }
-    pause_for(settling);
+    pause_for(settling_time_ms);
     const base::clock clock;
     const auto begin = clock.now();
     double before = 0;
     for (auto& n : s.nodes()) {
-        before += processor_ms(n.running->id());
+        before += cpu_time_ms(n.daemon->pid());
     }
     pause_for(1000 * absl::GetFlag(FLAGS_seconds));
     double after = 0;
     double memory = 0;
     for (auto& n : s.nodes()) {
-        after += processor_ms(n.running->id());
-        memory += resident_bytes(n.running->id());
+        after += cpu_time_ms(n.daemon->pid());
+        memory += resident_bytes(n.daemon->pid());
     }
     const auto passed = static_cast<double>(clock.now() - begin);
     std::printf("| idle node | %d nodes, %d engines | %.2f %% of a core, "
@@ -90,11 +90,13 @@
     using namespace hibiscus::testing;
     if (absl::GetFlag(FLAGS_fills)) {
         print(measure_heartbeats());
-        print(measure_fills());
+        print(measure_full_tables());
     }
     bool whole = true;
     for (const auto& count : absl::GetFlag(FLAGS_nodes)) {
-        whole = watch(std::stoi(count), absl::GetFlag(FLAGS_engines)) && whole;
+        whole = measure_idle_nodes(std::stoi(count),
+                                   absl::GetFlag(FLAGS_engines)) &&
+                whole;
     }
     return whole ? 0 : 1;
 }
--- a/testing/bench/fills.cpp
+++ b/testing/bench/full_tables.cpp
@@ -1,9 +1,9 @@
-#include "fills.hpp"
+#include "full_tables.hpp"
 
 #include "hibiscus/cluster/engine_table.hpp"
 #include "hibiscus/cluster/member_table.hpp"
-#include "hibiscus/cluster/step_home.hpp"
-#include "hibiscus/document/config_fold.hpp"
+#include "hibiscus/cluster/step_coordinator.hpp"
+#include "hibiscus/document/config_state_machine.hpp"
 #include "hibiscus/policy/placement.hpp"
 #include "hibiscus/wire/codec.hpp"
 
@@ -19,34 +19,36 @@
 
 namespace {
 
-constexpr int engines_full = 12000;
-constexpr int nodes_full = 890;
-constexpr int slots_full = 47104;
-constexpr int trainers_full = 23;
-constexpr int changes_full = 17000;
-constexpr int digests_per_beat = 14;
+constexpr int engine_count = 12000;
+constexpr int node_count = 890;
+constexpr int slot_count = 47104;
+constexpr int trainer_count = 23;
+constexpr int change_count = 17000;
+constexpr int digests_per_heartbeat = 14;
 
 /// Tells processor time and memory between its construction and a question.
-class stopwatch {
+class resource_meter {
 public:
     /// Returns the processor time of this process in milliseconds.
-    double ms() const {
-        return 1000.0 * static_cast<double>(std::clock() - begin_) /
+    double cpu_ms() const {
+        return 1000.0 * static_cast<double>(std::clock() - start_time_) /
                CLOCKS_PER_SEC;
     }
 
     /// Returns the growth of this process's memory in megabytes.
-    double mb() const { return (resident_bytes(getpid()) - bytes_) / 1e6; }
+    double memory_growth_mb() const {
+        return (resident_bytes(getpid()) - initial_bytes_) / 1e6;
+    }
 
 private:
     // A fill would otherwise grow into memory that earlier ones freed and
     // seem to take none.
     [[maybe_unused]] int trimmed_ = malloc_trim(0);
-    double bytes_ = resident_bytes(getpid());
-    std::clock_t begin_ = std::clock();
+    double initial_bytes_ = resident_bytes(getpid());
+    std::clock_t start_time_ = std::clock();
 };
 
-wire::engine_digest digest_of(int number) {
+wire::engine_status make_digest(int number) {
     return {base::engine_id("engine-" + std::to_string(number)),
             7,
             8,
@@ -58,7 +60,7 @@
              {base::trainer_id("trainer-2"), 3}}};
 }
 
-wire::heartbeat beat_of(int node, int engines) {
+wire::heartbeat make_heartbeat(int node, int engines) {
     wire::heartbeat beat;
     beat.node = base::node_id("node-" + std::to_string(node));
     beat.incarnation = 1790000000000;
@@ -67,20 +69,20 @@
     beat.peer_address = "10.10.100.100:8081";
     beat.state = wire::node_state::ready;
     beat.revision = 17000;
-    for (int i = 0; i < trainers_full; ++i) {
+    for (int i = 0; i < trainer_count; ++i) {
         beat.versions.push_back(
             {base::trainer_id("trainer-" + std::to_string(i)), 100});
     }
     for (int i = 0; i < engines; ++i) {
-        beat.engines.push_back(digest_of(node * digests_per_beat + i));
+        beat.engines.push_back(make_digest(node * digests_per_heartbeat + i));
     }
     return beat;
 }
 
 /// Returns a list of 12,000 engines.
-wire::instance_page full_list() {
-    wire::instance_page page;
-    for (int i = 0; i < engines_full; ++i) {
+wire::instance_list make_full_instance_page() {
+    wire::instance_list page;
+    for (int i = 0; i < engine_count; ++i) {
         page.instances.push_back(
             {"engine-" + std::to_string(i), wire::instance_role::engine,
              wire::instance_state::live, "pool-1", base::zone_id("zone-1"),
@@ -89,76 +91,79 @@
     return page;
 }
 
-void fill_engines(std::vector<figure>& all) {
-    const auto page = full_list();
+void fill_engines(std::vector<measurement>& all) {
+    const auto page = make_full_instance_page();
     cluster::engine_table table;
-    const std::string size = std::to_string(engines_full) + " engines";
-    const stopwatch filling;
-    table.update(page);
-    for (int i = 0; i < engines_full; ++i) {
-        table.hear(1, digest_of(i));
+    const std::string size = std::to_string(engine_count) + " engines";
+    const resource_meter filling;
+    table.update_instances(page);
+    for (int i = 0; i < engine_count; ++i) {
+        table.update_status(1, make_digest(i));
     }
-    all.push_back({"engine table, fill", size, filling.ms(), "ms"});
-    all.push_back({"engine table, memory", size, filling.mb(), "MB"});
-    const stopwatch updating;
-    table.update(page);
-    all.push_back({"engine table, one list", size, updating.ms(), "ms"});
+    all.push_back({"engine table, fill", size, filling.cpu_ms(), "ms"});
+    all.push_back(
+        {"engine table, memory", size, filling.memory_growth_mb(), "MB"});
+    const resource_meter updating;
+    table.update_instances(page);
+    all.push_back({"engine table, one list", size, updating.cpu_ms(), "ms"});
     const auto text = wire::to_json(page);
-    const stopwatch reading;
-    const auto read = wire::from_json<wire::instance_page>(text);
+    const resource_meter reading;
+    const auto read = wire::from_json<wire::instance_list>(text);
     all.push_back({"instance list, reading", size,
-                   base::value_if(read) != nullptr ? reading.ms() : 0, "ms"});
+                   base::value_if(read) != nullptr ? reading.cpu_ms() : 0,
+                   "ms"});
     all.push_back(
         {"instance list", size, static_cast<double>(text.size()), "bytes"});
     constexpr int choices = 100;
     std::mt19937_64 random(1);
     policy::placement_policy placement = policy::prefix_affinity{};
-    const stopwatch choosing;
+    const resource_meter choosing;
     for (int i = 0; i < choices; ++i) {
-        std::vector<policy::candidate> open;
-        for (const auto* row : table.usable(base::pool_id("pool-1"))) {
-            open.push_back({row->id, row->load(), 16});
+        std::vector<policy::engine_candidate> open;
+        for (const auto* row :
+             table.placement_candidates(base::pool_id("pool-1"))) {
+            open.push_back({row->id, row->estimated_load(), 16});
         }
-        policy::choose(placement, open, std::to_string(i), random);
+        policy::choose_engine(placement, open, std::to_string(i), random);
     }
     all.push_back({"one placement, scan of the pool", size,
-                   choosing.ms() / choices, "ms"});
+                   choosing.cpu_ms() / choices, "ms"});
 }
 
-void fill_steps(std::vector<figure>& all) {
-    const std::string size = std::to_string(slots_full) + " slots";
-    const stopwatch filling;
-    cluster::step_home home(
+void fill_steps(std::vector<measurement>& all) {
+    const std::string size = std::to_string(slot_count) + " slots";
+    const resource_meter filling;
+    cluster::step_coordinator home(
         base::node_id("n"), {},
         [](const cluster::placement_query&) {
             return cluster::placement{base::engine_id("engine-1"), 0};
         },
         [](const base::trainer_id&) { return 1; });
-    for (int t = 0; t < trainers_full; ++t) {
+    for (int t = 0; t < trainer_count; ++t) {
         wire::step_request request;
         request.version = 1;
-        for (int g = 0; g < slots_full / trainers_full / 8; ++g) {
+        for (int g = 0; g < slot_count / trainer_count / 8; ++g) {
             request.groups.push_back({std::string(200, 'p'), 8, 600});
         }
-        home.open(1, {base::trainer_id("trainer-" + std::to_string(t)), 1,
-                      std::move(request)});
+        home.open_step(1, {base::trainer_id("trainer-" + std::to_string(t)), 1,
+                           std::move(request)});
     }
-    all.push_back({"steps, opening", size, filling.ms(), "ms"});
-    const stopwatch placing;
+    all.push_back({"steps, opening", size, filling.cpu_ms(), "ms"});
+    const resource_meter placing;
     home.tick(2);
     home.take_effects();
-    all.push_back({"steps, placing all", size, placing.ms(), "ms"});
+    all.push_back({"steps, placing all", size, placing.cpu_ms(), "ms"});
     constexpr int ticks = 20;
-    const stopwatch ticking;
+    const resource_meter ticking;
     for (int i = 0; i < ticks; ++i) {
         home.tick(3 + i);
     }
     all.push_back({"steps, one tick with nothing to do", size,
-                   ticking.ms() / ticks, "ms"});
-    all.push_back({"steps, memory", size, filling.mb(), "MB"});
+                   ticking.cpu_ms() / ticks, "ms"});
+    all.push_back({"steps, memory", size, filling.memory_growth_mb(), "MB"});
 }
 
-std::string document_of(int trainers, int change) {
+std::string make_document_text(int trainers, int change) {
     std::string text = R"({"schema":1,"owners":[{"name":"o"}],)"
                        R"("pools":[{"name":"p","owner":"o"}],"trainers":[)";
     for (int i = 0; i < trainers; ++i) {
@@ -170,50 +175,53 @@
     return text + "]}";
 }
 
-void fill_config(std::vector<figure>& all) {
-    const std::string size = std::to_string(changes_full) + " changes";
-    all.push_back({"document", std::to_string(trainers_full) + " trainers",
-                   static_cast<double>(document_of(trainers_full, 0).size()),
-                   "bytes"});
-    const stopwatch folding;
-    document::config_fold fold;
+void fill_config(std::vector<measurement>& all) {
+    const std::string size = std::to_string(change_count) + " changes";
+    all.push_back(
+        {"document", std::to_string(trainer_count) + " trainers",
+         static_cast<double>(make_document_text(trainer_count, 0).size()),
+         "bytes"});
+    const resource_meter folding;
+    document::config_state_machine fold;
     wire::log_offset base = 0;
-    for (int i = 0; i < changes_full; ++i) {
+    for (int i = 0; i < change_count; ++i) {
         wire::config_record record;
         record.schema = 1;
         record.publish_id = "publish-" + std::to_string(i);
         record.base = base;
-        record.document = document_of(trainers_full, i);
+        record.document = make_document_text(trainer_count, i);
         fold.apply(i, record);
         base = fold.in_force() != nullptr ? fold.in_force()->number : 0;
     }
     const bool kept = fold.in_force() != nullptr &&
-                      fold.in_force()->number >= changes_full - 1;
+                      fold.in_force()->number >= change_count - 1;
     all.push_back({kept ? "config fold" : "config fold, refused", size,
-                   folding.ms(), "ms"});
-    all.push_back({"config fold, memory", size, folding.mb(), "MB"});
+                   folding.cpu_ms(), "ms"});
+    all.push_back(
+        {"config fold, memory", size, folding.memory_growth_mb(), "MB"});
 }
 
-void fill_members(std::vector<figure>& all) {
-    const std::string size = std::to_string(nodes_full) + " nodes";
-    const stopwatch filling;
+void fill_members(std::vector<measurement>& all) {
+    const std::string size = std::to_string(node_count) + " nodes";
+    const resource_meter filling;
     cluster::member_table members(base::node_id("node-0"), 2000);
-    for (int i = 0; i < nodes_full; ++i) {
-        members.hear(1, beat_of(i, digests_per_beat));
+    for (int i = 0; i < node_count; ++i) {
+        members.record_heartbeat(1, make_heartbeat(i, digests_per_heartbeat));
     }
-    all.push_back({"members, first beat of each", size, filling.ms(), "ms"});
-    all.push_back({"members, memory", size, filling.mb(), "MB"});
+    all.push_back(
+        {"members, first beat of each", size, filling.cpu_ms(), "ms"});
+    all.push_back({"members, memory", size, filling.memory_growth_mb(), "MB"});
     constexpr int keys = 1000;
-    const stopwatch hashing;
+    const resource_meter hashing;
     for (int i = 0; i < keys; ++i) {
         members.home_of("engine/engine-" + std::to_string(i));
     }
-    all.push_back({"rendezvous, one key", size, hashing.ms() / keys, "ms"});
-    const stopwatch hearing;
-    for (int i = 0; i < nodes_full; ++i) {
-        members.hear(2, beat_of(i, digests_per_beat));
+    all.push_back({"rendezvous, one key", size, hashing.cpu_ms() / keys, "ms"});
+    const resource_meter hearing;
+    for (int i = 0; i < node_count; ++i) {
+        members.record_heartbeat(2, make_heartbeat(i, digests_per_heartbeat));
     }
-    all.push_back({"members, a beat of each", size, hearing.ms(), "ms"});
+    all.push_back({"members, a beat of each", size, hearing.cpu_ms(), "ms"});
 }
 
 } // namespace
@@ -226,7 +234,7 @@
     return resident * static_cast<double>(sysconf(_SC_PAGESIZE));
 }
 
-double processor_ms(int id) {
+double cpu_time_ms(int id) {
     std::ifstream file("/proc/" + std::to_string(id) + "/stat");
     std::string text;
     std::getline(file, text);
@@ -243,40 +251,40 @@
     return 1000.0 * (user + kernel) / static_cast<double>(sysconf(_SC_CLK_TCK));
 }
 
-std::vector<figure> measure_heartbeats() {
-    std::vector<figure> all;
+std::vector<measurement> measure_heartbeats() {
+    std::vector<measurement> all;
     for (const int engines : {0, 1, 2, 4, 8, 14, 28}) {
-        const auto bytes = wire::to_cbor(beat_of(1, engines)).size();
+        const auto bytes = wire::to_cbor(make_heartbeat(1, engines)).size();
         all.push_back({"heartbeat", std::to_string(engines) + " engines",
                        static_cast<double>(bytes), "bytes"});
     }
-    auto bare = beat_of(1, 0);
+    auto bare = make_heartbeat(1, 0);
     bare.versions.clear();
     all.push_back({"heartbeat", "no engines, no trainers",
                    static_cast<double>(wire::to_cbor(bare).size()), "bytes"});
     constexpr int repeats = 200;
-    const stopwatch encoding;
+    const resource_meter encoding;
     std::size_t total = 0;
     for (int i = 0; i < repeats; ++i) {
-        total += wire::to_cbor(beat_of(i, digests_per_beat)).size();
+        total += wire::to_cbor(make_heartbeat(i, digests_per_heartbeat)).size();
     }
     all.push_back({"heartbeat, making and encoding",
-                   std::to_string(digests_per_beat) + " engines",
-                   total > 0 ? encoding.ms() / repeats : 0, "ms"});
-    const auto bytes = wire::to_cbor(beat_of(1, digests_per_beat));
-    const stopwatch decoding;
+                   std::to_string(digests_per_heartbeat) + " engines",
+                   total > 0 ? encoding.cpu_ms() / repeats : 0, "ms"});
+    const auto bytes = wire::to_cbor(make_heartbeat(1, digests_per_heartbeat));
+    const resource_meter decoding;
     for (int i = 0; i < repeats; ++i) {
         const auto read = wire::from_cbor(bytes);
         total += base::value_if(read) != nullptr ? 1 : 0;
     }
     all.push_back({"heartbeat, decoding",
-                   std::to_string(digests_per_beat) + " engines",
-                   total > 0 ? decoding.ms() / repeats : 0, "ms"});
+                   std::to_string(digests_per_heartbeat) + " engines",
+                   total > 0 ? decoding.cpu_ms() / repeats : 0, "ms"});
     return all;
 }
 
-std::vector<figure> measure_fills() {
-    std::vector<figure> all;
+std::vector<measurement> measure_full_tables() {
+    std::vector<measurement> all;
     fill_engines(all);
     fill_steps(all);
     fill_config(all);
--- a/testing/bench/fills.hpp
+++ b/testing/bench/full_tables.hpp
@@ -7,7 +7,7 @@
 namespace hibiscus::testing {
 
 /// One figure that a fill gave.
-struct figure {
+struct measurement {
     std::string name;
     /// What the figure was taken at, for instance "12000 engines".
     std::string size;
@@ -16,16 +16,16 @@
 };
 
 /// Returns the sizes of heartbeats in CBOR at several counts of engines.
-std::vector<figure> measure_heartbeats();
+std::vector<measurement> measure_heartbeats();
 
 /// Fills tables to their full size in this process and returns the processor
 /// time and the memory that it took.
-std::vector<figure> measure_fills();
+std::vector<measurement> measure_full_tables();
 
 /// Returns the resident memory of the process `id` in bytes.
 double resident_bytes(int id);
 
 /// Returns the processor time of the process `id` in milliseconds.
-double processor_ms(int id);
+double cpu_time_ms(int id);
 
 } // namespace hibiscus::testing
--- a/testing/bench/main.cpp
+++ b/testing/bench/main.cpp
@@ -30,7 +30,7 @@
     std::cout << "bench: wrote " << path << std::endl;
 }
 
-bench_settings settings_of_flags() {
+bench_settings settings_from_flags() {
     bench_settings how;
     how.comparison = absl::GetFlag(FLAGS_comparison);
     how.workload = absl::GetFlag(FLAGS_workload);
@@ -42,11 +42,11 @@
 }
 
 /// Runs one variant and notes its measures.
-void measure_one(const bench_settings& how, const workload& load,
-                 const variant& side, int seed, variant_runs& row) {
+void run_and_record(const bench_settings& how, const workload& load,
+                    const variant& side, int seed, variant_runs& row) {
     const auto programs =
-        side.programs.empty() ? absl::GetFlag(FLAGS_programs) : side.programs;
-    auto seen = run_once(programs, load, side, how.steps, seed);
+        side.build_dir.empty() ? absl::GetFlag(FLAGS_programs) : side.build_dir;
+    auto seen = run_variant(programs, load, side, how.steps, seed);
     std::cout << "bench: seed " << seed << " " << side.name;
     if (seen.empty()) {
         ++row.failed;
@@ -60,14 +60,14 @@
 
 /// Returns the variants of a comparison; "builds" sets this build against
 /// others.
-std::vector<variant> sides_of(const std::string& comparison) {
+std::vector<variant> select_variants(const std::string& comparison) {
     if (comparison != "builds") {
         return make_variants(comparison);
     }
     std::vector<variant> sides;
     for (const auto& folder : absl::GetFlag(FLAGS_builds)) {
         variant side(folder.substr(folder.rfind('/') + 1));
-        side.programs = folder;
+        side.build_dir = folder;
         sides.push_back(std::move(side));
     }
     sides.push_back(variant("this"));
@@ -75,9 +75,9 @@
 }
 
 int run() {
-    const auto how = settings_of_flags();
+    const auto how = settings_from_flags();
     const auto load = make_workload(how.workload);
-    const auto sides = sides_of(how.comparison);
+    const auto sides = select_variants(how.comparison);
     if (load.name.empty() || sides.empty()) {
         std::cerr << "bench: unknown workload or comparison" << std::endl;
         return 2;
@@ -92,7 +92,8 @@
             // No variant is always the first of a round.
             const auto at =
                 (i + static_cast<std::size_t>(round)) % sides.size();
-            measure_one(how, load, sides[at], how.first_seed + round, all[at]);
+            run_and_record(how, load, sides[at], how.first_seed + round,
+                           all[at]);
         }
     }
     std::cout << to_table(all);
--- a/testing/bench/overload.cpp
+++ b/testing/bench/overload.cpp
@@ -2,7 +2,7 @@
 // arrive at a fixed rate whether or not earlier ones were answered, and count
 // only if they were completed within their deadline. Prints one JSON line.
 
-#include "support/system.hpp"
+#include "support/test_cluster.hpp"
 
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
@@ -34,33 +34,33 @@
     "limits": {"entries_ttl_ms": 500}})";
 
 /// What became of the lookups of one phase.
-struct tally {
+struct run_stats {
     std::atomic<int> completed{0};
     std::atomic<int> refused{0};
     std::atomic<int> without_retry_after{0};
-    std::atomic<int> other{0};
-    std::atomic<int> left{0};
+    std::atomic<int> other_outcomes{0};
+    std::atomic<int> in_flight{0};
     std::atomic<base::millis> refusal_ms{0};
 };
 
 /// Sends lookups at a rate to all entries in turn.
-class open_load {
+class open_loop_load {
 public:
-    explicit open_load(std::vector<base::endpoint> entries)
+    explicit open_loop_load(std::vector<base::endpoint> entries)
         : entries_(std::move(entries)), guard_(io_.get_executor()),
           http_(io_, 500), thread_([this] { io_.run(); }) {}
 
-    ~open_load() {
+    ~open_loop_load() {
         io_.stop();
         thread_.join();
     }
 
-    open_load(const open_load&) = delete;
-    open_load& operator=(const open_load&) = delete;
+    open_loop_load(const open_loop_load&) = delete;
+    open_loop_load& operator=(const open_loop_load&) = delete;
 
     /// Sends `per_second` lookups a second and returns what became of them.
     json run(double per_second) {
-        auto seen = std::make_shared<tally>();
+        auto seen = std::make_shared<run_stats>();
         const auto begin = clock_.now();
         const auto length = 1000 * absl::GetFlag(FLAGS_seconds);
         int sent = 0;
@@ -73,7 +73,7 @@
             }
             pause_for(1);
         }
-        eventually([&] { return seen->left == 0; });
+        eventually([&] { return seen->in_flight == 0; });
         const int refused = seen->refused;
         return {
             {"offered_per_s", sent / absl::GetFlag(FLAGS_seconds)},
@@ -81,34 +81,36 @@
             {"refused", refused},
             {"refused_without_retry_after", seen->without_retry_after.load()},
             {"mean_refusal_ms", refused > 0 ? seen->refusal_ms / refused : 0},
-            {"other", seen->other.load()}};
+            {"other", seen->other_outcomes.load()}};
     }
 
 private:
-    void send(const std::shared_ptr<tally>& seen) {
+    void send(const std::shared_ptr<run_stats>& seen) {
         wire::service_request lookup;
-        lookup.id = base::request_id("lookup-" + std::to_string(++number_));
+        lookup.id =
+            base::request_id("lookup-" + std::to_string(++request_count_));
         lookup.service = base::service_id("ledger");
         lookup.deadline_ms = absl::GetFlag(FLAGS_deadline_ms);
-        lookup.created_ms = clock_.wall();
+        lookup.created_ms = clock_.wall_time();
         net::http_request r;
         r.method = "POST";
         r.target = "/v1/requests";
         r.body = wire::to_json(lookup);
-        ++seen->left;
+        ++seen->in_flight;
         const auto begun = clock_.now();
-        http_.send(
-            entries_[static_cast<std::size_t>(number_) % entries_.size()],
-            std::move(r), 20000, net::reuse::allowed,
-            [this, seen, begun](const net::http_result& result) {
-                note(*seen, result, clock_.now() - begun);
-                --seen->left;
-            });
+        http_.send(entries_[static_cast<std::size_t>(request_count_) %
+                            entries_.size()],
+                   std::move(r), 20000, net::connection_reuse::allowed,
+                   [this, seen, begun](const net::http_result& result) {
+                       record_result(*seen, result, clock_.now() - begun);
+                       --seen->in_flight;
+                   });
     }
 
-    static void note(tally& seen, const net::http_result& result,
-                     base::millis took) {
-        const auto answer = caller::decode<wire::answer>(result);
+    static void record_result(run_stats& seen, const net::http_result& result,
+                              base::millis took) {
+        const auto answer =
+            entry_client::decode_response<wire::service_response>(result);
         if (answer && answer->result == wire::outcome::completed &&
             took <= absl::GetFlag(FLAGS_deadline_ms)) {
             ++seen.completed;
@@ -117,7 +119,7 @@
             seen.refusal_ms += took;
             seen.without_retry_after += answer->retry_after_ms > 0 ? 0 : 1;
         } else {
-            ++seen.other;
+            ++seen.other_outcomes;
         }
     }
 
@@ -128,7 +130,7 @@
         guard_;
     net::http_client http_;
     std::thread thread_;
-    int number_ = 0;
+    int request_count_ = 0;
 };
 
 double median(std::vector<double> values) {
@@ -137,7 +139,7 @@
 }
 
 int run() {
-    system s(absl::GetFlag(FLAGS_programs));
+    test_cluster s(absl::GetFlag(FLAGS_programs));
     s.start_platform();
     for (int i = 1; i <= absl::GetFlag(FLAGS_nodes); ++i) {
         s.start_node("127.0.0." + std::to_string(i), "z1");
@@ -148,14 +150,14 @@
             {"--capacity=" + std::to_string(absl::GetFlag(FLAGS_slots)),
              "--run_ms=" + std::to_string(absl::GetFlag(FLAGS_run_ms))});
     }
-    if (s.publish(document) != 0 || !s.wait_ready()) {
+    if (s.publish_document(document) != 0 || !s.wait_until_ready()) {
         std::cerr << "the nodes do not get ready\n";
         return 1;
     }
     const double capacity = 1000.0 * absl::GetFlag(FLAGS_instances) *
                             absl::GetFlag(FLAGS_slots) /
                             absl::GetFlag(FLAGS_run_ms);
-    open_load load(s.entries());
+    open_loop_load load(s.entry_addresses());
     load.run(capacity / 2);
     json phases = json::array();
     std::vector<double> ratios;
--- a/testing/bench/report.cpp
+++ b/testing/bench/report.cpp
@@ -28,7 +28,7 @@
     {measure::staleness, "staleness, versions", label_width + panel_width + 60},
 }};
 
-std::string fixed(double value) {
+std::string format_decimal(double value) {
     std::array<char, 32> text{};
     std::snprintf(text.data(), text.size(), "%.3f", value);
     return text.data();
@@ -39,7 +39,7 @@
     const auto width = [](double v) {
         return static_cast<int>(v * panel_width);
     };
-    const auto value = row.middle(p.shown);
+    const auto value = row.median_of(p.shown);
     out << "<rect x='" << p.left << "' y='" << y << "' width='" << width(value)
         << "' height='14' fill='#7a9cc6'/>\n";
     for (const auto& run : row.runs) {
@@ -47,12 +47,12 @@
             << y + 7 << "' r='2.5' fill='#333'/>\n";
     }
     out << "<text x='" << p.left + panel_width + 8 << "' y='" << y + 12 << "'>"
-        << fixed(value) << "</text>\n";
+        << format_decimal(value) << "</text>\n";
 }
 
 } // namespace
 
-double variant_runs::middle(measure m) const {
+double variant_runs::median_of(measure m) const {
     std::vector<double> values;
     for (const auto& run : runs) {
         values.push_back(run.at(m));
@@ -72,7 +72,7 @@
     for (const auto& row : all) {
         out << "| " << row.name << " |";
         for (const auto& m : base::enum_names<measure>::table) {
-            out << " " << fixed(row.middle(m.value)) << " |";
+            out << " " << format_decimal(row.median_of(m.value)) << " |";
         }
         out << " " << row.runs.size() << " | " << row.failed << " |\n";
     }
@@ -86,7 +86,7 @@
         json medians = json::object();
         json runs = json::array();
         for (const auto& m : base::enum_names<measure>::table) {
-            medians[std::string(m.name)] = row.middle(m.value);
+            medians[std::string(m.name)] = row.median_of(m.value);
         }
         for (const auto& run : row.runs) {
             json one = json::object();
--- a/testing/bench/report.hpp
+++ b/testing/bench/report.hpp
@@ -21,12 +21,12 @@
 /// The runs of one variant, a run for each seed.
 struct variant_runs {
     std::string name;
-    std::vector<measures> runs;
+    std::vector<measure_values> runs;
     /// Runs that lacked a sample or an answer.
     int failed = 0;
 
     /// Returns the median of one measure.
-    double middle(measure m) const;
+    double median_of(measure m) const;
 };
 
 /// Returns the medians as a Markdown table.
--- a/testing/bench/run.cpp
+++ b/testing/bench/run.cpp
@@ -1,6 +1,6 @@
 #include "run.hpp"
 
-#include "support/system.hpp"
+#include "support/test_cluster.hpp"
 
 #include <nlohmann/json.hpp>
 
@@ -15,21 +15,21 @@
 
 using nlohmann::json;
 
-constexpr int services = 2;
-constexpr base::millis client_limit = 180000;
+constexpr int service_count = 2;
+constexpr base::millis client_timeout_ms = 180000;
 
 /// The counters of all engines at one time.
-struct engine_counts {
+struct engine_counters {
     double started = 0;
     double busy_slot_ms = 0;
     double alive_ms = 0;
 };
 
 /// What the trainers of a run saw.
-struct trainers_seen {
-    double got = 0;
-    double wanted = 0;
-    double wrong = 0;
+struct trainer_totals {
+    double received_samples = 0;
+    double requested_samples = 0;
+    double violations = 0;
     double idle_ms = 0;
     double total_ms = 0;
     double longest_ms = 0;
@@ -42,7 +42,7 @@
 };
 
 /// Returns the last line of `text` that is a JSON object.
-json last_object(const std::string& text) {
+json parse_last_json_object(const std::string& text) {
     std::istringstream lines(text);
     std::string line;
     json found = json::object();
@@ -69,8 +69,8 @@
         share * static_cast<double>(values.size() - 1))];
 }
 
-std::vector<std::string> start_all(system& s, const workload& load,
-                                   const variant& side) {
+std::vector<std::string> start_cluster(test_cluster& s, const workload& load,
+                                       const variant& side) {
     const auto zone = [&](int i) {
         return "z" + std::to_string(i % load.zones);
     };
@@ -95,17 +95,18 @@
                      std::to_string(load.straggler_percent)}));
         }
     }
-    for (int i = 0; i < services; ++i) {
+    for (int i = 0; i < service_count; ++i) {
         s.start_service("ledger", zone(i));
     }
     return engines;
 }
 
-engine_counts count(system& s, const std::vector<std::string>& engines) {
-    engine_counts all;
+engine_counters sum_engine_counters(test_cluster& s,
+                                    const std::vector<std::string>& engines) {
+    engine_counters all;
     for (const auto& name : engines) {
-        const auto seen =
-            json::parse(s.ask(name, "GET", "/v1/counts"), nullptr, false);
+        const auto seen = json::parse(s.send_request(name, "GET", "/v1/counts"),
+                                      nullptr, false);
         if (seen.is_object()) {
             all.started += seen.value("started", 0.0);
             all.busy_slot_ms += seen.value("busy_slot_ms", 0.0);
@@ -115,8 +116,8 @@
     return all;
 }
 
-process& start_trainer(system& s, const workload& load, const trainer_load& t,
-                       int steps, int seed) {
+process& start_trainer(test_cluster& s, const workload& load,
+                       const trainer_load& t, int steps, int seed) {
     return s.start_client(
         "trainer", seeded_name(t, seed),
         {"--steps=" + std::to_string(steps),
@@ -125,14 +126,14 @@
          "--max_tokens=" + std::to_string(t.max_tokens),
          "--train_ms=" + std::to_string(t.train_ms),
          "--bound=" + std::to_string(load.staleness_bound),
-         "--weights=" + base::to_string(s.address("weights"))});
+         "--weights=" + base::to_string(s.address_of("weights"))});
 }
 
-void add(trainers_seen& all, const json& seen) {
-    all.got += seen.value("got", 0.0);
-    all.wanted += seen.value("wanted", 1.0);
-    all.wrong += seen.value("duplicates", 1.0) + seen.value("stale", 1.0) +
-                 seen.value("untrue", 1.0);
+void add_trainer_result(trainer_totals& all, const json& seen) {
+    all.received_samples += seen.value("got", 0.0);
+    all.requested_samples += seen.value("wanted", 1.0);
+    all.violations += seen.value("duplicates", 1.0) + seen.value("stale", 1.0) +
+                      seen.value("untrue", 1.0);
     all.idle_ms += seen.value("idle_ms", 0.0);
     const auto waits = seen.value("step_ms", std::vector<double>());
     all.first_wait_ms += waits.empty() ? 0.0 : waits.front();
@@ -145,60 +146,64 @@
     all.mean_step_ms.push_back(mean(steps));
 }
 
-measures summarise(const trainers_seen& seen, const json& app,
-                   const engine_counts& before, const engine_counts& after,
-                   int slots) {
+measure_values compute_measures(const trainer_totals& seen, const json& app,
+                                const engine_counters& before,
+                                const engine_counters& after, int slots) {
     const auto started = after.started - before.started;
     const auto slot_ms = (after.alive_ms - before.alive_ms) * slots;
-    return {{measure::trainer_idle, seen.idle_ms / seen.total_ms},
-            {measure::warm_idle, (seen.idle_ms - seen.first_wait_ms) /
-                                     (seen.total_ms - seen.first_wait_ms)},
-            {measure::staleness, seen.staleness_sum / seen.got},
-            {measure::step_p50_ms, percentile(seen.step_ms, 0.5)},
-            {measure::step_p99_ms, percentile(seen.step_ms, 0.99)},
-            {measure::lookup_p50_ms, app.value("lookup_p50_ms", 0.0)},
-            {measure::lookup_p99_ms, app.value("lookup_p99_ms", 0.0)},
-            {measure::sync_p99_ms, app.value("sync_p99_ms", 0.0)},
-            {measure::goodput, seen.got * 1000.0 / seen.longest_ms},
-            {measure::engine_busy,
-             (after.busy_slot_ms - before.busy_slot_ms) / slot_ms},
-            {measure::regenerated_share, (started - seen.got) / started},
-            {measure::first_step_ms, seen.mean_step_ms.at(0)},
-            {measure::second_step_ms, seen.mean_step_ms.at(1)}};
+    return {
+        {measure::trainer_idle, seen.idle_ms / seen.total_ms},
+        {measure::warm_idle, (seen.idle_ms - seen.first_wait_ms) /
+                                 (seen.total_ms - seen.first_wait_ms)},
+        {measure::staleness, seen.staleness_sum / seen.received_samples},
+        {measure::step_p50_ms, percentile(seen.step_ms, 0.5)},
+        {measure::step_p99_ms, percentile(seen.step_ms, 0.99)},
+        {measure::lookup_p50_ms, app.value("lookup_p50_ms", 0.0)},
+        {measure::lookup_p99_ms, app.value("lookup_p99_ms", 0.0)},
+        {measure::sync_p99_ms, app.value("sync_p99_ms", 0.0)},
+        {measure::goodput, seen.received_samples * 1000.0 / seen.longest_ms},
+        {measure::engine_busy,
+         (after.busy_slot_ms - before.busy_slot_ms) / slot_ms},
+        {measure::regenerated_share,
+         (started - seen.received_samples) / started},
+        {measure::first_step_ms, seen.mean_step_ms.at(0)},
+        {measure::second_step_ms, seen.mean_step_ms.at(1)}};
 }
 
 } // namespace
 
-measures run_once(const std::string& programs, const workload& load,
-                  const variant& side, int steps, int seed) {
-    system s(programs);
-    const auto engines = start_all(s, load, side);
-    if (s.publish(make_document(load, side, seed)) != 0 || !s.wait_ready()) {
+measure_values run_variant(const std::string& programs, const workload& load,
+                           const variant& side, int steps, int seed) {
+    test_cluster s(programs);
+    const auto engines = start_cluster(s, load, side);
+    if (s.publish_document(make_document(load, side, seed)) != 0 ||
+        !s.wait_until_ready()) {
         return {};
     }
-    const auto before = count(s, engines);
+    const auto before = sum_engine_counters(s, engines);
     std::vector<process*> trainers;
     for (const auto& t : load.trainers) {
         trainers.push_back(&start_trainer(s, load, t, steps, seed));
     }
     auto& app = s.start_client("app", "app", {"--seconds=5", "--callers=2"});
-    trainers_seen seen;
+    trainer_totals seen;
     for (auto* t : trainers) {
-        t->wait(client_limit);
-        add(seen, last_object(t->output()));
+        t->wait_for_exit(client_timeout_ms);
+        add_trainer_result(seen, parse_last_json_object(t->output()));
     }
-    const auto after = count(s, engines);
-    app.wait(client_limit);
-    const auto app_seen = last_object(app.output());
+    const auto after = sum_engine_counters(s, engines);
+    app.wait_for_exit(client_timeout_ms);
+    const auto app_seen = parse_last_json_object(app.output());
     const int lost = app_seen.value("lost", 1) + app_seen.value("wrong", 1);
-    if (seen.got < seen.wanted || seen.wrong > 0 || seen.total_ms <= 0 ||
-        lost > 0) {
-        std::cout << "bench: samples " << seen.got << "/" << seen.wanted
-                  << ", wrong " << seen.wrong << ", answers lost or wrong "
-                  << lost << ": " << app_seen << std::endl;
+    if (seen.received_samples < seen.requested_samples || seen.violations > 0 ||
+        seen.total_ms <= 0 || lost > 0) {
+        std::cout << "bench: samples " << seen.received_samples << "/"
+                  << seen.requested_samples << ", wrong " << seen.violations
+                  << ", answers lost or wrong " << lost << ": " << app_seen
+                  << std::endl;
         return {};
     }
-    auto result = summarise(seen, app_seen, before, after, load.slots);
+    auto result = compute_measures(seen, app_seen, before, after, load.slots);
     result[measure::idle_floor] = idle_floor(load, steps, seed);
     return result;
 }
--- a/testing/bench/run.hpp
+++ b/testing/bench/run.hpp
@@ -28,12 +28,12 @@
 };
 
 /// The measures of one run; empty if a sample or an answer was missing.
-using measures = std::map<measure, double>;
+using measure_values = std::map<measure, double>;
 
 /// Runs a workload under a variant on fresh processes and returns what the
 /// clients and stand-ins saw.
-measures run_once(const std::string& programs, const workload& load,
-                  const variant& side, int steps, int seed);
+measure_values run_variant(const std::string& programs, const workload& load,
+                           const variant& side, int steps, int seed);
 
 /// Returns the median of `values`, or 0 if there are none.
 double median(std::vector<double> values);
--- a/testing/bench/scenario.cpp
+++ b/testing/bench/scenario.cpp
@@ -15,12 +15,12 @@
 using document::start_version_kind;
 using nlohmann::json;
 
-constexpr double no_refusals = 16.0;
+constexpr double unlimited_queue_share = 16.0;
 constexpr std::uint32_t straggler_factor = 5;
 
 /// Returns the chunks of a sample as the engine stand-in draws them.
-std::uint32_t length_of(const std::string& stream, int max_tokens,
-                        int straggler_percent) {
+std::uint32_t sample_length(const std::string& stream, int max_tokens,
+                            int straggler_percent) {
     std::mt19937_64 random(base::stable_hash(stream));
     const auto longest = static_cast<std::uint32_t>(max_tokens);
     std::uniform_int_distribution<std::uint32_t> chunks(1 + longest / 4,
@@ -32,15 +32,16 @@
 }
 
 /// Returns how long the longest sample of a step runs.
-base::millis longest_of(const workload& load, const trainer_load& trainer,
-                        int step, int seed) {
+base::millis longest_sample_ms(const workload& load,
+                               const trainer_load& trainer, int step,
+                               int seed) {
     std::uint32_t longest = 0;
     for (int slot = 0; slot < trainer.groups * trainer.group_size; ++slot) {
         const auto stream = seeded_name(trainer, seed) + "/" +
                             std::to_string(step) + "/" + std::to_string(slot) +
                             "/0";
-        longest = std::max(longest, length_of(stream, trainer.max_tokens,
-                                              load.straggler_percent));
+        longest = std::max(longest, sample_length(stream, trainer.max_tokens,
+                                                  load.straggler_percent));
     }
     int chunk_ms = load.engines.front().chunk_ms;
     for (const auto& kind : load.engines) {
@@ -93,8 +94,9 @@
 }
 
 /// Returns a variant of placement that begins samples at `start` versions.
-variant placed_by(const std::string& name, placement_kind placement,
-                  start_version_kind start) {
+variant make_placement_variant(const std::string& name,
+                               placement_kind placement,
+                               start_version_kind start) {
     variant side(name);
     side.placement = placement;
     side.start_version = start;
@@ -107,11 +109,11 @@
     std::vector<variant> sides;
     for (const base::millis lag : {100, 1000, 3000}) {
         for (const bool direct : {false, true}) {
-            auto side = placed_by(direct ? "direct_" : "home_",
-                                  placement_kind::power_of_two,
-                                  start_version_kind::expect_publish);
+            auto side = make_placement_variant(
+                direct ? "direct_" : "home_", placement_kind::power_of_two,
+                start_version_kind::expect_publish);
             side.name += std::to_string(lag) + "ms";
-            side.queue_share = direct ? no_refusals : 1.0;
+            side.queue_share = direct ? unlimited_queue_share : 1.0;
             side.heartbeat_ms = lag;
             sides.push_back(std::move(side));
         }
@@ -125,12 +127,16 @@
     const auto any = start_version_kind::within_bound;
     const auto expected = start_version_kind::expect_publish;
     return {
-        placed_by("round_robin", placement_kind::round_robin, any),
-        placed_by("random", placement_kind::random_choice, any),
-        placed_by("least_reported", placement_kind::least_admitted, any),
-        placed_by("prefix_affinity/any", placement_kind::prefix_affinity, any),
-        placed_by("prefix_affinity", placement_kind::prefix_affinity, expected),
-        placed_by("power_of_two", placement_kind::power_of_two, expected),
+        make_placement_variant("round_robin", placement_kind::round_robin, any),
+        make_placement_variant("random", placement_kind::random_choice, any),
+        make_placement_variant("least_reported", placement_kind::least_admitted,
+                               any),
+        make_placement_variant("prefix_affinity/any",
+                               placement_kind::prefix_affinity, any),
+        make_placement_variant("prefix_affinity",
+                               placement_kind::prefix_affinity, expected),
+        make_placement_variant("power_of_two", placement_kind::power_of_two,
+                               expected),
     };
 }
 
@@ -152,7 +158,7 @@
     }
     if (comparison == "weights") {
         variant equal("equal");
-        equal.weights = false;
+        equal.uses_trainer_weights = false;
         return {equal, variant("three_to_one")};
     }
     return comparison == "placement" ? placement_variants()
@@ -166,11 +172,12 @@
 std::string make_document(const workload& load, const variant& side, int seed) {
     json trainers = json::array();
     for (const auto& t : load.trainers) {
-        trainers.push_back({{"name", seeded_name(t, seed)},
-                            {"owner", "owner-" + t.name},
-                            {"pool", "shared"},
-                            {"weight", side.weights ? t.weight : 1.0},
-                            {"staleness_bound", load.staleness_bound}});
+        trainers.push_back(
+            {{"name", seeded_name(t, seed)},
+             {"owner", "owner-" + t.name},
+             {"pool", "shared"},
+             {"weight", side.uses_trainer_weights ? t.weight : 1.0},
+             {"staleness_bound", load.staleness_bound}});
     }
     json owners = json::array();
     for (const auto& t : load.trainers) {
@@ -199,7 +206,7 @@
             // The first step is opened when nothing is being trained.
             const auto hidden = step == 1 ? 0 : trainer.train_ms;
             const auto waits = std::max<base::millis>(
-                0, longest_of(load, trainer, step, seed) - hidden);
+                0, longest_sample_ms(load, trainer, step, seed) - hidden);
             idle += static_cast<double>(waits);
             total += static_cast<double>(waits + trainer.train_ms);
         }
--- a/testing/bench/scenario.hpp
+++ b/testing/bench/scenario.hpp
@@ -20,7 +20,7 @@
 };
 
 /// A kind of engines; engines of one pool may differ.
-struct engine_kind {
+struct engine_group {
     int count = 10;
     int chunk_ms = 20;
 };
@@ -30,7 +30,7 @@
     std::string name;
     int zones = 3;
     int nodes = 6;
-    std::vector<engine_kind> engines;
+    std::vector<engine_group> engines;
     int slots = 8;
     int prefill_chunks = 6;
     int straggler_percent = 3;
@@ -54,9 +54,9 @@
     /// How often nodes tell each other the load of their engines.
     base::millis heartbeat_ms = 500;
     /// The build folder of the nodes; empty for the bench's own.
-    std::string programs;
+    std::string build_dir;
     /// Whether the document has the trainers' weights, or 1 for all.
-    bool weights = true;
+    bool uses_trainer_weights = true;
 };
 
 /// Returns the workload of that name ("cascadia", "veritas", "contended"), or
--- a/testing/demo/main.cpp
+++ b/testing/demo/main.cpp
@@ -55,144 +55,150 @@
 class demo_run {
 public:
     demo_run(const deployment& shape, json document)
-        : shape_(shape), document_(std::move(document)),
-          system_(absl::GetFlag(FLAGS_programs)) {}
+        : deployment_(shape), document_(std::move(document)),
+          cluster_(absl::GetFlag(FLAGS_programs)) {}
 
     /// Runs all of it. Returns the exit code.
     int run() {
         if (absl::GetFlag(FLAGS_keep)) {
-            system_.keep();
-            say("logs in " + system_.path(""));
+            cluster_.keep_files();
+            log_progress("logs in " + cluster_.file_path(""));
         }
         start_processes();
-        if (system_.publish(document_.dump()) != 0 || !system_.wait_ready()) {
-            say("the system did not become ready");
+        if (cluster_.publish_document(document_.dump()) != 0 ||
+            !cluster_.wait_until_ready()) {
+            log_progress("the system did not become ready");
             return 1;
         }
-        say("first document in force on " + std::to_string(shape_.nodes) +
-            " nodes");
+        log_progress("first document in force on " +
+                     std::to_string(deployment_.nodes) + " nodes");
         start_clients();
-        watch(3);
+        report_progress(3);
         const bool changed = change_document();
-        watch(2);
+        report_progress(2);
         const bool stopped =
-            stop_node(static_cast<std::size_t>(shape_.nodes) / 2);
-        while (running()) {
-            watch(2);
+            stop_node(static_cast<std::size_t>(deployment_.nodes) / 2);
+        while (has_running_clients()) {
+            report_progress(2);
         }
-        report r;
+        run_report r;
         for (auto* trainer : trainers_) {
-            add_trainer(r, trainer->output());
+            add_trainer_output(r, trainer->output());
         }
         for (auto* app : apps_) {
-            add_app(r, app->output());
+            add_app_output(r, app->output());
         }
-        add_runs(r, system_);
+        add_duplicate_runs(r, cluster_);
         print(r);
-        return changed && stopped && clean(r) ? 0 : 1;
+        return changed && stopped && is_clean(r) ? 0 : 1;
     }
 
 private:
-    void say(const std::string& text) const {
-        std::cout << "demo: " << (clock_.now() - begin_) / 1000
+    void log_progress(const std::string& text) const {
+        std::cout << "demo: " << (clock_.now() - started_at_) / 1000
                   << " s: " << text << std::endl;
     }
 
-    std::string zone(int i) const {
-        return "z" + std::to_string(i % shape_.zones + 1);
+    std::string zone_name(int i) const {
+        return "z" + std::to_string(i % deployment_.zones + 1);
     }
 
     void start_processes() {
-        system_.start_platform();
-        for (int i = 0; i < shape_.nodes; ++i) {
-            const auto ip = "127.0." + std::to_string(i % shape_.zones + 1) +
-                            "." + std::to_string(i / shape_.zones + 1);
-            system_.start_node(ip, zone(i));
+        cluster_.start_platform();
+        for (int i = 0; i < deployment_.nodes; ++i) {
+            const auto ip = "127.0." +
+                            std::to_string(i % deployment_.zones + 1) + "." +
+                            std::to_string(i / deployment_.zones + 1);
+            cluster_.start_node(ip, zone_name(i));
         }
         const std::string pool = document_["pools"][0]["name"];
-        for (int i = 0; i < shape_.engines; ++i) {
-            system_.start_engine(pool, zone(i));
+        for (int i = 0; i < deployment_.engines; ++i) {
+            cluster_.start_engine(pool, zone_name(i));
         }
-        for (int i = 0; i < shape_.services; ++i) {
+        for (int i = 0; i < deployment_.services; ++i) {
             const bool lookup = i % 2 == 0;
-            system_.start_service(
-                lookup ? shape_.lookup_service : shape_.sync_service, zone(i));
+            cluster_.start_service(lookup ? deployment_.lookup_service
+                                          : deployment_.sync_service,
+                                   zone_name(i));
         }
-        say(std::string(shape_.name) + ": " + std::to_string(shape_.nodes) +
-            " nodes in " + std::to_string(shape_.zones) + " zones, " +
-            std::to_string(shape_.engines) + " engines, " +
-            std::to_string(shape_.services) + " services started");
+        log_progress(std::string(deployment_.name) + ": " +
+                     std::to_string(deployment_.nodes) + " nodes in " +
+                     std::to_string(deployment_.zones) + " zones, " +
+                     std::to_string(deployment_.engines) + " engines, " +
+                     std::to_string(deployment_.services) +
+                     " services started");
     }
 
     void start_clients() {
         const auto number = [](int n) { return std::to_string(n); };
         for (const auto& trainer : document_["trainers"]) {
             const std::string name = trainer["name"];
-            trainers_.push_back(&system_.start_client(
+            trainers_.push_back(&cluster_.start_client(
                 "trainer", name,
                 {"--steps=" + number(absl::GetFlag(FLAGS_steps)),
                  "--bound=" + number(trainer["staleness_bound"]),
-                 "--weights=" + base::to_string(system_.address("weights")),
-                 "--answers=" + system_.path(name + ".jsonl")}));
+                 "--weights=" + base::to_string(cluster_.address_of("weights")),
+                 "--answers=" + cluster_.file_path(name + ".jsonl")}));
         }
         const auto seconds =
             "--seconds=" + number(absl::GetFlag(FLAGS_seconds));
-        apps_.push_back(&system_.start_client(
+        apps_.push_back(&cluster_.start_client(
             "app", "lookups",
             {seconds, "--sync_every=0", "--callers=3",
-             std::string("--service=") + shape_.lookup_service,
-             "--answers=" + system_.path("lookups.jsonl")}));
-        apps_.push_back(&system_.start_client(
+             std::string("--service=") + deployment_.lookup_service,
+             "--answers=" + cluster_.file_path("lookups.jsonl")}));
+        apps_.push_back(&cluster_.start_client(
             "app", "syncs",
             {seconds, "--sync_every=1", "--callers=1",
-             std::string("--service=") + shape_.sync_service,
-             "--answers=" + system_.path("syncs.jsonl")}));
+             std::string("--service=") + deployment_.sync_service,
+             "--answers=" + cluster_.file_path("syncs.jsonl")}));
     }
 
     bool change_document() {
         document_["trainers"][0]["weight"] = 4.0;
-        const bool changed = system_.publish(document_.dump()) == 0;
-        say(std::string("second document ") +
-            (changed ? "accepted" : "not accepted"));
+        const bool changed = cluster_.publish_document(document_.dump()) == 0;
+        log_progress(std::string("second document ") +
+                     (changed ? "accepted" : "not accepted"));
         return changed;
     }
 
     bool stop_node(std::size_t index) {
-        auto& node = system_.nodes()[index];
-        say("planned stop of " + node.name);
-        node.running->signal(SIGTERM);
-        const auto code = node.running->wait(20000);
-        say(node.name + " ended with code " +
-            std::to_string(code.value_or(-1)));
+        auto& node = cluster_.nodes()[index];
+        log_progress("planned stop of " + node.name);
+        node.daemon->signal(SIGTERM);
+        const auto code = node.daemon->wait_for_exit(20000);
+        log_progress(node.name + " ended with code " +
+                     std::to_string(code.value_or(-1)));
         return code == 0;
     }
 
-    bool running() {
+    bool has_running_clients() {
         bool any = false;
         for (auto* p : trainers_) {
-            any = any || p->running();
+            any = any || p->is_running();
         }
         for (auto* p : apps_) {
-            any = any || p->running();
+            any = any || p->is_running();
         }
         return any;
     }
 
     /// Waits for some seconds and tells how far the clients are.
-    void watch(int seconds) {
+    void report_progress(int seconds) {
         pause_for(seconds * base::millis{1000});
         std::string text;
         for (const auto& trainer : document_["trainers"]) {
             const std::string name = trainer["name"];
-            text += name + " " + std::to_string(lines_of(name)) + " samples, ";
+            text += name + " " + std::to_string(count_responses(name)) +
+                    " samples, ";
         }
-        text += std::to_string(lines_of("lookups")) + " lookups, " +
-                std::to_string(lines_of("syncs")) + " syncs answered";
-        say(text);
+        text += std::to_string(count_responses("lookups")) + " lookups, " +
+                std::to_string(count_responses("syncs")) + " syncs answered";
+        log_progress(text);
     }
 
-    std::size_t lines_of(const std::string& name) const {
-        std::ifstream in(system_.path(name + ".jsonl"));
+    std::size_t count_responses(const std::string& name) const {
+        std::ifstream in(cluster_.file_path(name + ".jsonl"));
         std::string line;
         std::size_t count = 0;
         while (std::getline(in, line)) {
@@ -201,11 +207,11 @@
         return count;
     }
 
-    const deployment& shape_;
+    const deployment& deployment_;
     json document_;
-    system system_;
+    test_cluster cluster_;
     base::clock clock_;
-    base::millis begin_ = clock_.now();
+    base::millis started_at_ = clock_.now();
     std::vector<process*> trainers_;
     std::vector<process*> apps_;
 };
