--- a/testing/entry/entry_world.hpp
+++ b/testing/entry/entry_harness.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "entry/keyed_store.hpp"
-#include "entry/token_server.hpp"
+#include "entry/fake_backend_server.hpp"
+#include "entry/fake_keyed_store.hpp"
 #include "hibiscus/base/result.hpp"
 #include "hibiscus/transport/upstream.hpp"
 #include "support/process.hpp"
@@ -26,11 +26,11 @@
 using json = nlohmann::json;
 
 /// The items of a job, the events of each, and the time between two, in ms.
-constexpr int items = 12;
-constexpr int events = 30;
-constexpr int event_ms = 10;
+constexpr int items_per_job = 12;
+constexpr int events_per_run = 30;
+constexpr int event_interval_ms = 10;
 
-constexpr const char* configuration = R"({"version":1,"routes":[
+constexpr const char* configuration_json = R"({"version":1,"routes":[
   {"name":"l","host":"h","pathPrefix":"/look/","kind":"idempotent",
    "timeoutMs":2000,"targetLatencyMs":150,"attempts":2,"service":"app"},
   {"name":"b","host":"h","pathPrefix":"/batch/","kind":"rollout",
@@ -47,45 +47,46 @@
   ],"services":[],"limits":{}})";
 
 /// Answers that callers get; status 0 stands for none.
-struct reply {
+struct call_result {
     int status = 0;
     std::string body;
 };
 
 /// Nodes as processes before stand-ins of store and servers, and a caller.
-class entry_world {
+class entry_harness {
 public:
-    entry_world() {
+    entry_harness() {
         char name[] = "/tmp/hibiscus-entry-XXXXXX";
-        folder_ = mkdtemp(name);
+        work_dir_ = mkdtemp(name);
         for (int n = 0; n < 2; ++n) {
             const auto id = "llm-" + std::to_string(n);
-            engines_.push_back(
-                std::make_unique<token_server>(io_, id, events, event_ms));
+            samplers_.push_back(std::make_unique<fake_backend_server>(
+                io_, id, events_per_run, event_interval_ms));
             store_.put("keyed.servers", id,
-                       engines_.back()->entry("llm", true));
+                       samplers_.back()->make_registration("llm", true));
         }
-        store_.put("keyed.servers", "app-0", app_.entry("app", false));
+        store_.put("keyed.servers", "app-0",
+                   app_server_.make_registration("app", false));
     }
 
-    ~entry_world() {
+    ~entry_harness() {
         nodes_.clear();
         if (::testing::Test::HasFailure()) {
-            print_ends_of_logs();
+            print_log_tails();
         }
         // HIBISCUS_KEEP keeps what the nodes wrote.
         if (std::getenv("HIBISCUS_KEEP") == nullptr) { // NOLINT
-            std::filesystem::remove_all(folder_);
+            std::filesystem::remove_all(work_dir_);
         }
     }
 
-    entry_world(const entry_world&) = delete;
-    entry_world& operator=(const entry_world&) = delete;
+    entry_harness(const entry_harness&) = delete;
+    entry_harness& operator=(const entry_harness&) = delete;
 
     /// Writes the configuration as the operator, under a version, with the
     /// routes' bounds as they are if `timeout_ms` is 0.
-    void configure(int version = 1, int timeout_ms = 0) {
-        auto next = json::parse(configuration);
+    void publish_configuration(int version = 1, int timeout_ms = 0) {
+        auto next = json::parse(configuration_json);
         next["version"] = version;
         for (auto& route : next["routes"]) {
             if (timeout_ms > 0 && route.contains("timeoutMs")) {
@@ -103,10 +104,10 @@
         auto& ports = ports_[name];
         if (ports.empty()) {
             for (int n = 0; n < 4; ++n) {
-                ports.push_back(reserved_.take("127.0.0.1"));
+                ports.push_back(reserved_ports_.reserve("127.0.0.1"));
             }
         }
-        auto file = folder_ + "/" + name + ".yaml";
+        auto file = work_dir_ + "/" + name + ".yaml";
         const auto at = [&](std::size_t n) {
             return "127.0.0.1:" + std::to_string(ports[n]) + "\n";
         };
@@ -116,7 +117,7 @@
             << "  directory: " << at(2) << "  metrics: " << at(3)
             << "store:\n  address: "
             << to_string(store.value_or(store_.address())) << "\n"
-            << more_settings_;
+            << extra_settings_;
         return file;
     }
 
@@ -126,29 +127,30 @@
         const auto file = write_settings(name, store);
         nodes_[name] = std::make_unique<process>(
             std::vector<std::string>{HIBISCUS_ENTRYD, "--settings=" + file},
-            folder_ + "/" + name + ".log");
+            work_dir_ + "/" + name + ".log");
     }
 
-    reply call(const std::string& name, const std::string& method,
-               const std::string& target, const transport::headers& fields = {},
-               const std::string& body = "", std::size_t port = 0) {
+    call_result call(const std::string& name, const std::string& method,
+                     const std::string& target,
+                     const transport::headers& fields = {},
+                     const std::string& body = "", std::size_t port = 0) {
         transport::upstream_request request;
         request.method = method;
         request.target = target;
         request.fields = fields;
         request.fields.push_back({"Host", "h"});
         request.body = body;
-        auto out = std::make_shared<reply>();
+        auto out = std::make_shared<call_result>();
         auto ended = std::make_shared<bool>(false);
-        transport::call_options options;
-        options.total_ms = 2500;
-        options.reuse = false;
-        transport::upstream_events on;
-        on.head = [out](const auto& h) { out->status = h.status; };
-        on.data = [out](std::string_view piece) { out->body += piece; };
-        on.ended = [out, ended](transport::call_end end) {
+        transport::upstream_call_options options;
+        options.total_timeout_ms = 2500;
+        options.reuse_connection = false;
+        transport::upstream_callbacks on;
+        on.on_head = [out](const auto& h) { out->status = h.status; };
+        on.on_data = [out](std::string_view piece) { out->body += piece; };
+        on.on_end = [out, ended](transport::call_outcome end) {
             out->status =
-                end == transport::call_end::complete ? out->status : 0;
+                end == transport::call_outcome::complete ? out->status : 0;
             *ended = true;
         };
         const auto c =
@@ -172,25 +174,25 @@
 
     /// Returns true once a node is ready, and false if it has ended or is not
     /// ready in time.
-    bool wait_ready(const std::string& name) {
+    bool wait_until_ready(const std::string& name) {
         bool ready = false;
         run_until([&] {
             ready = call(name, "GET", "/readyz", {}, "", 1).status == 200;
-            return ready || !nodes_.at(name)->running();
+            return ready || !nodes_.at(name)->is_running();
         });
         return ready;
     }
 
     /// Returns the body of a job whose items' ids begin with `prefix` and
     /// whose items have the body `content`, in base64.
-    static std::string job_body(const std::string& prefix, int least = 1,
-                                const std::string& content = "YQ==") {
+    static std::string make_job_body(const std::string& prefix, int least = 1,
+                                     const std::string& content = "YQ==") {
         json job{{"step", 0},
                  {"model", "m"},
                  {"minVersion", least},
                  {"targetGroups", 3},
                  {"items", json::array()}};
-        for (int n = 0; n < items; ++n) {
+        for (int n = 0; n < items_per_job; ++n) {
             const auto id = prefix + std::to_string(n);
             job["items"].push_back(
                 {{"id", id},
@@ -209,17 +211,18 @@
     }
 
     /// Returns the node that owns the jobs by the journal, or "".
-    std::string owner() const {
-        const auto bytes = store_.newest("keyed.journal", "!owner");
+    std::string job_owner() const {
+        const auto bytes = store_.newest_value("keyed.journal", "!owner");
         const auto in = json::from_cbor(bytes, true, false);
         return in.is_object() ? in.at("node").get<std::string>() : "";
     }
 
     /// Prints the last lines of each program's log: the folder is gone with the
     /// object, and a failure that comes once is not understood without them.
-    void print_ends_of_logs() const {
+    void print_log_tails() const {
         constexpr std::size_t lines = 20;
-        for (const auto& file : std::filesystem::directory_iterator(folder_)) {
+        for (const auto& file :
+             std::filesystem::directory_iterator(work_dir_)) {
             if (file.path().extension() != ".log") {
                 continue;
             }
@@ -241,13 +244,14 @@
 
     boost::asio::io_context io_{1};
     transport::upstream_client client_{io_};
-    keyed_store store_{io_};
-    std::vector<std::unique_ptr<token_server>> engines_;
-    token_server app_{io_, "app-0", events, event_ms};
-    std::string folder_;
+    fake_keyed_store store_{io_};
+    std::vector<std::unique_ptr<fake_backend_server>> samplers_;
+    fake_backend_server app_server_{io_, "app-0", events_per_run,
+                                    event_interval_ms};
+    std::string work_dir_;
     /// Lines behind the settings of the nodes that are started.
-    std::string more_settings_;
-    port_reservations reserved_;
+    std::string extra_settings_;
+    port_reservations reserved_ports_;
     std::map<std::string, std::vector<std::uint16_t>> ports_;
     std::map<std::string, std::unique_ptr<process>> nodes_;
 };
--- a/testing/entry/entry_path_test.cpp
+++ b/testing/entry/entry_path_test.cpp
@@ -1,4 +1,4 @@
-#include "entry/entry_world.hpp"
+#include "entry/entry_harness.hpp"
 
 #include "hibiscus/base/hash.hpp"
 
@@ -17,54 +17,55 @@
 
 namespace {
 
-class entry_path_test : public ::testing::Test, protected entry_world {
+class entry_path_test : public ::testing::Test, protected entry_harness {
 protected:
-    reply submit(const std::string& name, int least = 1) {
+    call_result submit(const std::string& name, int least = 1) {
         return call(name, "POST", "/batch/1", {{"Request-Id", "job1"}},
-                    job_body("i", least));
+                    make_job_body("i", least));
     }
 
     /// Reads on from a position; keeps what came and checks that it is right.
-    void read_on(const std::string& name) {
+    void read_next_results(const std::string& name) {
         const auto got = call(
-            name, "GET", "/lots/job1?after=" + std::to_string(read_.size()),
+            name, "GET", "/lots/job1?after=" + std::to_string(results_.size()),
             {{"Wait-Ms", "200"}});
         if (got.status != 200) {
             return;
         }
         const auto body = json::parse(got.body);
-        EXPECT_EQ(body.at("total"), items);
+        EXPECT_EQ(body.at("total"), items_per_job);
         for (const auto& r : body.at("results")) {
             const auto id = r.at("id").get<std::string>();
             EXPECT_EQ(r.at("state"), "succeeded");
-            EXPECT_EQ(r.at("text"), token_server::text_of(id, events));
+            EXPECT_EQ(r.at("text"),
+                      fake_backend_server::expected_text(id, events_per_run));
             EXPECT_EQ(r.at("score"), "of-s" + id);
-            read_.push_back(r.dump());
-            EXPECT_TRUE(ids_.insert(id).second) << "twice: " << id;
+            results_.push_back(r.dump());
+            EXPECT_TRUE(result_ids_.insert(id).second) << "twice: " << id;
         }
     }
 
     bool read_all(const std::string& name) {
         return run_until([&] {
-            read_on(name);
-            return read_.size() == items;
+            read_next_results(name);
+            return results_.size() == items_per_job;
         });
     }
 
     /// Reads a stream whose first server breaks off once it is under way.
-    reply stream_with_a_break(const std::string& path,
-                              const std::string& id = "s1") {
-        boost::asio::steady_timer timer(io_, break_after);
+    call_result read_stream_with_abort(const std::string& path,
+                                       const std::string& id = "s1") {
+        boost::asio::steady_timer timer(io_, abort_after);
         timer.async_wait([this](const auto&) {
-            engines_[0]->break_streams();
-            engines_[1]->break_streams();
+            samplers_[0]->abort_streams();
+            samplers_[1]->abort_streams();
         });
         return call("n1", "POST", path, {{"Request-Id", id}, {"Model", "m"}});
     }
 
     /// Returns true if a node has written that it no longer owns the jobs.
-    bool gave_up(const std::string& name) const {
-        const auto records = store_.values("keyed.journal", "!owner");
+    bool has_released_ownership(const std::string& name) const {
+        const auto records = store_.all_values("keyed.journal", "!owner");
         return std::any_of(records.begin(), records.end(), [&](const auto& r) {
             const auto in = json::from_cbor(r);
             return in.at("node") == name && in.value("left", false);
@@ -73,8 +74,8 @@
 
     /// Returns a later configuration in which "new" has taken the place of
     /// the service "llm".
-    static std::string moved_configuration() {
-        auto c = json::parse(configuration);
+    static std::string make_moved_configuration() {
+        auto c = json::parse(configuration_json);
         c["version"] = 2;
         for (auto& r : c["routes"]) {
             if (r["service"] == "llm") {
@@ -84,9 +85,9 @@
         return c.dump();
     }
 
-    static std::string whole_stream(const std::string& id) {
+    static std::string expected_stream(const std::string& id) {
         std::string out;
-        for (int n = 1; n <= events; ++n) {
+        for (int n = 1; n <= events_per_run; ++n) {
             out += "id: " + std::to_string(n) + "\ndata: " + id + "." +
                    std::to_string(n) + "\n\n";
         }
@@ -94,19 +95,19 @@
     }
 
     /// A third of the time that a stream lasts.
-    static constexpr std::chrono::milliseconds break_after{events * event_ms /
-                                                           3};
+    static constexpr std::chrono::milliseconds abort_after{
+        events_per_run * event_interval_ms / 3};
 
-    static constexpr int slow_event_ms = 5 * event_ms;
+    static constexpr int slow_event_interval_ms = 5 * event_interval_ms;
 
-    std::vector<std::string> read_;
-    std::set<std::string> ids_;
+    std::vector<std::string> results_;
+    std::set<std::string> result_ids_;
 };
 
-TEST_F(entry_path_test, a_lookup_is_forwarded_and_unknown_paths_are_denied) {
-    configure();
+TEST_F(entry_path_test, a_lookup_is_forwarded_and_unknown_paths_get_404) {
+    publish_configuration();
     start_node("n1");
-    ASSERT_TRUE(wait_ready("n1"));
+    ASSERT_TRUE(wait_until_ready("n1"));
     const auto got = call("n1", "POST", "/look/x", {{"Request-Id", "q1"}});
     EXPECT_EQ(got.status, 200);
     EXPECT_EQ(got.body, "answer to q1");
@@ -129,11 +130,11 @@
 }
 
 TEST_F(entry_path_test, a_job_is_run_and_read_at_another_node) {
-    configure();
+    publish_configuration();
     start_node("n1");
     start_node("n2");
-    ASSERT_TRUE(wait_ready("n1"));
-    ASSERT_TRUE(wait_ready("n2"));
+    ASSERT_TRUE(wait_until_ready("n1"));
+    ASSERT_TRUE(wait_until_ready("n2"));
     EXPECT_EQ(submit("n1").status, 202);
     EXPECT_EQ(submit("n2").status, 202);
     EXPECT_EQ(call("n2", "GET", "/items/job1?id=i3").body, "a");
@@ -143,111 +144,114 @@
     // The second submission added nothing behind the last result.
     const auto last =
         json::parse(call("n1", "GET", "/lots/job1?after=12").body);
-    EXPECT_EQ(last.at("next"), items);
+    EXPECT_EQ(last.at("next"), items_per_job);
     EXPECT_TRUE(last.at("results").empty());
 }
 
 // Guards against an owner that crashes when an event ends its own run.
-TEST_F(entry_path_test, weights_that_change_in_a_run_do_not_stop_the_owner) {
-    auto single = json::parse(configuration);
+TEST_F(entry_path_test, a_weight_change_during_a_run_does_not_crash_the_owner) {
+    auto single = json::parse(configuration_json);
     single.at("routes").at(1)["singleVersion"] = true;
     store_.put("keyed.op", "config", single.dump());
     start_node("n1");
-    ASSERT_TRUE(wait_ready("n1"));
+    ASSERT_TRUE(wait_until_ready("n1"));
     ASSERT_EQ(submit("n1").status, 202);
-    ASSERT_TRUE(run_until(
-        [&] { return engines_[0]->runs() > 0 && engines_[1]->runs() > 0; }));
-    engines_[0]->change_version(2);
-    engines_[1]->change_version(2);
+    ASSERT_TRUE(run_until([&] {
+        return samplers_[0]->run_count() > 0 && samplers_[1]->run_count() > 0;
+    }));
+    samplers_[0]->set_weight_version(2);
+    samplers_[1]->set_weight_version(2);
     EXPECT_TRUE(read_all("n1"));
-    EXPECT_TRUE(nodes_.at("n1")->running());
+    EXPECT_TRUE(nodes_.at("n1")->is_running());
 }
 
 TEST_F(entry_path_test, a_killed_owner_loses_no_result_and_no_position) {
     // The process that runs the jobs is killed in the middle of a step. The
     // trainer must read every sample once, whole, and what it had read must
     // stand where it stood.
-    configure();
+    publish_configuration();
     for (const char* name : {"n1", "n2", "n3"}) {
         start_node(name);
     }
     for (const char* name : {"n1", "n2", "n3"}) {
-        ASSERT_TRUE(wait_ready(name));
+        ASSERT_TRUE(wait_until_ready(name));
     }
-    ASSERT_TRUE(run_until([&] { return !owner().empty(); }));
-    const auto killed = owner();
+    ASSERT_TRUE(run_until([&] { return !job_owner().empty(); }));
+    const auto killed = job_owner();
     const std::string reader = killed == "n1" ? "n2" : "n1";
     ASSERT_EQ(submit(reader).status, 202);
     ASSERT_TRUE(run_until([&] {
-        read_on(reader);
-        return !read_.empty();
+        read_next_results(reader);
+        return !results_.empty();
     }));
-    const auto before = read_;
+    const auto before = results_;
     nodes_.at(killed)->signal(SIGKILL);
     EXPECT_TRUE(read_all(reader));
-    EXPECT_NE(owner(), killed);
-    read_.clear();
-    ids_.clear();
+    EXPECT_NE(job_owner(), killed);
+    results_.clear();
+    result_ids_.clear();
     ASSERT_TRUE(read_all(reader));
-    EXPECT_TRUE(std::equal(before.begin(), before.end(), read_.begin()));
+    EXPECT_TRUE(std::equal(before.begin(), before.end(), results_.begin()));
 }
 
 TEST_F(entry_path_test, a_stopped_owner_hands_over_and_exits) {
     // An operator replaces the node that runs the jobs.
-    configure();
+    publish_configuration();
     start_node("n1");
     start_node("n2");
-    ASSERT_TRUE(wait_ready("n1"));
-    ASSERT_TRUE(wait_ready("n2"));
-    ASSERT_TRUE(run_until([&] { return !owner().empty(); }));
-    const auto stopped = owner();
+    ASSERT_TRUE(wait_until_ready("n1"));
+    ASSERT_TRUE(wait_until_ready("n2"));
+    ASSERT_TRUE(run_until([&] { return !job_owner().empty(); }));
+    const auto stopped = job_owner();
     const std::string other = stopped == "n1" ? "n2" : "n1";
     ASSERT_EQ(submit(other).status, 202);
     nodes_.at(stopped)->signal(SIGTERM);
     EXPECT_TRUE(read_all(other));
-    EXPECT_TRUE(run_until([&] { return !nodes_.at(stopped)->running(); }));
-    EXPECT_EQ(nodes_.at(stopped)->wait(0), 0);
-    EXPECT_EQ(owner(), other);
+    EXPECT_TRUE(run_until([&] { return !nodes_.at(stopped)->is_running(); }));
+    EXPECT_EQ(nodes_.at(stopped)->wait_for_exit(0), 0);
+    EXPECT_EQ(job_owner(), other);
 }
 
 TEST_F(entry_path_test, a_save_without_an_answer_does_not_keep_an_owner) {
     // Guards against jobs that stand still until a stopping owner has ended.
-    configure();
+    publish_configuration();
     start_node("n1");
     start_node("n2");
-    ASSERT_TRUE(wait_ready("n1"));
-    ASSERT_TRUE(wait_ready("n2"));
-    ASSERT_TRUE(run_until([&] { return !owner().empty(); }));
-    const auto stopped = owner();
+    ASSERT_TRUE(wait_until_ready("n1"));
+    ASSERT_TRUE(wait_until_ready("n2"));
+    ASSERT_TRUE(run_until([&] { return !job_owner().empty(); }));
+    const auto stopped = job_owner();
     const std::string other = stopped == "n1" ? "n2" : "n1";
-    for (const auto& e : engines_) {
-        e->set_event_ms(slow_event_ms);
+    for (const auto& e : samplers_) {
+        e->set_event_interval_ms(slow_event_interval_ms);
     }
-    store_.hold_answers("keyed.progress");
+    store_.withhold_responses("keyed.progress");
     ASSERT_EQ(submit(other).status, 202);
-    ASSERT_TRUE(run_until([&] { return store_.held_answers() > 0; }));
-    store_.hold_answers("");
+    ASSERT_TRUE(run_until([&] { return store_.withheld_responses() > 0; }));
+    store_.withhold_responses("");
     nodes_.at(stopped)->signal(SIGTERM);
     EXPECT_TRUE(read_all(other));
-    EXPECT_TRUE(run_until([&] { return !nodes_.at(stopped)->running(); }));
-    EXPECT_TRUE(gave_up(stopped));
+    EXPECT_TRUE(run_until([&] { return !nodes_.at(stopped)->is_running(); }));
+    EXPECT_TRUE(has_released_ownership(stopped));
 }
 
 TEST_F(entry_path_test, a_job_is_refused_while_the_store_is_away) {
     // The store is down. A job that is accepted would be lost with the node,
     // so it is refused at once; results wait and come when it is back.
-    configure();
+    publish_configuration();
     start_node("n1");
-    ASSERT_TRUE(wait_ready("n1"));
-    ASSERT_TRUE(run_until([&] { return !owner().empty(); }));
-    store_.set_refusing(true);
+    ASSERT_TRUE(wait_until_ready("n1"));
+    ASSERT_TRUE(run_until([&] { return !job_owner().empty(); }));
+    store_.set_unavailable(true);
     EXPECT_EQ(submit("n1").status, 503);
-    store_.set_refusing(false);
+    store_.set_unavailable(false);
     EXPECT_TRUE(run_until([&] { return submit("n1").status == 202; }));
-    EXPECT_TRUE(run_until([&] { return engines_[0]->runs() > 0; }));
-    store_.set_refusing(true);
-    run_until([&] { return engines_[0]->runs() + engines_[1]->runs() >= 8; });
-    store_.set_refusing(false);
+    EXPECT_TRUE(run_until([&] { return samplers_[0]->run_count() > 0; }));
+    store_.set_unavailable(true);
+    run_until([&] {
+        return samplers_[0]->run_count() + samplers_[1]->run_count() >= 8;
+    });
+    store_.set_unavailable(false);
     EXPECT_TRUE(read_all("n1"));
 }
 
@@ -264,13 +268,13 @@
     while (part_of(blocked) == part_of("job1")) {
         blocked += "a";
     }
-    configure();
+    publish_configuration();
     start_node("n1");
-    ASSERT_TRUE(wait_ready("n1"));
-    ASSERT_TRUE(run_until([&] { return !owner().empty(); }));
-    store_.refuse_appends("keyed.texts", part_of(blocked));
+    ASSERT_TRUE(wait_until_ready("n1"));
+    ASSERT_TRUE(run_until([&] { return !job_owner().empty(); }));
+    store_.reject_appends("keyed.texts", part_of(blocked));
     ASSERT_EQ(call("n1", "POST", "/batch/1", {{"Request-Id", blocked}},
-                   job_body("b", 1))
+                   make_job_body("b", 1))
                   .status,
               202);
     ASSERT_EQ(submit("n1").status, 202);
@@ -284,44 +288,44 @@
     // A server loses the store while requests still reach it, so that its entry
     // lapses in the middle of a step. A trainer whose items it has must not
     // wait for them for hours, nor get one of them twice.
-    configure();
+    publish_configuration();
     start_node("n1");
-    ASSERT_TRUE(wait_ready("n1"));
-    ASSERT_TRUE(run_until([&] { return !owner().empty(); }));
+    ASSERT_TRUE(wait_until_ready("n1"));
+    ASSERT_TRUE(run_until([&] { return !job_owner().empty(); }));
     ASSERT_EQ(submit("n1").status, 202);
-    ASSERT_TRUE(run_until([&] { return engines_[0]->runs() > 0; }));
+    ASSERT_TRUE(run_until([&] { return samplers_[0]->run_count() > 0; }));
     store_.put("keyed.servers", "llm-0", "");
     EXPECT_TRUE(read_all("n1"));
 }
 
 TEST_F(entry_path_test, an_open_job_follows_its_route_to_another_service) {
     // Guards against a job whose service has lost all its servers.
-    token_server moved{io_, "new-0", events, event_ms};
-    configure();
+    fake_backend_server moved{io_, "new-0", events_per_run, event_interval_ms};
+    publish_configuration();
     start_node("n1");
-    ASSERT_TRUE(wait_ready("n1"));
-    ASSERT_TRUE(run_until([&] { return !owner().empty(); }));
+    ASSERT_TRUE(wait_until_ready("n1"));
+    ASSERT_TRUE(run_until([&] { return !job_owner().empty(); }));
     ASSERT_EQ(submit("n1").status, 202);
-    ASSERT_TRUE(run_until([&] { return engines_[0]->runs() > 0; }));
-    store_.put("keyed.servers", "new-0", moved.entry("new", true));
+    ASSERT_TRUE(run_until([&] { return samplers_[0]->run_count() > 0; }));
+    store_.put("keyed.servers", "new-0", moved.make_registration("new", true));
     store_.put("keyed.servers", "llm-0", "");
     store_.put("keyed.servers", "llm-1", "");
-    store_.put("keyed.op", "config", moved_configuration());
+    store_.put("keyed.op", "config", make_moved_configuration());
     EXPECT_TRUE(read_all("n1"));
-    EXPECT_GT(moved.runs(), 0);
+    EXPECT_GT(moved.run_count(), 0);
 }
 
 TEST_F(entry_path_test, an_item_counts_once_whatever_its_reward_calls) {
     // Servers work on reward calls and their answers are lost, so that each is
     // made again. A ledger that takes the item with each call would charge for
     // it twice; the trainer must read it once, with one score.
-    configure();
+    publish_configuration();
     start_node("n1");
-    ASSERT_TRUE(wait_ready("n1"));
-    app_.set_losing_answers(true);
+    ASSERT_TRUE(wait_until_ready("n1"));
+    app_server_.set_dropping_responses(true);
     ASSERT_EQ(submit("n1").status, 202);
-    ASSERT_TRUE(run_until([&] { return app_.runs() > 3; }));
-    app_.set_losing_answers(false);
+    ASSERT_TRUE(run_until([&] { return app_server_.run_count() > 3; }));
+    app_server_.set_dropping_responses(false);
     EXPECT_TRUE(read_all("n1"));
 }
 
@@ -330,23 +334,24 @@
     // link that loses packets. The caller must not hang: it gets an answer that
     // promises nothing once its time is over.
     constexpr int gateway_timeout = 504;
-    configure();
+    publish_configuration();
     start_node("n1");
-    ASSERT_TRUE(wait_ready("n1"));
-    app_.fall_mute();
+    ASSERT_TRUE(wait_until_ready("n1"));
+    app_server_.stop_responding();
     EXPECT_EQ(call("n1", "POST", "/look/1",
                    {{"Request-Id", "r1"}, {"Deadline-Ms", "600"}})
                   .status,
               gateway_timeout);
 }
 
-TEST_F(entry_path_test, servers_are_moved_to_a_version_that_is_named) {
-    configure();
+TEST_F(entry_path_test, servers_load_an_announced_version) {
+    publish_configuration();
     start_node("n1");
-    ASSERT_TRUE(wait_ready("n1"));
+    ASSERT_TRUE(wait_until_ready("n1"));
     store_.put("keyed.op", "version/m", R"({"model":"m","version":2})");
     EXPECT_TRUE(run_until([&] {
-        return engines_[0]->version() == 2 && engines_[1]->version() == 2;
+        return samplers_[0]->weight_version() == 2 &&
+               samplers_[1]->weight_version() == 2;
     }));
     EXPECT_EQ(submit("n1", 2).status, 202);
     EXPECT_TRUE(read_all("n1"));
@@ -355,50 +360,50 @@
 TEST_F(entry_path_test, a_resumable_stream_goes_on_at_another_server) {
     // The server of a stream crashes in the middle of an event. Its caller
     // must see each event once and whole, and nothing of the crash.
-    configure();
+    publish_configuration();
     start_node("n1");
-    ASSERT_TRUE(wait_ready("n1"));
-    const auto got = stream_with_a_break("/stream/1");
+    ASSERT_TRUE(wait_until_ready("n1"));
+    const auto got = read_stream_with_abort("/stream/1");
     EXPECT_EQ(got.status, 200);
-    EXPECT_EQ(got.body, whole_stream("s1"));
-    EXPECT_EQ(engines_[0]->runs() + engines_[1]->runs(), 2);
+    EXPECT_EQ(got.body, expected_stream("s1"));
+    EXPECT_EQ(samplers_[0]->run_count() + samplers_[1]->run_count(), 2);
 }
 
 TEST_F(entry_path_test, a_stream_that_may_not_be_resumed_breaks_off) {
     // The same crash on a route whose streams run once only. What the caller
     // gets must not look whole, and no second run may begin.
-    configure();
+    publish_configuration();
     start_node("n1");
-    ASSERT_TRUE(wait_ready("n1"));
-    EXPECT_EQ(stream_with_a_break("/plain-stream/1").status, 0);
-    EXPECT_EQ(engines_[0]->runs() + engines_[1]->runs(), 1);
+    ASSERT_TRUE(wait_until_ready("n1"));
+    EXPECT_EQ(read_stream_with_abort("/plain-stream/1").status, 0);
+    EXPECT_EQ(samplers_[0]->run_count() + samplers_[1]->run_count(), 1);
 }
 
 TEST_F(entry_path_test, a_stream_without_ids_is_not_begun_anew) {
     // A server's events bear no ids, so that no other server can be told where
     // to go on. It would send the first ones again, to a caller that has them.
-    configure();
+    publish_configuration();
     start_node("n1");
-    ASSERT_TRUE(wait_ready("n1"));
-    EXPECT_EQ(stream_with_a_break("/stream/1", "noid1").status, 0);
-    EXPECT_EQ(engines_[0]->runs() + engines_[1]->runs(), 1);
+    ASSERT_TRUE(wait_until_ready("n1"));
+    EXPECT_EQ(read_stream_with_abort("/stream/1", "noid1").status, 0);
+    EXPECT_EQ(samplers_[0]->run_count() + samplers_[1]->run_count(), 1);
 }
 
 TEST_F(entry_path_test, what_may_not_be_repeated_is_sent_once) {
     // A server charges a student's account and its answer is lost. The node
     // can't know whether it ran, so it must neither send it again nor say
     // that it did not run.
-    configure();
+    publish_configuration();
     start_node("n1");
-    ASSERT_TRUE(wait_ready("n1"));
-    app_.set_losing_answers(true);
+    ASSERT_TRUE(wait_until_ready("n1"));
+    app_server_.set_dropping_responses(true);
     const auto once = call("n1", "POST", "/once/x", {{"Request-Id", "q1"}});
     EXPECT_EQ(once.status, 502);
-    EXPECT_EQ(app_.runs(), 1);
+    EXPECT_EQ(app_server_.run_count(), 1);
     EXPECT_EQ(call("n1", "POST", "/look/x", {{"Request-Id", "q2"}}).status,
               502);
-    EXPECT_EQ(app_.runs(), 3);
-    app_.set_losing_answers(false);
+    EXPECT_EQ(app_server_.run_count(), 3);
+    app_server_.set_dropping_responses(false);
     EXPECT_EQ(call("n1", "POST", "/once/x", {{"Request-Id", "q3"}}).status,
               200);
 }
@@ -407,12 +412,12 @@
     // A long text, or a prompt with much in it, exceeds what the store takes
     // as one record. Refused whole, the job could not be accepted, or its
     // result never be listed, nor those that were listed together with it.
-    configure();
+    publish_configuration();
     start_node("n1");
-    ASSERT_TRUE(wait_ready("n1"));
+    ASSERT_TRUE(wait_until_ready("n1"));
     const std::string content(400000, 'A'); // 300,000 bytes of zeros.
     ASSERT_EQ(call("n1", "POST", "/batch/1", {{"Request-Id", "job1"}},
-                   job_body("big", 1, content))
+                   make_job_body("big", 1, content))
                   .status,
               202);
     EXPECT_EQ(call("n1", "GET", "/items/job1?id=big7").body,
@@ -423,14 +428,14 @@
 TEST_F(entry_path_test, the_records_of_an_ended_job_leave_the_store) {
     // The store refuses all appends once it is full. Records of jobs that
     // nobody reads any more must go, before no job is accepted any longer.
-    more_settings_ = "bounds:\n  status_s: 1\n  margin_s: 0\n";
-    configure();
+    extra_settings_ = "bounds:\n  status_s: 1\n  margin_s: 0\n";
+    publish_configuration();
     start_node("n1");
-    ASSERT_TRUE(wait_ready("n1"));
-    ASSERT_EQ(
-        call("n1", "POST", "/batch/2", {{"Request-Id", "job2"}}, job_body("o"))
-            .status,
-        202);
+    ASSERT_TRUE(wait_until_ready("n1"));
+    ASSERT_EQ(call("n1", "POST", "/batch/2", {{"Request-Id", "job2"}},
+                   make_job_body("o"))
+                  .status,
+              202);
     ASSERT_EQ(submit("n1").status, 202);
     ASSERT_TRUE(read_all("n1"));
     ASSERT_EQ(call("n1", "DELETE", "/lots/job1").status, 200);
@@ -438,7 +443,7 @@
         std::size_t keys = 0;
         for (const char* topic : {"keyed.journal", "keyed.items", "keyed.texts",
                                   "keyed.progress"}) {
-            keys += store_.keys(topic, job + "/");
+            keys += store_.count_keys(topic, job + "/");
         }
         return keys;
     };
@@ -449,22 +454,22 @@
     EXPECT_EQ(call("n1", "GET", "/lots/job2").status, 200);
 }
 
-TEST_F(entry_path_test,
-       a_settings_file_that_changes_is_taken_without_a_signal) {
+TEST_F(entry_path_test, a_changed_settings_file_is_loaded_without_a_signal) {
     // The store moves to another address and the platform writes it into the
     // settings file, with or without a signal. A node that went by the old one
     // would be out of touch until somebody restarts it.
-    configure();
-    start_node("n1", base::endpoint{"127.0.0.1", reserved_.take("127.0.0.1")});
+    publish_configuration();
+    start_node("n1", base::endpoint{"127.0.0.1",
+                                    reserved_ports_.reserve("127.0.0.1")});
     ASSERT_TRUE(run_until(
         [&] { return call("n1", "GET", "/readyz", {}, "", 1).status == 503; }));
     write_settings("n1");
-    EXPECT_TRUE(wait_ready("n1"));
+    EXPECT_TRUE(wait_until_ready("n1"));
 }
 
 // Guards against a node that is ended by a change of its settings at its start.
 TEST_F(entry_path_test, a_reload_signal_during_the_start_does_not_end_a_node) {
-    configure();
+    publish_configuration();
     const auto file = write_settings("n1");
     const auto aside = file + ".aside";
     std::stringstream text;
@@ -473,7 +478,7 @@
     ASSERT_EQ(::mkfifo(file.c_str(), 0600), 0);
     nodes_["n1"] = std::make_unique<process>(
         std::vector<std::string>{HIBISCUS_ENTRYD, "--settings=" + file},
-        folder_ + "/n1.log");
+        work_dir_ + "/n1.log");
     int pipe = -1;
     ASSERT_TRUE(run_until([&] {
         if (pipe < 0) {
@@ -487,14 +492,14 @@
     EXPECT_EQ(::write(pipe, bytes.data(), bytes.size()),
               static_cast<ssize_t>(bytes.size()));
     ::close(pipe);
-    EXPECT_TRUE(wait_ready("n1"));
+    EXPECT_TRUE(wait_until_ready("n1"));
 }
 
-TEST_F(entry_path_test, a_wrong_setting_ends_the_start) {
-    const auto file = folder_ + "/wrong.yaml";
+TEST_F(entry_path_test, an_invalid_setting_fails_startup) {
+    const auto file = work_dir_ + "/wrong.yaml";
     std::ofstream(file) << "node: n\nzone: z\nlisten:\n  callers: nowhere\n";
-    process node({HIBISCUS_ENTRYD, "--settings=" + file}, folder_ + "/out");
-    EXPECT_EQ(node.wait(30000), 2);
+    process node({HIBISCUS_ENTRYD, "--settings=" + file}, work_dir_ + "/out");
+    EXPECT_EQ(node.wait_for_exit(30000), 2);
     EXPECT_NE(node.output().find("listen.callers"), std::string::npos);
 }
 
--- a/testing/entry/entry_reload_test.cpp
+++ b/testing/entry/entry_reload_test.cpp
@@ -1,4 +1,4 @@
-#include "entry/entry_world.hpp"
+#include "entry/entry_harness.hpp"
 
 #include <gtest/gtest.h>
 
@@ -15,12 +15,12 @@
 
 namespace {
 
-class entry_reload_test : public ::testing::Test, protected entry_world {
+class entry_reload_test : public ::testing::Test, protected entry_harness {
 protected:
     /// Writes to a pipe that a program reads as its settings file, and leaves a
     /// plain file of the same content in its place.
-    static void give_settings(int pipe, const std::string& path,
-                              const std::string& text) {
+    static void write_settings_to_pipe(int pipe, const std::string& path,
+                                       const std::string& text) {
         std::ofstream(path + ".next") << text;
         std::filesystem::rename(path + ".next", path);
         ASSERT_EQ(::write(pipe, text.data(), text.size()),
@@ -29,7 +29,7 @@
     }
 
     /// Returns true if a process has a handler for SIGHUP.
-    static bool handles_reloads(pid_t id) {
+    static bool handles_sighup(pid_t id) {
         const std::string name = "SigCgt:";
         std::ifstream in("/proc/" + std::to_string(id) + "/status");
         for (std::string line; std::getline(in, line);) {
@@ -44,15 +44,15 @@
 
     /// Sends SIGHUP to each node that has no handler for it any more, at most
     /// half a minute, until all have ended.
-    bool signal_until_all_end() {
+    bool signal_until_all_exit() {
         const base::clock clock;
         const auto until = clock.now() + 30000;
         bool ended = false;
         while (!ended && clock.now() < until) {
             ended = true;
             for (const auto& [name, node] : nodes_) {
-                ended = !node->running() && ended;
-                if (!handles_reloads(node->id())) {
+                ended = !node->is_running() && ended;
+                if (!handles_sighup(node->pid())) {
                     node->signal(SIGHUP);
                 }
             }
@@ -63,7 +63,7 @@
     }
 
     /// Returns the end of a pipe to write to once a program reads from it.
-    int opened(const std::string& path) {
+    int open_pipe_for_writing(const std::string& path) {
         int pipe = -1;
         run_until([&] {
             if (pipe < 0) {
@@ -75,8 +75,9 @@
     }
 };
 
-TEST_F(entry_reload_test, a_reload_asked_for_during_the_start_ends_no_node) {
-    configure();
+TEST_F(entry_reload_test,
+       a_reload_signal_during_startup_does_not_end_the_node) {
+    publish_configuration();
     const auto path = write_settings("n1");
     std::stringstream text;
     text << std::ifstream(path).rdbuf();
@@ -84,34 +85,34 @@
     ASSERT_EQ(::mkfifo(path.c_str(), S_IRUSR | S_IWUSR), 0);
     nodes_["n1"] = std::make_unique<process>(
         std::vector<std::string>{HIBISCUS_ENTRYD, "--settings=" + path},
-        folder_ + "/n1.log");
-    const int pipe = opened(path);
+        work_dir_ + "/n1.log");
+    const int pipe = open_pipe_for_writing(path);
     ASSERT_GE(pipe, 0);
     nodes_.at("n1")->signal(SIGHUP);
-    give_settings(pipe, path, text.str());
-    while (nodes_.at("n1")->running() && nodes_.at("n1")->output().empty()) {
+    write_settings_to_pipe(pipe, path, text.str());
+    while (nodes_.at("n1")->is_running() && nodes_.at("n1")->output().empty()) {
         nodes_.at("n1")->signal(SIGHUP);
         pause_for(1);
     }
-    ASSERT_TRUE(wait_ready("n1"));
+    ASSERT_TRUE(wait_until_ready("n1"));
     EXPECT_TRUE(run_until([&] {
         return nodes_.at("n1")->output().find("\"cause\":\"signal\"") !=
                std::string::npos;
     }));
 }
 
-TEST_F(entry_reload_test, reloads_until_the_end_of_a_stop_leave_its_exit_code) {
-    configure();
+TEST_F(entry_reload_test, reload_signals_during_shutdown_keep_the_exit_code) {
+    publish_configuration();
     for (const char* name : {"n1", "n2", "n3"}) {
         start_node(name);
-        ASSERT_TRUE(wait_ready(name));
+        ASSERT_TRUE(wait_until_ready(name));
     }
     for (const char* name : {"n1", "n2", "n3"}) {
         nodes_.at(name)->signal(SIGTERM);
     }
-    EXPECT_TRUE(signal_until_all_end());
+    EXPECT_TRUE(signal_until_all_exit());
     for (const auto& [name, node] : nodes_) {
-        EXPECT_EQ(node->wait(0), 0) << name;
+        EXPECT_EQ(node->wait_for_exit(0), 0) << name;
     }
 }
 
--- a/testing/entry/kept_client.cpp
+++ b/testing/entry/keep_alive_client.cpp
@@ -1,4 +1,4 @@
-#include "entry/kept_client.hpp"
+#include "entry/keep_alive_client.hpp"
 
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -21,12 +21,12 @@
 namespace {
 
 /// How long a client waits between two tries to connect.
-constexpr base::millis reconnect_ms = 5;
+constexpr base::millis reconnect_delay_ms = 5;
 
 /// The time between two pieces of a request.
-constexpr base::millis piece_ms = 3;
+constexpr base::millis write_delay_ms = 3;
 
-std::string bytes_of(const kept_request& request) {
+std::string serialize_request(const client_request& request) {
     auto out = request.method + " " + request.target + " HTTP/1.1\r\n";
     for (const auto& f : request.fields) {
         out += f.name + ": " + f.value + "\r\n";
@@ -37,7 +37,7 @@
 }
 
 /// True if neither the end of the connection nor bytes have come.
-bool is_quiet(tcp::socket& socket) {
+bool is_idle(tcp::socket& socket) {
     char byte = 0;
     return ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT) <
                0 &&
@@ -46,29 +46,29 @@
 
 } // namespace
 
-class kept_client::impl : public std::enable_shared_from_this<impl> {
+class keep_alive_client::impl : public std::enable_shared_from_this<impl> {
 public:
-    impl(asio::io_context& io, const base::endpoint& node, next_function next,
-         ended_function ended)
+    impl(asio::io_context& io, const base::endpoint& node, request_source next,
+         completion_handler ended)
         : socket_(io), timer_(io),
           node_(asio::ip::make_address(node.ip), node.port),
-          next_(std::move(next)), ended_(std::move(ended)) {}
+          next_request_(std::move(next)), on_complete_(std::move(ended)) {}
 
-    void begin() {
+    void start_next_request() {
         if (stopping_) {
             stopped_ = true;
             close();
             return;
         }
-        request_ = next_();
-        after(request_.pause_ms, &impl::connect);
+        request_ = next_request_();
+        schedule(request_.delay_ms, &impl::connect);
     }
 
     void stop() { stopping_ = true; }
-    bool stopped() const { return stopped_; }
+    bool is_stopped() const { return stopped_; }
 
 private:
-    void after(base::millis ms, void (impl::*then)()) {
+    void schedule(base::millis ms, void (impl::*then)()) {
         timer_.expires_after(std::chrono::milliseconds(ms));
         timer_.async_wait([self = shared_from_this(), then](const auto&) {
             (self.get()->*then)();
@@ -81,7 +81,7 @@
     }
 
     void connect() {
-        if (socket_.is_open() && is_quiet(socket_)) {
+        if (socket_.is_open() && is_idle(socket_)) {
             send();
             return;
         }
@@ -94,25 +94,26 @@
                 self->stopped_ = true;
                 self->close();
             } else {
-                self->after(reconnect_ms, &impl::connect);
+                self->schedule(reconnect_delay_ms, &impl::connect);
             }
         });
     }
 
     void send() {
-        bytes_ = bytes_of(request_);
+        request_bytes_ = serialize_request(request_);
         sent_bytes_ = 0;
-        answer_.emplace();
-        answer_->body_limit(boost::none);
+        response_parser_.emplace();
+        response_parser_->body_limit(boost::none);
         reply_ = {};
         send_piece();
     }
 
     void send_piece() {
-        const auto size = std::min(bytes_.size() / request_.pieces + 1,
-                                   bytes_.size() - sent_bytes_);
+        const auto size =
+            std::min(request_bytes_.size() / request_.write_count + 1,
+                     request_bytes_.size() - sent_bytes_);
         asio::async_write(
-            socket_, asio::buffer(bytes_.data() + sent_bytes_, size),
+            socket_, asio::buffer(request_bytes_.data() + sent_bytes_, size),
             [self = shared_from_this()](auto error, std::size_t count) {
                 self->on_sent(error, count);
             });
@@ -120,84 +121,86 @@
 
     void on_sent(beast::error_code error, std::size_t count) {
         if (error) {
-            on_broken(error);
+            on_connection_error(error);
             return;
         }
         sent_bytes_ += count;
-        if (sent_bytes_ < bytes_.size()) {
-            after(piece_ms, &impl::send_piece);
+        if (sent_bytes_ < request_bytes_.size()) {
+            schedule(write_delay_ms, &impl::send_piece);
             return;
         }
-        reply_.sent = true;
+        reply_.fully_sent = true;
         sent_at_ = clock_.now();
         http::async_read(
-            socket_, buffer_, *answer_,
+            socket_, buffer_, *response_parser_,
             [self = shared_from_this()](beast::error_code e, std::size_t) {
-                self->on_answer(e);
+                self->on_response(e);
             });
     }
 
-    void on_answer(beast::error_code error) {
+    void on_response(beast::error_code error) {
         if (error) {
-            on_broken(error);
+            on_connection_error(error);
             return;
         }
-        auto message = answer_->release();
+        auto message = response_parser_->release();
         reply_.status = static_cast<int>(message.result_int());
         reply_.body = std::move(message.body());
         if (!message.keep_alive()) {
             close();
         }
-        end();
+        finish_request();
     }
 
-    void on_broken(beast::error_code error) {
-        reply_.reset = error == asio::error::connection_reset ||
-                       error == asio::error::broken_pipe;
+    void on_connection_error(beast::error_code error) {
+        reply_.connection_reset = error == asio::error::connection_reset ||
+                                  error == asio::error::broken_pipe;
         close();
-        end();
+        finish_request();
     }
 
-    void end() {
-        reply_.waited = reply_.sent ? clock_.now() - sent_at_ : 0;
-        ended_(request_, reply_);
-        begin();
+    void finish_request() {
+        reply_.wait_ms = reply_.fully_sent ? clock_.now() - sent_at_ : 0;
+        on_complete_(request_, reply_);
+        start_next_request();
     }
 
     base::clock clock_;
     tcp::socket socket_;
     asio::steady_timer timer_;
     tcp::endpoint node_;
-    next_function next_;
-    ended_function ended_;
-    kept_request request_;
-    kept_reply reply_;
-    std::string bytes_;
+    request_source next_request_;
+    completion_handler on_complete_;
+    client_request request_;
+    client_reply reply_;
+    std::string request_bytes_;
     std::size_t sent_bytes_ = 0;
     base::millis sent_at_ = 0;
     beast::flat_buffer buffer_;
-    std::optional<http::response_parser<http::string_body>> answer_;
+    std::optional<http::response_parser<http::string_body>> response_parser_;
     bool stopping_ = false;
     bool stopped_ = false;
 };
 
-kept_client::kept_client(asio::io_context& io, const base::endpoint& node,
-                         next_function next, ended_function ended)
+keep_alive_client::keep_alive_client(asio::io_context& io,
+                                     const base::endpoint& node,
+                                     request_source next,
+                                     completion_handler ended)
     : impl_(
           std::make_shared<impl>(io, node, std::move(next), std::move(ended))) {
-    impl_->begin();
+    impl_->start_next_request();
 }
 
-kept_client::~kept_client() {
+keep_alive_client::~keep_alive_client() {
     impl_->stop();
 }
 
-void kept_client::stop() {
+void keep_alive_client::stop() {
     impl_->stop();
 }
 
-bool kept_client::stopped() const {
-    return impl_->stopped();
+bool keep_alive_client::is_stopped() const {
+    return impl_->is_stopped();
 }
 
 } // namespace hibiscus::testing
--- a/testing/fault_proxy/main.cpp
+++ b/testing/fault_proxy/main.cpp
@@ -6,8 +6,8 @@
 // POST /v1/freeze makes all open connections silent; new ones work
 // POST /v1/rule   sets what happens to new connections, see rule
 
-#include "fault_proxy/link.hpp"
-#include "support/stand_in.hpp"
+#include "fault_proxy/proxied_connection.hpp"
+#include "support/fake_server.hpp"
 
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
@@ -27,21 +27,22 @@
 using nlohmann::json;
 using tcp = asio::ip::tcp;
 
-tcp::endpoint endpoint_of(const std::string& text) {
+tcp::endpoint parse_tcp_endpoint(const std::string& text) {
     const auto e = base::parse_endpoint(text).value_or(base::endpoint{});
     return {asio::ip::make_address(e.ip), e.port};
 }
 
 /// Reads a rule from a test's order; what is left out has no effect.
-rule rule_of(const json& order) {
-    rule r;
-    r.refuse = order.value("refuse", false);
+fault_rule parse_rule(const json& order) {
+    fault_rule r;
+    r.refuse_connections = order.value("refuse", false);
     r.delay_ms = order.value("delay_ms", base::millis{0});
-    r.to_target = order.value("to_target", std::int64_t{-1});
-    r.to_client = order.value("to_client", std::int64_t{-1});
-    r.times = order.value("times", -1);
+    r.bytes_to_target = order.value("to_target", std::int64_t{-1});
+    r.bytes_to_client = order.value("to_client", std::int64_t{-1});
+    r.connections_left = order.value("times", -1);
     const auto action = order.value("action", std::string("cut"));
-    r.then = base::from_name<fault_action>(action).value_or(fault_action::cut);
+    r.action =
+        base::from_name<fault_action>(action).value_or(fault_action::cut);
     return r;
 }
 
@@ -50,9 +51,9 @@
 public:
     fault_proxy(asio::io_context& io, const std::string& listen,
                 const std::string& target)
-        : io_(io), acceptor_(io), address_(endpoint_of(listen)),
-          target_(endpoint_of(target)) {
-        open();
+        : io_(io), acceptor_(io), address_(parse_tcp_endpoint(listen)),
+          target_(parse_tcp_endpoint(target)) {
+        start_listening();
     }
 
     /// Handles one order of a test.
@@ -60,31 +61,32 @@
                 const net::http_responder& respond) {
         const auto order = json::parse(request.body, nullptr, false);
         if (request.target == "/v1/cut") {
-            each([](link& l) { l.cut(); });
+            for_each_connection([](proxied_connection& l) { l.close(); });
         } else if (request.target == "/v1/freeze") {
-            each([](link& l) { l.freeze(); });
+            for_each_connection([](proxied_connection& l) { l.freeze(); });
         } else if (request.target == "/v1/rule" && order.is_object()) {
-            obey(rule_of(order));
+            set_rule(parse_rule(order));
         } else if (request.target != "/v1/proxy") {
             respond({404, "{}"});
             return;
         }
-        respond({200, state()});
+        respond({200, state_json()});
     }
 
 private:
-    std::string state() {
+    std::string state_json() {
         std::size_t open = 0;
-        each([&](link& l) { open += l.closed() ? 0 : 1; });
+        for_each_connection(
+            [&](proxied_connection& l) { open += l.is_closed() ? 0 : 1; });
         const base::endpoint at{address_.address().to_string(),
                                 address_.port()};
         return json{{"address", base::to_string(at)},
                     {"links", open},
-                    {"accepted", accepted_}}
+                    {"accepted", accepted_count_}}
             .dump();
     }
 
-    void open() {
+    void start_listening() {
         acceptor_.open(address_.protocol());
         acceptor_.set_option(asio::socket_base::reuse_address(true));
         acceptor_.bind(address_);
@@ -93,12 +95,12 @@
         accept();
     }
 
-    void obey(const rule& r) {
+    void set_rule(const fault_rule& r) {
         rule_ = r;
-        if (rule_.refuse && acceptor_.is_open()) {
+        if (rule_.refuse_connections && acceptor_.is_open()) {
             acceptor_.close();
-        } else if (!rule_.refuse && !acceptor_.is_open()) {
-            open();
+        } else if (!rule_.refuse_connections && !acceptor_.is_open()) {
+            start_listening();
         }
     }
 
@@ -108,31 +110,32 @@
                 if (error) {
                     return;
                 }
-                ++accepted_;
-                auto l =
-                    std::make_shared<link>(io_, std::move(client), next_rule());
-                links_.push_back(l);
+                ++accepted_count_;
+                auto l = std::make_shared<proxied_connection>(
+                    io_, std::move(client), take_rule());
+                connections_.push_back(l);
                 l->start(target_);
                 accept();
             });
     }
 
     /// Returns the rule of the next connection, and counts it down.
-    rule next_rule() {
-        if (rule_.times == 0) {
+    fault_rule take_rule() {
+        if (rule_.connections_left == 0) {
             return {};
         }
-        if (rule_.times > 0) {
-            --rule_.times;
+        if (rule_.connections_left > 0) {
+            --rule_.connections_left;
         }
         return rule_;
     }
 
     template <class F>
-    void each(F f) {
-        links_.remove_if(
-            [](const std::weak_ptr<link>& l) { return l.expired(); });
-        for (const auto& weak : links_) {
+    void for_each_connection(F f) {
+        connections_.remove_if([](const std::weak_ptr<proxied_connection>& l) {
+            return l.expired();
+        });
+        for (const auto& weak : connections_) {
             if (auto l = weak.lock()) {
                 f(*l);
             }
@@ -143,9 +146,9 @@
     tcp::acceptor acceptor_;
     tcp::endpoint address_;
     tcp::endpoint target_;
-    rule rule_;
-    std::list<std::weak_ptr<link>> links_;
-    int accepted_ = 0;
+    fault_rule rule_;
+    std::list<std::weak_ptr<proxied_connection>> connections_;
+    int accepted_count_ = 0;
 };
 
 } // namespace
@@ -154,7 +157,7 @@
 int main(int argc, char** argv) {
     absl::ParseCommandLine(argc, argv);
     using hibiscus::testing::fault_proxy;
-    return hibiscus::testing::run_stand_in(
+    return hibiscus::testing::run_fake_server(
         absl::GetFlag(FLAGS_address), [](boost::asio::io_context& io) {
             auto proxy = std::make_shared<fault_proxy>(
                 io, absl::GetFlag(FLAGS_listen), absl::GetFlag(FLAGS_target));
--- a/testing/fault_proxy/link.hpp
+++ b/testing/fault_proxy/proxied_connection.hpp
@@ -21,63 +21,65 @@
 };
 
 /// What happens to a connection that is accepted.
-struct rule {
+struct fault_rule {
     /// Nothing listens, so that the client's connection is refused.
-    bool refuse = false;
+    bool refuse_connections = false;
     /// Each piece of bytes is passed on so much later.
     base::millis delay_ms = 0;
     /// The bytes that pass to the target before the action; -1: no limit.
-    std::int64_t to_target = -1;
+    std::int64_t bytes_to_target = -1;
     /// The bytes that pass to the client before the action; -1: no limit. With
     /// 0 the answer is dropped after its request took effect.
-    std::int64_t to_client = -1;
-    fault_action then = fault_action::cut;
+    std::int64_t bytes_to_client = -1;
+    fault_action action = fault_action::cut;
     /// How many connections the rule holds for; -1: all.
-    int times = -1;
+    int connections_left = -1;
 };
 
 /// A client's connection and the one to the target that belongs to it.
-class link : public std::enable_shared_from_this<link> {
+class proxied_connection
+    : public std::enable_shared_from_this<proxied_connection> {
 public:
     /// Constructs a link that follows `r`.
-    link(boost::asio::io_context& io, boost::asio::ip::tcp::socket client,
-         const rule& r);
+    proxied_connection(boost::asio::io_context& io,
+                       boost::asio::ip::tcp::socket client,
+                       const fault_rule& r);
 
     /// Connects to `target` and passes bytes in both directions.
     void start(const boost::asio::ip::tcp::endpoint& target);
 
     /// Closes both connections.
-    void cut();
+    void close();
 
     /// Passes nothing on from now on, and closes nothing.
     void freeze();
 
     /// Returns true if the link was cut or has ended.
-    bool closed() const { return closed_; }
+    bool is_closed() const { return closed_; }
 
 private:
     /// One of the two directions.
     struct direction {
-        boost::asio::ip::tcp::socket& from;
-        boost::asio::ip::tcp::socket& to;
-        std::int64_t left;
-        bool to_client;
-        boost::asio::steady_timer delay;
-        std::array<char, 16384> bytes{};
+        boost::asio::ip::tcp::socket& source;
+        boost::asio::ip::tcp::socket& destination;
+        std::int64_t bytes_left;
+        bool is_to_client;
+        boost::asio::steady_timer delay_timer;
+        std::array<char, 16384> buffer{};
     };
 
     void read(direction& d);
-    void delayed(direction& d, std::size_t count);
+    void write_after_delay(direction& d, std::size_t count);
     void write(direction& d, std::size_t count);
-    void act(direction& d);
-    void ended(direction& d);
+    void apply_action(direction& d);
+    void on_end_of_stream(direction& d);
 
     boost::asio::ip::tcp::socket client_;
     boost::asio::ip::tcp::socket target_;
-    rule rule_;
-    direction request_;
-    direction answer_;
-    std::shared_ptr<link> frozen_self_;
+    fault_rule rule_;
+    direction to_target_;
+    direction to_client_;
+    std::shared_ptr<proxied_connection> self_while_frozen_;
     bool frozen_ = false;
     bool closed_ = false;
 };
--- a/testing/integration/api_examples_test.cpp
+++ b/testing/integration/api_examples_test.cpp
@@ -1,4 +1,4 @@
-#include "support/system.hpp"
+#include "support/test_cluster.hpp"
 
 #include <gtest/gtest.h>
 #include <nlohmann/json.hpp>
@@ -9,7 +9,7 @@
 
 namespace hibiscus::testing {
 
-extern std::string programs; // NOLINT
+extern std::string build_dir; // NOLINT
 
 namespace {
 
@@ -76,7 +76,7 @@
     }
 }
 
-std::vector<example> examples_of(const std::string& page) {
+std::vector<example> parse_examples(const std::string& page) {
     const auto blocks = http_blocks(page);
     std::vector<example> found;
     for (std::size_t i = 0; i + 1 < blocks.size(); i += 2) {
@@ -95,7 +95,7 @@
 }
 
 /// Fields whose values differ from run to run; only their types are compared.
-bool varies(const std::string& key) {
+bool is_variable_field(const std::string& key) {
     static const std::set<std::string> keys{
         "node", "zone",    "address", "home",     "engine",        "text",
         "seq",  "version", "engines", "document", "slot",          "running",
@@ -104,8 +104,8 @@
 }
 
 /// Returns where `actual` is not of the form of `expected`, or "".
-std::string difference(const json& expected, const json& actual,
-                       const std::string& path, const std::string& key) {
+std::string find_difference(const json& expected, const json& actual,
+                            const std::string& path, const std::string& key) {
     if (expected.is_object()) {
         for (const auto& [name, value] : expected.items()) {
             auto inner = path;
@@ -113,7 +113,7 @@
             if (!actual.is_object() || !actual.contains(name)) {
                 return inner + " is missing";
             }
-            auto wrong = difference(value, actual[name], inner, name);
+            auto wrong = find_difference(value, actual[name], inner, name);
             if (!wrong.empty()) {
                 return wrong;
             }
@@ -124,13 +124,14 @@
         if (!actual.is_array() || expected.empty() != actual.empty()) {
             return path + " has another length";
         }
-        return expected.empty() ? ""
-                                : difference(expected[0], actual[0], path, key);
+        return expected.empty()
+                   ? ""
+                   : find_difference(expected[0], actual[0], path, key);
     }
     const bool same_type =
         (expected.is_number() && actual.is_number()) ||
         std::string(expected.type_name()) == actual.type_name();
-    const bool any = varies(key) || expected == "...";
+    const bool any = is_variable_field(key) || expected == "...";
     const bool same = any ? same_type : expected == actual;
     return same ? "" : path + " is " + actual.dump();
 }
@@ -138,27 +139,28 @@
 /// Three nodes with the backend servers of examples/cascadia.json.
 class api_examples_test : public ::testing::Test {
 protected:
-    api_examples_test() : system_(programs), http_({{"127.0.0.1", 1}}) {
-        system_.start_platform();
+    api_examples_test() : cluster_(build_dir), client_({{"127.0.0.1", 1}}) {
+        cluster_.start_platform();
         for (const char* zone : {"1", "2", "3"}) {
-            system_.start_node(std::string("127.0.0.") + zone,
-                               std::string("z") + zone);
+            cluster_.start_node(std::string("127.0.0.") + zone,
+                                std::string("z") + zone);
         }
-        engine_ = system_.start_engine("job-tagging", "z1");
-        system_.start_engine("job-tagging", "z2");
-        service_ = system_.start_service("balance", "z1");
-        system_.start_service("ledger", "z2");
-        system_.ask("weights", "PUT", "/v1/weights/job-tagger/1", "{}");
+        engine_ = cluster_.start_engine("job-tagging", "z1");
+        cluster_.start_engine("job-tagging", "z2");
+        service_ = cluster_.start_service("balance", "z1");
+        cluster_.start_service("ledger", "z2");
+        cluster_.send_request("weights", "PUT", "/v1/weights/job-tagger/1",
+                              "{}");
     }
 
     base::endpoint address_of(const std::string& target) {
         if (target.empty()) {
-            return system_.entries().front();
+            return cluster_.entry_addresses().front();
         }
         if (target == "engine") {
-            return system_.address(engine_);
+            return cluster_.address_of(engine_);
         }
-        return system_.address(target == "service" ? service_ : target);
+        return cluster_.address_of(target == "service" ? service_ : target);
     }
 
     /// Returns what is wrong with the answer to `e`, or "".
@@ -172,9 +174,10 @@
         const auto at = request.body.find(now);
         if (at != std::string::npos) {
             request.body.replace(at, now.size(),
-                                 std::to_string(base::clock().wall()));
+                                 std::to_string(base::clock().wall_time()));
         }
-        const auto result = http_.send_to(address_of(e.target), request, 10000);
+        const auto result =
+            client_.send_to(address_of(e.target), request, 10000);
         const auto* answer = std::get_if<net::http_response>(&result);
         if (answer == nullptr) {
             return "no answer";
@@ -187,23 +190,23 @@
             return answer->body.rfind(e.expected, 0) == 0 ? "" : answer->body;
         }
         const auto actual = json::parse(answer->body, nullptr, false);
-        const auto wrong = difference(expected, actual, "", "");
+        const auto wrong = find_difference(expected, actual, "", "");
         return wrong.empty() ? "" : wrong + " in " + answer->body;
     }
 
-    system system_;
-    caller http_;
+    test_cluster cluster_;
+    entry_client client_;
     std::string engine_;
     std::string service_;
 };
 
-TEST_F(api_examples_test, every_example_of_the_page_is_answered_as_it_says) {
-    ASSERT_EQ(system_.publish(
+TEST_F(api_examples_test, every_example_gets_the_documented_response) {
+    ASSERT_EQ(cluster_.publish_document(
                   read_file(std::string(source) + "/examples/cascadia.json")),
               0);
-    ASSERT_TRUE(system_.wait_ready());
+    ASSERT_TRUE(cluster_.wait_until_ready());
     const auto examples =
-        examples_of(read_file(std::string(source) + "/docs/API.md"));
+        parse_examples(read_file(std::string(source) + "/docs/API.md"));
     ASSERT_GE(examples.size(), 25U);
     for (const auto& e : examples) {
         // A list that lags or weights that are still loaded may need a while.
@@ -217,7 +220,7 @@
 
 TEST_F(api_examples_test, the_example_documents_are_valid) {
     for (const char* name : {"cascadia", "veritas"}) {
-        const auto [code, output] = system_.ctl(
+        const auto [code, output] = cluster_.run_ctl(
             {"validate", std::string(source) + "/examples/" + name + ".json"});
         EXPECT_EQ(code, 0) << output;
     }
@@ -225,10 +228,10 @@
 
 TEST_F(api_examples_test, the_example_settings_are_accepted) {
     process daemon(
-        {programs + "/packages/node/hibiscusd", "--check",
+        {build_dir + "/packages/node/hibiscusd", "--check",
          "--settings=" + std::string(source) + "/examples/hibiscusd.yaml"},
-        system_.path("check.out"));
-    EXPECT_EQ(daemon.wait(20000), 0) << daemon.output();
+        cluster_.file_path("check.out"));
+    EXPECT_EQ(daemon.wait_for_exit(20000), 0) << daemon.output();
 }
 
 } // namespace
--- a/testing/integration/api_pages_test.cpp
+++ b/testing/integration/api_pages_test.cpp
@@ -1,4 +1,4 @@
-#include "hibiscus/wire/answers.hpp"
+#include "hibiscus/wire/service.hpp"
 
 #include <gtest/gtest.h>
 
@@ -22,8 +22,8 @@
 
 /// Returns what the first group of `pattern` matches in the sources under
 /// `folder`.
-std::set<std::string> found_in(const fs::path& folder,
-                               const std::string& pattern) {
+std::set<std::string> find_matches(const fs::path& folder,
+                                   const std::string& pattern) {
     const std::regex expression(pattern);
     std::set<std::string> found;
     for (const auto& file : fs::recursive_directory_iterator(folder)) {
@@ -57,7 +57,7 @@
 }
 
 TEST_F(api_pages_test, operations_explains_every_event) {
-    const auto events = found_in(
+    const auto events = find_matches(
         source_ / "packages",
         "(?:count_event\\(|event\\(\\s*severity::[a-z]+,)\\s*\"([a-z_]+)\"");
     ASSERT_GE(events.size(), 10U);
@@ -67,8 +67,8 @@
 }
 
 TEST_F(api_pages_test, operations_explains_every_gauge) {
-    const auto gauges = found_in(source_ / "packages/node/src",
-                                 "counters_?\\.set\\(\"([a-z_]+)\"");
+    const auto gauges = find_matches(source_ / "packages/node/src",
+                                     "counters_?\\.set\\(\"([a-z_]+)\"");
     ASSERT_GE(gauges.size(), 5U);
     for (const auto& gauge : gauges) {
         expect_row("hibiscus_state{what=\"" + gauge + "\"}");
@@ -76,9 +76,9 @@
 }
 
 TEST_F(api_pages_test, operations_explains_every_setting) {
-    const auto keys =
-        found_in(source_ / "packages/node/src",
-                 "(?:in|m)\\.(?:name|address|integer|word)\\(\"([a-z_]+)\"");
+    const auto keys = find_matches(
+        source_ / "packages/node/src",
+        "(?:in|m)\\.(?:name|address|integer|word)\\(\"([a-z_]+)\"");
     ASSERT_GE(keys.size(), 10U);
     for (const auto& key : keys) {
         EXPECT_TRUE(page_.find("." + key + "` |") != std::string::npos ||
@@ -88,7 +88,7 @@
 }
 
 TEST_F(api_pages_test, operations_explains_every_key_of_the_document) {
-    const auto keys = found_in(
+    const auto keys = find_matches(
         source_ / "packages/document/src",
         "in\\.(?:name|number|integer|boolean|enumeration)\\(\"([a-z_]+)\"");
     ASSERT_GE(keys.size(), 15U);
--- a/testing/integration/caller_test.cpp
+++ b/testing/integration/entry_client_test.cpp
@@ -1,5 +1,5 @@
 #include "hibiscus/net/http_server.hpp"
-#include "support/caller.hpp"
+#include "support/entry_client.hpp"
 #include "support/process.hpp"
 
 #include <gtest/gtest.h>
@@ -12,16 +12,16 @@
 
 /// An entry that answers every request with the same list of addresses, which
 /// has no time to live. It is gone, open connections too, with the object.
-class fixed_entry {
+class static_entry {
 public:
     /// Starts an entry; `names` returns the addresses that it answers.
-    explicit fixed_entry(
+    explicit static_entry(
         const std::function<std::vector<base::endpoint>()>& names)
         : server_(std::make_unique<net::http_server>(
               io_, net::http_limits{},
               [names](const net::http_request&,
                       const net::http_responder& respond) {
-                  wire::entries_answer answer;
+                  wire::entries_response answer;
                   for (const auto& n : names()) {
                       answer.entries.push_back({base::node_id("n"),
                                                 base::zone_id("z"),
@@ -32,14 +32,14 @@
           address_(*server_->listen({"127.0.0.1", 0})),
           thread_([this] { io_.run(); }) {}
 
-    ~fixed_entry() {
+    ~static_entry() {
         server_.reset();
         io_.stop();
         thread_.join();
     }
 
-    fixed_entry(const fixed_entry&) = delete;
-    fixed_entry& operator=(const fixed_entry&) = delete;
+    static_entry(const static_entry&) = delete;
+    static_entry& operator=(const static_entry&) = delete;
 
     /// Returns where the entry answers.
     const base::endpoint& address() const { return address_; }
@@ -52,7 +52,7 @@
 };
 
 /// Returns how many of `count` requests got an answer.
-int answered(caller& c, int count) {
+int count_responded(entry_client& c, int count) {
     int got = 0;
     for (int i = 0; i < count; ++i) {
         const auto result = c.send({}, 5000);
@@ -64,19 +64,19 @@
 // All instances that a caller knew at its start have been replaced. When one
 // that it learnt of does not answer, it must ask the others: a trainer that
 // goes back to its first addresses stands still for ever.
-TEST(caller_test, goes_on_when_its_first_addresses_are_gone) {
+TEST(entry_client_test, finds_entries_after_its_seed_addresses_are_gone) {
     port_reservations reserved;
-    const base::endpoint gone{"127.0.0.1", reserved.take("127.0.0.1")};
+    const base::endpoint gone{"127.0.0.1", reserved.reserve("127.0.0.1")};
     std::vector<base::endpoint> named{gone};
     const auto names = [&named] { return named; };
-    fixed_entry second(names);
+    static_entry second(names);
     named.push_back(second.address());
-    auto first = std::make_unique<fixed_entry>(names);
-    caller c({first->address()});
-    EXPECT_GT(answered(c, 6), 0);
+    auto first = std::make_unique<static_entry>(names);
+    entry_client c({first->address()});
+    EXPECT_GT(count_responded(c, 6), 0);
     first.reset();
-    answered(c, 6);
-    EXPECT_GT(answered(c, 6), 0);
+    count_responded(c, 6);
+    EXPECT_GT(count_responded(c, 6), 0);
 }
 
 } // namespace
--- a/testing/integration/fault_proxy_test.cpp
+++ b/testing/integration/fault_proxy_test.cpp
@@ -1,80 +1,82 @@
-#include "support/system.hpp"
+#include "support/test_cluster.hpp"
 
 #include <gtest/gtest.h>
 #include <nlohmann/json.hpp>
 
 namespace hibiscus::testing {
 
-extern std::string programs; // NOLINT
+extern std::string build_dir; // NOLINT
 
 namespace {
 
 /// A plain service behind a fault proxy, without any node.
 class fault_proxy_test : public ::testing::Test {
 protected:
-    fault_proxy_test() : system_(programs), caller_({{"127.0.0.1", 1}}) {
-        system_.start_platform();
-        service_ = system_.start_service("ledger", "z1");
-        proxy_ = system_.put_proxy_before(service_);
+    fault_proxy_test() : cluster_(build_dir), client_({{"127.0.0.1", 1}}) {
+        cluster_.start_platform();
+        service_ = cluster_.start_service("ledger", "z1");
+        proxy_ = cluster_.insert_proxy(service_);
     }
 
     /// Runs `key` through the proxy and returns whether an answer came.
-    bool run(const std::string& key, base::millis timeout = 20000) {
+    bool run_through_proxy(const std::string& key,
+                           base::millis timeout = 20000) {
         net::http_request request;
         request.method = "POST";
         request.target = "/v1/run/" + key;
-        const auto result = caller_.send_to(proxy_, request, timeout);
+        const auto result = client_.send_to(proxy_, request, timeout);
         return std::holds_alternative<net::http_response>(result);
     }
 
     /// Returns how often the service ran `key`.
-    int runs_of(const std::string& key) {
-        const auto runs =
-            nlohmann::json::parse(system_.ask(service_, "GET", "/v1/runs"));
+    int run_count(const std::string& key) {
+        const auto runs = nlohmann::json::parse(
+            cluster_.send_request(service_, "GET", "/v1/runs"));
         return runs.value(key, 0);
     }
 
-    system system_;
-    caller caller_;
+    test_cluster cluster_;
+    entry_client client_;
     std::string service_;
     base::endpoint proxy_;
 };
 
-TEST_F(fault_proxy_test, passes_requests_and_answers) {
-    EXPECT_TRUE(run("a"));
-    EXPECT_TRUE(run("b"));
-    EXPECT_EQ(runs_of("a"), 1);
+TEST_F(fault_proxy_test, forwards_requests_and_responses) {
+    EXPECT_TRUE(run_through_proxy("a"));
+    EXPECT_TRUE(run_through_proxy("b"));
+    EXPECT_EQ(run_count("a"), 1);
 }
 
 TEST_F(fault_proxy_test, refuses_connections_until_the_next_rule) {
-    system_.order(service_, "rule", R"({"refuse": true})");
-    EXPECT_FALSE(run("a"));
-    system_.order(service_, "rule");
-    EXPECT_TRUE(run("a"));
-    EXPECT_EQ(runs_of("a"), 1);
+    cluster_.control_proxy(service_, "rule", R"({"refuse": true})");
+    EXPECT_FALSE(run_through_proxy("a"));
+    cluster_.control_proxy(service_, "rule");
+    EXPECT_TRUE(run_through_proxy("a"));
+    EXPECT_EQ(run_count("a"), 1);
 }
 
-TEST_F(fault_proxy_test, drops_an_answer_after_the_effect) {
-    system_.order(service_, "rule", R"({"to_client": 0, "times": 1})");
-    EXPECT_FALSE(run("a"));
-    EXPECT_EQ(runs_of("a"), 1);
-    EXPECT_TRUE(run("b"));
+TEST_F(fault_proxy_test, drops_a_response_after_its_request_ran) {
+    cluster_.control_proxy(service_, "rule", R"({"to_client": 0, "times": 1})");
+    EXPECT_FALSE(run_through_proxy("a"));
+    EXPECT_EQ(run_count("a"), 1);
+    EXPECT_TRUE(run_through_proxy("b"));
 }
 
-TEST_F(fault_proxy_test, cuts_within_a_request) {
-    system_.order(service_, "rule", R"({"to_target": 10, "times": 1})");
-    EXPECT_FALSE(run("a"));
-    EXPECT_EQ(runs_of("a"), 0);
+TEST_F(fault_proxy_test, closes_a_connection_within_a_request) {
+    cluster_.control_proxy(service_, "rule",
+                           R"({"to_target": 10, "times": 1})");
+    EXPECT_FALSE(run_through_proxy("a"));
+    EXPECT_EQ(run_count("a"), 0);
 }
 
 // Something between the two ends loses track of a connection: it stays open
 // and nothing passes. New connections work.
 TEST_F(fault_proxy_test, frozen_connections_stay_silent_and_new_ones_work) {
-    EXPECT_TRUE(run("a"));
-    system_.order(service_, "freeze");
-    EXPECT_FALSE(run("b", 300));
-    EXPECT_TRUE(run("c"));
-    EXPECT_EQ(runs_of("b"), 0);
+    EXPECT_TRUE(run_through_proxy("a"));
+    cluster_.control_proxy(service_, "freeze");
+    EXPECT_FALSE(run_through_proxy("b", 300));
+    EXPECT_TRUE(run_through_proxy("c"));
+    EXPECT_EQ(run_count("b"), 0);
 }
 
 } // namespace
--- a/testing/integration/input_test.cpp
+++ b/testing/integration/input_test.cpp
@@ -17,14 +17,15 @@
 class input_test : public traffic_test {
 protected:
     void SetUp() override {
-        system_.start_platform();
+        cluster_.start_platform();
         start_nodes(1);
-        service_ = system_.start_service("ledger", "z1");
-        make_ready();
+        service_ = cluster_.start_service("ledger", "z1");
+        publish_and_wait_until_ready();
     }
 
     /// Opens a connection to `target` and sends `bytes` as they are.
-    tcp::socket open(const base::endpoint& target, const std::string& bytes) {
+    tcp::socket connect_and_send(const base::endpoint& target,
+                                 const std::string& bytes) {
         tcp::socket socket(io_);
         socket.connect({asio::ip::make_address(target.ip), target.port});
         boost::system::error_code ignored;
@@ -38,14 +39,14 @@
                   const std::string& type = "application/json") {
         net::http_request r{method, target, body, type};
         const auto result =
-            caller_.send_to(system_.nodes()[0].callers, r, 20000);
+            client_.send_to(cluster_.nodes()[0].caller_address, r, 20000);
         const auto* response = std::get_if<net::http_response>(&result);
         return response != nullptr ? response->status : 0;
     }
 
     /// Returns the resident memory of the node in KiB.
     long resident_kib() {
-        const auto id = std::to_string(system_.nodes()[0].running->id());
+        const auto id = std::to_string(cluster_.nodes()[0].daemon->pid());
         std::ifstream in("/proc/" + id + "/status");
         std::string word;
         long kib = 0;
@@ -60,10 +61,10 @@
     /// Expects that the node still runs and serves.
     void expect_serving(const std::string& after) {
         const auto key = "after-" + std::to_string(++counter_);
-        const auto answer = run(0, request(key, true, 10000));
+        const auto answer = run_request(0, make_request(key, true, 10000));
         ASSERT_TRUE(answer.has_value()) << after;
         EXPECT_EQ(answer->result, wire::outcome::completed) << after;
-        EXPECT_TRUE(system_.nodes()[0].running->running()) << after;
+        EXPECT_TRUE(cluster_.nodes()[0].daemon->is_running()) << after;
     }
 
     asio::io_context io_;
@@ -71,7 +72,7 @@
     int counter_ = 0;
 };
 
-std::string garbage(std::size_t size) {
+std::string make_garbage(std::size_t size) {
     std::string bytes;
     unsigned state = 7;
     for (std::size_t i = 0; i < size; ++i) {
@@ -81,7 +82,8 @@
     return bytes;
 }
 
-std::string post(const std::string& headers, const std::string& body) {
+std::string make_post_request(const std::string& headers,
+                              const std::string& body) {
     return "POST /v1/requests HTTP/1.1\r\nHost: x\r\n"
            "Content-Type: application/json\r\n" +
            headers + "\r\n" + body;
@@ -89,35 +91,36 @@
 
 // Strangers connect to the callers' port and the peers' port and send what is
 // no request. The process must serve on as if they were not there.
-TEST_F(input_test, bytes_that_are_no_request_harm_nobody) {
-    const auto& node = system_.nodes()[0];
+TEST_F(input_test, malformed_input_does_not_disturb_other_requests) {
+    const auto& node = cluster_.nodes()[0];
     const std::string upgrade =
         "GET / HTTP/1.1\r\nHost: x\r\nUpgrade: websocket\r\n"
         "Connection: Upgrade\r\nSec-WebSocket-Version: 13\r\n"
         "Sec-WebSocket-Key: dGhlIHNhbXBsZSBub25jZQ==\r\n\r\n";
     const std::vector<std::string> inputs = {
-        garbage(100000),
-        post("Content-Length: 10\r\n", "{"),
-        post("Content-Length: 99999999999999\r\n", "{}"),
-        post("Content-Length: -1\r\n", "{}"),
-        post("Transfer-Encoding: chunked\r\n", "FFFFFFFFFFFFFFFF\r\nx"),
+        make_garbage(100000),
+        make_post_request("Content-Length: 10\r\n", "{"),
+        make_post_request("Content-Length: 99999999999999\r\n", "{}"),
+        make_post_request("Content-Length: -1\r\n", "{}"),
+        make_post_request("Transfer-Encoding: chunked\r\n",
+                          "FFFFFFFFFFFFFFFF\r\nx"),
         "GET /" + std::string(100000, 'a') + " HTTP/1.1\r\n\r\n",
-        upgrade + garbage(5000),
+        upgrade + make_garbage(5000),
         // A masked frame that announces 2^62 bytes, and one with text.
         upgrade + std::string("\x82\xff\x40\0\0\0\0\0\0\0abcd", 14),
         upgrade + std::string("\x81\x81\0\0\0\0x", 7),
     };
     std::vector<tcp::socket> open_ones;
     for (std::size_t i = 0; i < inputs.size(); ++i) {
-        open_ones.push_back(open(node.callers, inputs[i]));
-        open_ones.push_back(open(node.peers, inputs[i]));
+        open_ones.push_back(connect_and_send(node.caller_address, inputs[i]));
+        open_ones.push_back(connect_and_send(node.peer_address, inputs[i]));
         expect_serving("input " + std::to_string(i));
     }
 }
 
 // Requests that are HTTP but not ours get a 4xx that says what is wrong, and
 // the next request on the same connection is served.
-TEST_F(input_test, wrong_requests_get_a_typed_4xx) {
+TEST_F(input_test, invalid_requests_get_a_specific_4xx) {
     const std::string deep = std::string(100000, '[');
     EXPECT_EQ(status_of("POST", "/v1/requests", deep), 400);
     EXPECT_EQ(status_of("POST", "/v1/requests", "{\"id\":7}"), 400);
@@ -130,7 +133,7 @@
     EXPECT_EQ(
         status_of("PUT", "/v1/trainers/t/steps/99999999999999999999", "{}"),
         404);
-    auto absurd = request("absurd", true);
+    auto absurd = make_request("absurd", true);
     absurd.deadline_ms = std::numeric_limits<base::millis>::max();
     EXPECT_EQ(status_of("POST", "/v1/requests", wire::to_json(absurd)), 400);
     EXPECT_EQ(status_of("POST", "/v1/requests",
@@ -152,14 +155,14 @@
 
 // The same sync comes twice at once, and the same pull again and again. The
 // sync runs once, and no pull holds memory for good.
-TEST_F(input_test, repeated_requests_do_no_harm) {
-    const auto sync = request("sync-1", false, 10000);
+TEST_F(input_test, a_repeated_sync_runs_once_and_repeated_pulls_are_answered) {
+    const auto sync = make_request("sync-1", false, 10000);
     for (int i = 0; i < 20; ++i) {
-        const auto answer = run(0, sync);
+        const auto answer = run_request(0, sync);
         ASSERT_TRUE(answer.has_value());
         EXPECT_EQ(answer->result, wire::outcome::completed);
     }
-    EXPECT_EQ(runs_of(service_, "sync-1"), 1);
+    EXPECT_EQ(run_count(service_, "sync-1"), 1);
     for (int i = 0; i < 50; ++i) {
         EXPECT_NE(status_of("POST", "/v1/trainers/tagger/steps/9/pull",
                             R"({"pull":1,"version":0,"wait_ms":0})"),
@@ -170,15 +173,16 @@
 
 // Many strangers announce long bodies and send them slowly or not to the end.
 // Each keeps to the limit of one request; together they would fill the memory.
-TEST_F(input_test, slow_and_unfinished_bodies_leave_the_memory_bounded) {
-    const auto& node = system_.nodes()[0];
+TEST_F(input_test, unfinished_bodies_keep_memory_bounded) {
+    const auto& node = cluster_.nodes()[0];
     const std::string part(3 * 1024 * 1024, ' ');
     constexpr std::size_t strangers = 150;
     std::vector<tcp::socket> open_ones;
     open_ones.reserve(strangers);
     for (std::size_t i = 0; i < strangers; ++i) {
-        open_ones.push_back(
-            open(node.callers, post("Content-Length: 4000000\r\n", part)));
+        open_ones.push_back(connect_and_send(
+            node.caller_address,
+            make_post_request("Content-Length: 4000000\r\n", part)));
     }
     expect_serving("unfinished bodies");
     // 128 MiB may be buffered in all, beside what the process needs itself.
--- a/testing/integration/main.cpp
+++ b/testing/integration/main.cpp
@@ -3,7 +3,7 @@
 #include <string>
 
 namespace hibiscus::testing {
-extern std::string programs; // NOLINT
+extern std::string build_dir; // NOLINT
 } // namespace hibiscus::testing
 
 /// Runs the integration tests; --programs names the build folder.
@@ -13,7 +13,7 @@
     for (int i = 1; i < argc; ++i) {
         const std::string word(argv[i]);
         if (word.rfind(flag, 0) == 0) {
-            hibiscus::testing::programs = word.substr(flag.size());
+            hibiscus::testing::build_dir = word.substr(flag.size());
         }
     }
     return RUN_ALL_TESTS();
--- a/testing/integration/retention_test.cpp
+++ b/testing/integration/retention_test.cpp
@@ -1,4 +1,4 @@
-#include "support/system.hpp"
+#include "support/test_cluster.hpp"
 
 #include <gtest/gtest.h>
 #include <nlohmann/json.hpp>
@@ -8,7 +8,7 @@
 
 namespace hibiscus::testing {
 
-extern std::string programs; // NOLINT
+extern std::string build_dir; // NOLINT
 
 namespace {
 
@@ -22,18 +22,19 @@
 /// Two nodes before a log that keeps few records of each stream.
 class retention_test : public ::testing::Test {
 protected:
-    retention_test() : system_(programs) {
-        system_.start_platform({"--retention=6"});
-        system_.start_node("127.0.0.1", "z1");
-        system_.start_node("127.0.0.2", "z2");
-        service_ = system_.start_service("ledger", "z1");
+    retention_test() : cluster_(build_dir) {
+        cluster_.start_platform({"--retention=6"});
+        cluster_.start_node("127.0.0.1", "z1");
+        cluster_.start_node("127.0.0.2", "z2");
+        service_ = cluster_.start_service("ledger", "z1");
     }
 
     /// Returns the revisions that the nodes report.
     std::set<int> revisions() {
         std::set<int> result;
-        const auto status = json::parse(
-            system_.ctl({"status", "--output=json"}).second, nullptr, false);
+        const auto status =
+            json::parse(cluster_.run_ctl({"status", "--output=json"}).second,
+                        nullptr, false);
         if (status.is_object()) {
             for (const auto& node : status["nodes"]) {
                 result.insert(node.value("revision", 0));
@@ -43,9 +44,9 @@
     }
 
     /// Returns the base that the last publish in the log names.
-    wire::log_offset last_base() {
-        const auto page = wire::from_json<wire::log_page>(
-            system_.ask("log", "GET", "/v1/streams/config/records?from=0"));
+    wire::log_offset last_publish_base() {
+        const auto page = wire::from_json<wire::log_page>(cluster_.send_request(
+            "log", "GET", "/v1/streams/config/records?from=0"));
         wire::log_offset base = -1;
         for (const auto& row : std::get<wire::log_page>(page).records) {
             const auto record = wire::from_json<wire::config_record>(row.data);
@@ -55,7 +56,7 @@
         return base;
     }
 
-    system system_;
+    test_cluster cluster_;
     std::string service_;
 };
 
@@ -65,16 +66,16 @@
 TEST_F(retention_test, a_publish_and_a_fresh_node_find_the_revision_in_force) {
     wire::log_offset before = -1;
     for (int i = 0; i < 9; ++i) {
-        ASSERT_TRUE(
-            eventually([&] { return system_.publish(small_document) == 0; }));
-        EXPECT_GT(last_base(), before);
-        before = last_base();
+        ASSERT_TRUE(eventually(
+            [&] { return cluster_.publish_document(small_document) == 0; }));
+        EXPECT_GT(last_publish_base(), before);
+        before = last_publish_base();
     }
-    system_.start_node("127.0.0.3", "z3");
-    ASSERT_TRUE(system_.wait_ready());
-    ASSERT_TRUE(
-        eventually([&] { return system_.publish(small_document) == 0; }));
-    EXPECT_GT(last_base(), before);
+    cluster_.start_node("127.0.0.3", "z3");
+    ASSERT_TRUE(cluster_.wait_until_ready());
+    ASSERT_TRUE(eventually(
+        [&] { return cluster_.publish_document(small_document) == 0; }));
+    EXPECT_GT(last_publish_base(), before);
     EXPECT_TRUE(eventually([&] {
         const auto seen = revisions();
         return seen.size() == 1 && *seen.begin() >= 10;
@@ -84,12 +85,12 @@
 // Retention drops the records of a charge that was made, and every entry is
 // replaced. The caller asks again; a fresh home that took the key for free
 // would charge twice.
-TEST_F(retention_test, a_charge_is_not_made_again_by_fresh_homes) {
-    ASSERT_TRUE(
-        eventually([&] { return system_.publish(small_document) == 0; }));
-    ASSERT_TRUE(system_.wait_ready());
-    caller c(system_.entries());
-    const auto created = base::clock().wall();
+TEST_F(retention_test, a_charge_is_not_repeated_by_new_homes) {
+    ASSERT_TRUE(eventually(
+        [&] { return cluster_.publish_document(small_document) == 0; }));
+    ASSERT_TRUE(cluster_.wait_until_ready());
+    entry_client c(cluster_.entry_addresses());
+    const auto created = base::clock().wall_time();
     const auto charge = [&](int number) {
         const wire::service_request request{
             base::request_id("charge-" + std::to_string(number)),
@@ -98,8 +99,8 @@
             3000,
             created,
             "body"};
-        return c.ask<wire::answer>("POST", "/v1/requests",
-                                   wire::to_json(request), 5000);
+        return c.call<wire::service_response>("POST", "/v1/requests",
+                                              wire::to_json(request), 5000);
     };
     for (int i = 0; i < 80; ++i) {
         ASSERT_TRUE(eventually([&] {
@@ -107,39 +108,42 @@
             return answer && answer->result != wire::outcome::not_run;
         }));
     }
-    for (std::size_t n = 0; n < system_.nodes().size(); ++n) {
-        system_.restart_node(n);
+    for (std::size_t n = 0; n < cluster_.nodes().size(); ++n) {
+        cluster_.restart_node(n);
     }
-    ASSERT_TRUE(system_.wait_ready());
+    ASSERT_TRUE(cluster_.wait_until_ready());
     for (int i = 0; i < 80; ++i) {
         EXPECT_TRUE(eventually([&] {
             const auto answer = charge(i);
             return answer && answer->result != wire::outcome::not_run;
         }));
     }
-    const auto runs = json::parse(system_.ask(service_, "GET", "/v1/runs"));
+    const auto runs =
+        json::parse(cluster_.send_request(service_, "GET", "/v1/runs"));
     for (const auto& [key, count] : runs.items()) {
         EXPECT_EQ(count.get<int>(), 1) << key;
     }
-    const auto said = system_.ctl(
-        {"explain", "charge-0",
-         "--logs=" + system_.path("n1.log") + "," + system_.path("n2.log")});
+    const auto said =
+        cluster_.run_ctl({"explain", "charge-0",
+                          "--logs=" + cluster_.file_path("n1.log") + "," +
+                              cluster_.file_path("n2.log")});
     EXPECT_EQ(said.first, 0) << said.second;
     EXPECT_NE(said.second.find("claim charge-0 -> ledger"), std::string::npos)
         << said.second;
 }
 
-TEST_F(retention_test, diff_tells_what_a_publish_would_change) {
-    ASSERT_TRUE(
-        eventually([&] { return system_.publish(small_document) == 0; }));
-    std::ofstream(system_.path("next.json"))
+TEST_F(retention_test, diff_shows_what_a_publish_would_change) {
+    ASSERT_TRUE(eventually(
+        [&] { return cluster_.publish_document(small_document) == 0; }));
+    std::ofstream(cluster_.file_path("next.json"))
         << R"({"owners": [{"name": "campus", "weight": 2}]})";
-    const auto said = system_.ctl({"diff", system_.path("next.json")});
+    const auto said =
+        cluster_.run_ctl({"diff", cluster_.file_path("next.json")});
     EXPECT_EQ(said.first, 0);
     EXPECT_NE(said.second.find("changed /owners/campus/weight: 1 -> 2"),
               std::string::npos)
         << said.second;
-    EXPECT_EQ(system_.ctl({"explain", "nothing"}).first, 5);
+    EXPECT_EQ(cluster_.run_ctl({"explain", "nothing"}).first, 5);
 }
 
 } // namespace
--- a/testing/integration/traffic_fixture.hpp
+++ b/testing/integration/traffic_fixture.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "support/system.hpp"
+#include "support/test_cluster.hpp"
 
 #include <gtest/gtest.h>
 #include <nlohmann/json.hpp>
@@ -11,7 +11,7 @@
 namespace hibiscus::testing {
 
 /// The build folder, from the flag --programs.
-extern std::string programs; // NOLINT
+extern std::string build_dir; // NOLINT
 
 /// The document of the traffic tests; each service is a plain one.
 constexpr const char* traffic_document = R"({"schema": 1,
@@ -27,35 +27,39 @@
 /// and the service's own record of what ran.
 class traffic_test : public ::testing::Test {
 protected:
-    traffic_test() : system_(programs), caller_({{"127.0.0.1", 1}}) {}
+    traffic_test() : cluster_(build_dir), client_({{"127.0.0.1", 1}}) {}
 
     /// Starts `count` nodes, each in a zone of its own.
     void start_nodes(int count) {
         for (int i = 1; i <= count; ++i) {
             const auto number = std::to_string(i);
-            system_.start_node("127.0.0." + number, "z" + number);
+            cluster_.start_node("127.0.0." + number, "z" + number);
         }
     }
 
     /// Publishes the document and waits until the nodes follow it and know
     /// `services` instances of the ledger.
-    void make_ready() {
-        ASSERT_EQ(system_.publish(traffic_document), 0);
-        ASSERT_TRUE(system_.wait_ready());
-        for (std::size_t i = 0; i < system_.nodes().size(); ++i) {
+    void publish_and_wait_until_ready() {
+        ASSERT_EQ(cluster_.publish_document(traffic_document), 0);
+        ASSERT_TRUE(cluster_.wait_until_ready());
+        for (std::size_t i = 0; i < cluster_.nodes().size(); ++i) {
             ASSERT_TRUE(eventually([&] {
-                const auto a = run(i, request("warm-up", true));
+                const auto a = run_request(i, make_request("warm-up", true));
                 return a && a->result == wire::outcome::completed;
             }));
         }
     }
 
     /// Returns a request to the ledger.
-    static wire::service_request request(const std::string& id, bool idempotent,
-                                         base::millis deadline = 3000) {
-        return {base::request_id(id), base::service_id("ledger"),
-                idempotent,           deadline,
-                base::clock().wall(), "body"};
+    static wire::service_request make_request(const std::string& id,
+                                              bool idempotent,
+                                              base::millis deadline = 3000) {
+        return {base::request_id(id),
+                base::service_id("ledger"),
+                idempotent,
+                deadline,
+                base::clock().wall_time(),
+                "body"};
     }
 
     /// Sends `body` to the node of that place in the list.
@@ -66,26 +70,26 @@
         r.method = method;
         r.target = target;
         r.body = std::move(body);
-        return caller_.send_to(system_.nodes()[node].callers, std::move(r),
-                               timeout);
+        return client_.send_to(cluster_.nodes()[node].caller_address,
+                               std::move(r), timeout);
     }
 
     /// Runs a request at a node; returns its answer, if one came.
-    std::optional<wire::answer> run(std::size_t node,
-                                    const wire::service_request& r) {
-        return caller::decode<wire::answer>(
+    std::optional<wire::service_response>
+    run_request(std::size_t node, const wire::service_request& r) {
+        return entry_client::decode_response<wire::service_response>(
             send(node, "POST", "/v1/requests", wire::to_json(r)));
     }
 
     /// Returns how often the instance `service` ran `key`.
-    int runs_of(const std::string& service, const std::string& key) {
+    int run_count(const std::string& service, const std::string& key) {
         const auto runs = nlohmann::json::parse(
-            system_.ask(service, "GET", "/v1/runs"), nullptr, false);
+            cluster_.send_request(service, "GET", "/v1/runs"), nullptr, false);
         return runs.is_object() ? runs.value(key, 0) : -1;
     }
 
-    system system_;
-    caller caller_;
+    test_cluster cluster_;
+    entry_client client_;
 };
 
 } // namespace hibiscus::testing
--- a/testing/integration/traffic_refusal_test.cpp
+++ b/testing/integration/traffic_refusal_test.cpp
@@ -4,14 +4,14 @@
 namespace {
 
 /// One place at which a connection to a backend server fails.
-struct cut_place {
+struct failure_point {
     const char* name;
     const char* rule;
 };
 
 /// Before the connection, within the request's line, headers and body, after
 /// the request, and within the answer's line, headers and body.
-constexpr cut_place cut_places[] = {
+constexpr failure_point failure_points[] = {
     {"refused", R"({"refuse": true})"},
     {"cut before the request", R"({"to_target": 0})"},
     {"cut after 1 byte", R"({"to_target": 1})"},
@@ -29,24 +29,24 @@
 class traffic_refusal_test : public traffic_test {
 protected:
     void SetUp() override {
-        system_.start_platform();
+        cluster_.start_platform();
         start_nodes(1);
-        service_ = system_.start_service("ledger", "z1");
-        system_.put_proxy_before(service_);
-        make_ready();
+        service_ = cluster_.start_service("ledger", "z1");
+        cluster_.insert_proxy(service_);
+        publish_and_wait_until_ready();
     }
 
     /// Sets the rule for new connections and ends those of before.
-    void fail(const std::string& rule) {
-        system_.order(service_, "rule", rule);
-        system_.order(service_, "cut");
+    void set_fault_rule(const std::string& rule) {
+        cluster_.control_proxy(service_, "rule", rule);
+        cluster_.control_proxy(service_, "cut");
     }
 
     /// Returns a request whose body is longer than its headers, so that the
     /// places are where their names say.
-    static wire::service_request long_request(const std::string& id,
-                                              bool idempotent) {
-        auto r = request(id, idempotent, 1500);
+    static wire::service_request make_long_request(const std::string& id,
+                                                   bool idempotent) {
+        auto r = make_request(id, idempotent, 1500);
         r.body = std::string(400, 'x');
         return r;
     }
@@ -59,14 +59,15 @@
 // first one run after all, the student would be charged twice.
 TEST_F(traffic_refusal_test, what_is_called_not_run_was_not_run) {
     int number = 0;
-    for (const auto& place : cut_places) {
+    for (const auto& place : failure_points) {
         for (const bool idempotent : {true, false}) {
-            fail(place.rule);
+            set_fault_rule(place.rule);
             const auto key = "cut-" + std::to_string(++number);
-            const auto answer = run(0, long_request(key, idempotent));
+            const auto answer =
+                run_request(0, make_long_request(key, idempotent));
             ASSERT_TRUE(answer.has_value()) << place.name;
             EXPECT_NE(answer->result, wire::outcome::completed) << place.name;
-            const auto runs = runs_of(service_, key);
+            const auto runs = run_count(service_, key);
             if (answer->result == wire::outcome::not_run) {
                 EXPECT_EQ(runs, 0) << place.name;
                 EXPECT_GT(answer->retry_after_ms, 0) << place.name;
@@ -83,15 +84,15 @@
 // never a part of an answer.
 TEST_F(traffic_refusal_test, a_lookup_survives_a_cut_at_any_byte) {
     int number = 0;
-    for (const auto& place : cut_places) {
+    for (const auto& place : failure_points) {
         auto rule = nlohmann::json::parse(place.rule);
         if (rule.contains("refuse")) {
             continue;
         }
         rule["times"] = 1;
-        fail(rule.dump());
+        set_fault_rule(rule.dump());
         const auto key = "again-" + std::to_string(++number);
-        const auto answer = run(0, long_request(key, true));
+        const auto answer = run_request(0, make_long_request(key, true));
         ASSERT_TRUE(answer.has_value()) << place.name;
         EXPECT_EQ(answer->result, wire::outcome::completed) << place.name;
         EXPECT_EQ(answer->body, "ran " + key + " with " + std::string(400, 'x'))
--- a/testing/stand_ins/app.cpp
+++ b/testing/stand_ins/app.cpp
@@ -4,7 +4,7 @@
 // keeps the answer to each try in a file, for the oracle. It does not model
 // think time that depends on answers.
 
-#include "support/caller.hpp"
+#include "support/entry_client.hpp"
 #include "support/process.hpp"
 
 #include <absl/flags/flag.h>
@@ -33,16 +33,16 @@
 
 using nlohmann::json;
 
-constexpr base::millis margin = 1000;
+constexpr base::millis timeout_margin_ms = 1000;
 /// A sync whose outcome is lost stays so; asking on would tell nothing.
-constexpr int most_unknown = 20;
+constexpr int max_unknown_responses = 20;
 
 /// What the callers saw.
-struct tally {
+struct run_stats {
     int lookups = 0;
     int syncs = 0;
     int lost = 0;
-    int wrong = 0;
+    int mismatched_responses = 0;
     int unknown = 0;
     int refused = 0;
     std::vector<base::millis> lookup_ms;
@@ -52,19 +52,19 @@
 };
 
 /// The file that keeps each answer. Safe for several threads.
-class answer_file {
+class response_log {
 public:
     /// Opens the file `path`, or keeps nothing if it is empty.
-    explicit answer_file(const std::string& path) {
+    explicit response_log(const std::string& path) {
         if (!path.empty()) {
             out_.open(path);
         }
     }
 
     /// Adds the answer to one try.
-    void keep(const wire::service_request& request,
-              const std::optional<wire::answer>& answer, base::millis at,
-              base::millis took) {
+    void append(const wire::service_request& request,
+                const std::optional<wire::service_response>& answer,
+                base::millis at, base::millis took) {
         const std::lock_guard<std::mutex> lock(mutex_);
         out_ << json{{"id", request.id.str()},
                      {"at", at},
@@ -81,27 +81,27 @@
 };
 
 /// One caller with a tally of its own.
-class one_caller {
+class app_worker {
 public:
-    one_caller(caller& shared, answer_file& answers, int number)
-        : caller_(shared), answers_(answers), number_(number) {}
+    app_worker(entry_client& shared, response_log& answers, int number)
+        : client_(shared), response_log_(answers), number_(number) {}
 
     /// Calls until the time is over.
     void run() {
         const auto until =
-            caller_.clock().now() + 1000 * absl::GetFlag(FLAGS_seconds);
-        for (int i = 0; caller_.clock().now() < until; ++i) {
+            client_.clock().now() + 1000 * absl::GetFlag(FLAGS_seconds);
+        for (int i = 0; client_.clock().now() < until; ++i) {
             const int every = absl::GetFlag(FLAGS_sync_every);
-            call(i, every > 0 && i % every == 0);
+            send_request(i, every > 0 && i % every == 0);
             pause_for(absl::GetFlag(FLAGS_pause_ms));
         }
     }
 
     /// Returns what it saw.
-    const tally& seen() const { return tally_; }
+    const run_stats& stats() const { return stats_; }
 
 private:
-    void call(int i, bool sync) {
+    void send_request(int i, bool sync) {
         wire::service_request request;
         request.id =
             base::request_id(std::string(sync ? "sync-" : "lookup-") +
@@ -110,36 +110,36 @@
         request.service = base::service_id(absl::GetFlag(FLAGS_service));
         request.idempotent = !sync;
         request.deadline_ms = absl::GetFlag(FLAGS_deadline_ms);
-        request.created_ms = caller_.clock().wall();
+        request.created_ms = client_.clock().wall_time();
         request.body = "body of " + request.id.str();
-        const auto begin = caller_.clock().now();
-        const auto answer = until_known(request);
-        auto& times = sync ? tally_.sync_ms : tally_.lookup_ms;
-        times.push_back(caller_.clock().now() - begin);
-        ++(sync ? tally_.syncs : tally_.lookups);
-        note(request, answer);
+        const auto begin = client_.clock().now();
+        const auto answer = retry_until_completed(request);
+        auto& times = sync ? stats_.sync_ms : stats_.lookup_ms;
+        times.push_back(client_.clock().now() - begin);
+        ++(sync ? stats_.syncs : stats_.lookups);
+        record_outcome(request, answer);
     }
 
-    std::optional<wire::answer>
-    until_known(const wire::service_request& request) {
-        std::optional<wire::answer> last;
+    std::optional<wire::service_response>
+    retry_until_completed(const wire::service_request& request) {
+        std::optional<wire::service_response> last;
         int unknown = 0;
         for (int i = 0; i < absl::GetFlag(FLAGS_most_tries); ++i) {
-            const auto begin = caller_.clock().now();
-            auto answer = caller_.ask<wire::answer>(
+            const auto begin = client_.clock().now();
+            auto answer = client_.call<wire::service_response>(
                 "POST", "/v1/requests", wire::to_json(request),
-                request.deadline_ms + margin);
-            answers_.keep(request, answer, caller_.clock().wall(),
-                          caller_.clock().now() - begin);
+                request.deadline_ms + timeout_margin_ms);
+            response_log_.append(request, answer, client_.clock().wall_time(),
+                                 client_.clock().now() - begin);
             if (answer && answer->result == wire::outcome::completed) {
                 return answer;
             }
-            tally_.refused += answer ? 1 : 0;
+            stats_.refused += answer ? 1 : 0;
             if (answer) {
                 last = answer;
                 unknown += answer->result == wire::outcome::unknown ? 1 : 0;
             }
-            if (!request.idempotent && unknown >= most_unknown) {
+            if (!request.idempotent && unknown >= max_unknown_responses) {
                 return last;
             }
             pause_for(answer
@@ -149,32 +149,32 @@
         return last;
     }
 
-    void note(const wire::service_request& request,
-              const std::optional<wire::answer>& answer) {
+    void record_outcome(const wire::service_request& request,
+                        const std::optional<wire::service_response>& answer) {
         if (!answer) {
-            ++tally_.lost;
+            ++stats_.lost;
             return;
         }
         if (answer->result == wire::outcome::unknown) {
-            ++tally_.unknown;
+            ++stats_.unknown;
             return;
         }
         if (answer->result == wire::outcome::not_run) {
-            ++tally_.lost;
-            tally_.not_run.push_back(request.id.str());
+            ++stats_.lost;
+            stats_.not_run.push_back(request.id.str());
             return;
         }
         const auto expected =
             "ran " + request.id.str() + " with " + request.body;
         if (answer->id != request.id || answer->body != expected) {
-            ++tally_.wrong;
+            ++stats_.mismatched_responses;
         }
     }
 
-    caller& caller_;
-    answer_file& answers_;
+    entry_client& client_;
+    response_log& response_log_;
     int number_;
-    tally tally_;
+    run_stats stats_;
 };
 
 base::millis percentile(std::vector<base::millis> values, double share) {
@@ -187,14 +187,14 @@
     return values[at];
 }
 
-void print(const std::vector<std::unique_ptr<one_caller>>& callers) {
-    tally all;
+void print(const std::vector<std::unique_ptr<app_worker>>& callers) {
+    run_stats all;
     for (const auto& c : callers) {
-        const auto& t = c->seen();
+        const auto& t = c->stats();
         all.lookups += t.lookups;
         all.syncs += t.syncs;
         all.lost += t.lost;
-        all.wrong += t.wrong;
+        all.mismatched_responses += t.mismatched_responses;
         all.unknown += t.unknown;
         all.refused += t.refused;
         all.lookup_ms.insert(all.lookup_ms.end(), t.lookup_ms.begin(),
@@ -208,7 +208,7 @@
                       {"lookups", all.lookups},
                       {"syncs", all.syncs},
                       {"lost", all.lost},
-                      {"wrong", all.wrong},
+                      {"wrong", all.mismatched_responses},
                       {"unknown", all.unknown},
                       {"refused", all.refused},
                       {"lookup_p50_ms", percentile(all.lookup_ms, 0.5)},
@@ -224,14 +224,14 @@
 
 int main(int argc, char** argv) {
     absl::ParseCommandLine(argc, argv);
-    using hibiscus::testing::one_caller;
-    hibiscus::testing::caller shared(
-        hibiscus::testing::parse_entries(absl::GetFlag(FLAGS_entries)));
-    hibiscus::testing::answer_file answers(absl::GetFlag(FLAGS_answers));
-    std::vector<std::unique_ptr<one_caller>> callers;
+    using hibiscus::testing::app_worker;
+    hibiscus::testing::entry_client shared(
+        hibiscus::testing::parse_addresses(absl::GetFlag(FLAGS_entries)));
+    hibiscus::testing::response_log answers(absl::GetFlag(FLAGS_answers));
+    std::vector<std::unique_ptr<app_worker>> callers;
     std::vector<std::thread> threads;
     for (int i = 0; i < absl::GetFlag(FLAGS_callers); ++i) {
-        callers.push_back(std::make_unique<one_caller>(shared, answers, i));
+        callers.push_back(std::make_unique<app_worker>(shared, answers, i));
         threads.emplace_back([c = callers.back().get()] { c->run(); });
     }
     for (auto& t : threads) {
--- a/testing/stand_ins/cache_events.hpp
+++ b/testing/stand_ins/cache_event_log.hpp
@@ -36,23 +36,23 @@
 /// The events of an engine's prefix cache, which are published late. Some are
 /// lost; their sequence numbers are missing, so that a reader sees the gap.
 /// Repeated and reordered events are not modelled.
-class cache_events {
+class cache_event_log {
 public:
     /// Constructs a list whose events are seen after `lag_ms`, except for
     /// `gap_percent` of them.
-    cache_events(base::millis lag_ms, int gap_percent)
+    cache_event_log(base::millis lag_ms, int gap_percent)
         : lag_ms_(lag_ms), gap_percent_(gap_percent) {}
 
     /// Adds an event.
-    void note(base::millis now, cache_event_kind kind,
-              const std::string& prefix) {
-        ++last_;
+    void append(base::millis now, cache_event_kind kind,
+                const std::string& prefix) {
+        ++last_sequence_;
         std::uniform_int_distribution<int> percent(0, 99);
         if (percent(random_) >= gap_percent_) {
-            rows_.push_back({last_, now, kind, prefix});
+            events_.push_back({last_sequence_, now, kind, prefix});
         }
-        if (rows_.size() > most_rows) {
-            rows_.pop_front();
+        if (events_.size() > max_events) {
+            events_.pop_front();
         }
     }
 
@@ -60,7 +60,7 @@
     nlohmann::json page(std::int64_t from, base::millis now) const {
         auto events = nlohmann::json::array();
         auto next = from;
-        for (const auto& row : rows_) {
+        for (const auto& row : events_) {
             if (row.sequence >= from && row.at + lag_ms_ <= now) {
                 events.push_back({{"sequence", row.sequence},
                                   {"kind", base::name_of(row.kind)},
@@ -72,9 +72,9 @@
     }
 
 private:
-    static constexpr std::size_t most_rows = 10000;
+    static constexpr std::size_t max_events = 10000;
 
-    struct event_row {
+    struct cache_event {
         std::int64_t sequence;
         base::millis at;
         cache_event_kind kind;
@@ -83,8 +83,8 @@
 
     base::millis lag_ms_;
     int gap_percent_;
-    std::int64_t last_ = 0;
-    std::deque<event_row> rows_;
+    std::int64_t last_sequence_ = 0;
+    std::deque<cache_event> events_;
     std::mt19937_64 random_{2};
 };
 
--- a/testing/stand_ins/engine.cpp
+++ b/testing/stand_ins/engine.cpp
@@ -13,8 +13,8 @@
 
 #include "hibiscus/net/http_client.hpp"
 #include "hibiscus/wire/codec.hpp"
-#include "stand_ins/cache_events.hpp"
-#include "support/stand_in.hpp"
+#include "stand_ins/cache_event_log.hpp"
+#include "support/fake_server.hpp"
 
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
@@ -55,9 +55,9 @@
     wire::stream_start start;
     std::vector<wire::chunk> chunks;
     std::uint32_t length = 0;
-    int prefill = 0;
+    int prefill_chunks_left = 0;
     /// True if its KV cache came with it.
-    bool cached = false;
+    bool has_kv_cache = false;
     std::uint64_t arrival = 0;
     wire::stream_state state = wire::stream_state::queued;
 };
@@ -65,49 +65,50 @@
 /// A poll that waits for news.
 struct waiting_poll {
     wire::engine_poll poll;
-    base::millis until = 0;
+    base::millis deadline = 0;
     net::http_responder respond;
 };
 
 /// The load at a time.
-struct load_report {
+struct load_sample {
     base::millis at = 0;
     int running = 0;
     int queued = 0;
 };
 
 constexpr std::uint32_t straggler_factor = 5;
-constexpr base::millis weights_timeout = 20000;
+constexpr base::millis weights_timeout_ms = 20000;
 
 /// The whole engine. Runs in one thread.
-class engine {
+class fake_engine {
 public:
-    explicit engine(boost::asio::io_context& io)
+    explicit fake_engine(boost::asio::io_context& io)
         : timer_(io), http_(io, 1000),
-          weights_(base::parse_endpoint(absl::GetFlag(FLAGS_weights))) {
+          weight_store_(base::parse_endpoint(absl::GetFlag(FLAGS_weights))) {
         tick();
     }
 
     /// Handles one request.
     void handle(const net::http_request& request,
                 const net::http_responder& respond) {
-        const auto path = path_of(request.target);
+        const auto path = strip_query(request.target);
         if (path == "/v1/fault") {
             set_fault(request, respond);
         } else if (path == "/v1/counts") {
-            respond(ok(counts().dump()));
+            respond(ok_response(counts().dump()));
         } else if (path == "/v1/record") {
-            respond(ok(json(record_).dump()));
+            respond(ok_response(json(chunk_versions_).dump()));
         } else if (frozen_) {
-            held_.emplace_back(request, respond);
+            held_requests_.emplace_back(request, respond);
         } else {
-            serve(path, request, respond);
+            handle_engine_call(path, request, respond);
         }
     }
 
 private:
-    void serve(const std::string& path, const net::http_request& request,
-               const net::http_responder& respond) {
+    void handle_engine_call(const std::string& path,
+                            const net::http_request& request,
+                            const net::http_responder& respond) {
         if (path == "/v1/streams") {
             start(request, respond);
         } else if (path == "/v1/streams/stop") {
@@ -123,18 +124,18 @@
         } else if (path == "/v1/role") {
             change_role(request, respond);
         } else if (path == "/v1/cache_events") {
-            const auto from = query_number(request.target, "from", 0);
-            respond(ok(events_.page(from, clock_.now()).dump()));
+            const auto from = parse_query_number(request.target, "from", 0);
+            respond(ok_response(cache_events_.page(from, clock_.now()).dump()));
         } else {
             respond({404, "{}", "application/json"});
         }
     }
 
     json counts() const {
-        return {{"started", started_},
-                {"finished", finished_},
+        return {{"started", started_count_},
+                {"finished", finished_count_},
                 {"busy_slot_ms", busy_slot_ms_},
-                {"alive_ms", clock_.now() - born_}};
+                {"alive_ms", clock_.now() - started_at_}};
     }
 
     void set_fault(const net::http_request& request,
@@ -145,25 +146,27 @@
             frozen_ = body.value("freeze", frozen_);
             if (body.value("crash", false)) {
                 streams_.clear();
-                serving_.clear();
-                cache_.clear();
-                highest_ = {0, 0};
+                served_versions_.clear();
+                prefix_cache_.clear();
+                highest_order_number_ = {0, 0};
             }
         }
-        respond(ok("{}"));
+        respond(ok_response("{}"));
         if (!frozen_) {
-            for (auto& [held, answer] : std::exchange(held_, {})) {
-                serve(path_of(held.target), held, answer);
+            for (auto& [held, answer] : std::exchange(held_requests_, {})) {
+                handle_engine_call(strip_query(held.target), held, answer);
             }
         }
     }
 
     /// Returns true if the number of an order is too old; remembers it if not.
-    bool fenced(const std::pair<std::int64_t, std::int64_t>& number) {
-        if (absl::GetFlag(FLAGS_check_fencing) && number < highest_) {
+    bool
+    is_stale_order_number(const std::pair<std::int64_t, std::int64_t>& number) {
+        if (absl::GetFlag(FLAGS_check_fencing) &&
+            number < highest_order_number_) {
             return true;
         }
-        highest_ = std::max(highest_, number);
+        highest_order_number_ = std::max(highest_order_number_, number);
         return false;
     }
 
@@ -175,13 +178,14 @@
             return;
         }
         const auto number = body.value("number", json::object());
-        const bool old = fenced({number.value("epoch", std::int64_t{0}),
-                                 number.value("sequence", std::int64_t{0})});
+        const bool old =
+            is_stale_order_number({number.value("epoch", std::int64_t{0}),
+                                   number.value("sequence", std::int64_t{0})});
         if (!old) {
             role_ = body.value("role", role_);
         }
-        answer_order(respond, old ? wire::order_verdict::fenced
-                                  : wire::order_verdict::done);
+        respond_to_order(respond, old ? wire::order_result::fenced
+                                      : wire::order_result::done);
     }
 
     void export_stream(const net::http_request& request,
@@ -191,7 +195,7 @@
                             ? streams_.find(base::stream_id(
                                   body.value("stream", std::string())))
                             : streams_.end();
-        if (at == streams_.end() || at->second.prefill > 0) {
+        if (at == streams_.end() || at->second.prefill_chunks_left > 0) {
             respond({404, "{}", "application/json"});
             return;
         }
@@ -204,7 +208,7 @@
                          {"length", at->second.length},
                          {"chunks", std::move(chunks)}};
         streams_.erase(at);
-        answer_moved(respond, moved.dump());
+        respond_after_transfer(respond, moved.dump());
     }
 
     void import_stream(const net::http_request& request,
@@ -220,9 +224,9 @@
         stream_row row;
         row.start = *message;
         row.length = body.value("length", std::uint32_t{1});
-        row.cached = true;
-        row.arrival = ++started_;
-        auto& lines = record_[message->stream.str()].emplace_back();
+        row.has_kv_cache = true;
+        row.arrival = ++started_count_;
+        auto& lines = chunk_versions_[message->stream.str()].emplace_back();
         for (const auto& c : body.value("chunks", json::array())) {
             row.chunks.push_back({c.value("seq", std::uint32_t{0}),
                                   c.value("version", std::int64_t{0}),
@@ -230,22 +234,22 @@
             lines.push_back(row.chunks.back().version);
         }
         streams_.insert_or_assign(message->stream, std::move(row));
-        answer_moved(respond, "{}");
+        respond_after_transfer(respond, "{}");
     }
 
-    void answer_moved(const net::http_responder& respond,
-                      const std::string& body) {
+    void respond_after_transfer(const net::http_responder& respond,
+                                const std::string& body) {
         auto timer =
             std::make_shared<boost::asio::steady_timer>(timer_.get_executor());
         timer->expires_after(
             std::chrono::milliseconds(absl::GetFlag(FLAGS_kv_move_ms)));
         timer->async_wait(
             [timer, respond, body](const boost::system::error_code&) {
-                respond(ok(body));
+                respond(ok_response(body));
             });
     }
 
-    static net::http_response ok(std::string body) {
+    static net::http_response ok_response(std::string body) {
         return {200, std::move(body), "application/json"};
     }
 
@@ -266,19 +270,19 @@
             auto& priority = known->second.start.priority;
             priority = std::max(priority, message->priority);
         } else {
-            ++started_;
-            record_[message->stream.str()].emplace_back();
+            ++started_count_;
+            chunk_versions_[message->stream.str()].emplace_back();
             stream_row row;
-            row.length = length_of(*message);
-            row.arrival = started_;
+            row.length = draw_length(*message);
+            row.arrival = started_count_;
             row.start = std::move(*message);
             const auto id = row.start.stream;
             streams_.emplace(id, std::move(row));
         }
-        respond(ok("{}"));
+        respond(ok_response("{}"));
     }
 
-    static std::uint32_t length_of(const wire::stream_start& start) {
+    static std::uint32_t draw_length(const wire::stream_start& start) {
         std::mt19937_64 random(start.seed);
         std::uniform_int_distribution<std::uint32_t> chunks(
             1 + start.max_tokens / 4, 1 + start.max_tokens / 2);
@@ -297,7 +301,7 @@
                 streams_.erase(stream);
             }
         }
-        respond(ok("{}"));
+        respond(ok_response("{}"));
     }
 
     void poll(const net::http_request& request,
@@ -310,23 +314,24 @@
         }
         const auto until = clock_.now() + message->wait_ms;
         polls_.push_back({std::move(*message), until, respond});
-        answer_polls();
+        respond_to_polls();
     }
 
-    void answer_polls() {
+    void respond_to_polls() {
         for (std::size_t i = 0; i < polls_.size();) {
-            auto news = news_for(polls_[i].poll);
-            if (news.streams.empty() && clock_.now() < polls_[i].until) {
+            auto news = make_poll_response(polls_[i].poll);
+            if (news.streams.empty() && clock_.now() < polls_[i].deadline) {
                 ++i;
                 continue;
             }
-            polls_[i].respond(ok(wire::to_json(news)));
+            polls_[i].respond(ok_response(wire::to_json(news)));
             polls_.erase(polls_.begin() + static_cast<std::ptrdiff_t>(i));
         }
     }
 
-    wire::engine_news news_for(const wire::engine_poll& poll) const {
-        wire::engine_news news;
+    wire::engine_poll_response
+    make_poll_response(const wire::engine_poll& poll) const {
+        wire::engine_poll_response news;
         for (const auto& cursor : poll.streams) {
             const auto at = streams_.find(cursor.stream);
             if (at == streams_.end()) {
@@ -347,9 +352,10 @@
             }
         }
         news.slots = absl::GetFlag(FLAGS_slots);
-        news.running = loads_.empty() ? 0 : loads_.front().running;
-        news.queued = loads_.empty() ? 0 : loads_.front().queued;
-        for (const auto& [trainer, version] : serving_) {
+        news.running =
+            load_history_.empty() ? 0 : load_history_.front().running;
+        news.queued = load_history_.empty() ? 0 : load_history_.front().queued;
+        for (const auto& [trainer, version] : served_versions_) {
             news.serving.push_back({trainer, version});
         }
         return news;
@@ -365,83 +371,84 @@
         }
         const auto number =
             std::make_pair(message->number.epoch, message->number.sequence);
-        if (fenced(number)) {
-            answer_order(respond, wire::order_verdict::fenced);
+        if (is_stale_order_number(number)) {
+            respond_to_order(respond, wire::order_result::fenced);
             return;
         }
         net::http_request fetch;
         fetch.target = "/v1/weights/" + message->trainer.str() + "/" +
                        std::to_string(message->version);
-        http_.send(weights_.value_or(base::endpoint{}), std::move(fetch),
-                   weights_timeout, net::reuse::allowed,
+        http_.send(weight_store_.value_or(base::endpoint{}), std::move(fetch),
+                   weights_timeout_ms, net::connection_reuse::allowed,
                    [this, m = *message, respond](const net::http_result& r) {
-                       loaded(m, r, respond);
+                       on_weights_fetched(m, r, respond);
                    });
     }
 
-    void loaded(const wire::version_order& order,
-                const net::http_result& result,
-                const net::http_responder& respond) {
+    void on_weights_fetched(const wire::version_order& order,
+                            const net::http_result& result,
+                            const net::http_responder& respond) {
         const auto* response = std::get_if<net::http_response>(&result);
         std::uniform_real_distribution<double> share(0.0, 1.0);
         // A later home may have ordered while the weights were on their way.
         const auto number =
             std::make_pair(order.number.epoch, order.number.sequence);
-        if (absl::GetFlag(FLAGS_check_fencing) && number < highest_) {
-            answer_order(respond, wire::order_verdict::fenced);
+        if (absl::GetFlag(FLAGS_check_fencing) &&
+            number < highest_order_number_) {
+            respond_to_order(respond, wire::order_result::fenced);
             return;
         }
         const bool failed = response == nullptr || response->status != 200 ||
                             share(random_) < fail_swaps_;
         if (!failed) {
-            serving_[order.trainer] = order.version;
+            served_versions_[order.trainer] = order.version;
         }
-        answer_order(respond, failed ? wire::order_verdict::failed
-                                     : wire::order_verdict::done);
+        respond_to_order(respond, failed ? wire::order_result::failed
+                                         : wire::order_result::done);
     }
 
-    static void answer_order(const net::http_responder& respond,
-                             wire::order_verdict verdict) {
-        respond(ok(wire::to_json(wire::order_answer{verdict})));
+    static void respond_to_order(const net::http_responder& respond,
+                                 wire::order_result verdict) {
+        respond(ok_response(wire::to_json(wire::order_response{verdict})));
     }
 
     void tick() {
         if (!frozen_) {
-            advance_all();
+            run_batch_step();
         }
         timer_.expires_after(
             std::chrono::milliseconds(absl::GetFlag(FLAGS_chunk_ms)));
         timer_.async_wait([this](const boost::system::error_code&) { tick(); });
     }
 
-    void advance_all() {
-        admit();
+    void run_batch_step() {
+        admit_queued_streams();
         for (auto& [id, row] : streams_) {
             if (row.state == wire::stream_state::running) {
                 busy_slot_ms_ += absl::GetFlag(FLAGS_chunk_ms);
-                advance(row);
+                produce_chunk(row);
             }
         }
-        note_load();
-        answer_polls();
+        record_load();
+        respond_to_polls();
     }
 
     /// Keeps the loads that are younger than the lag, and one before.
-    void note_load() {
-        load_report now;
+    void record_load() {
+        load_sample now;
         now.at = clock_.now();
         for (const auto& [id, row] : streams_) {
             now.running += row.state == wire::stream_state::running ? 1 : 0;
             now.queued += row.state == wire::stream_state::queued ? 1 : 0;
         }
-        loads_.push_back(now);
+        load_history_.push_back(now);
         const auto limit = now.at - absl::GetFlag(FLAGS_load_lag_ms);
-        while (loads_.size() > 1 && loads_[1].at <= limit) {
-            loads_.pop_front();
+        while (load_history_.size() > 1 && load_history_[1].at <= limit) {
+            load_history_.pop_front();
         }
     }
 
-    void admit() {
+    void admit_queued_streams() {
         std::vector<stream_row*> queued;
         int running = 0;
         for (auto& [id, row] : streams_) {
@@ -460,78 +467,83 @@
                 return;
             }
             row->state = wire::stream_state::running;
-            row->prefill = row->cached || use_prefix(row->start.prompt)
-                               ? 0
-                               : absl::GetFlag(FLAGS_prefill_chunks);
+            row->prefill_chunks_left =
+                row->has_kv_cache || touch_prefix(row->start.prompt)
+                    ? 0
+                    : absl::GetFlag(FLAGS_prefill_chunks);
         }
     }
 
     /// Returns true if the prompt's prefix is in the cache, and puts it there.
-    bool use_prefix(const std::string& prompt) {
-        const auto at = std::find(cache_.begin(), cache_.end(), prompt);
-        const bool hit = at != cache_.end();
+    bool touch_prefix(const std::string& prompt) {
+        const auto at =
+            std::find(prefix_cache_.begin(), prefix_cache_.end(), prompt);
+        const bool hit = at != prefix_cache_.end();
         if (hit) {
-            cache_.erase(at);
+            prefix_cache_.erase(at);
         }
-        cache_.push_front(prompt);
+        prefix_cache_.push_front(prompt);
         if (!hit) {
-            events_.note(clock_.now(), cache_event_kind::stored, prompt);
+            cache_events_.append(clock_.now(), cache_event_kind::stored,
+                                 prompt);
         }
-        if (cache_.size() >
+        if (prefix_cache_.size() >
             static_cast<std::size_t>(absl::GetFlag(FLAGS_cached_prefixes))) {
-            events_.note(clock_.now(), cache_event_kind::evicted,
-                         cache_.back());
-            cache_.pop_back();
+            cache_events_.append(clock_.now(), cache_event_kind::evicted,
+                                 prefix_cache_.back());
+            prefix_cache_.pop_back();
         }
         return hit;
     }
 
-    void advance(stream_row& row) {
-        if (row.prefill > 0) {
-            --row.prefill;
+    void produce_chunk(stream_row& row) {
+        if (row.prefill_chunks_left > 0) {
+            --row.prefill_chunks_left;
             return;
         }
         if (role_ == "prefill") {
             return; // It waits for its export.
         }
-        const auto version = serving_.find(row.start.trainer);
-        const auto number = version == serving_.end() ? 0 : version->second;
+        const auto version = served_versions_.find(row.start.trainer);
+        const auto number =
+            version == served_versions_.end() ? 0 : version->second;
         const auto seq = static_cast<std::uint32_t>(row.chunks.size());
         row.chunks.push_back({seq, number,
                               row.start.stream.str() + ":" +
                                   std::to_string(seq) + ":v" +
                                   std::to_string(number) + ";"});
-        record_[row.start.stream.str()].back().push_back(number);
+        chunk_versions_[row.start.stream.str()].back().push_back(number);
         if (row.chunks.size() >= row.length) {
             row.state = wire::stream_state::done;
-            ++finished_;
+            ++finished_count_;
         }
     }
 
     base::clock clock_;
-    base::millis born_ = clock_.now();
+    base::millis started_at_ = clock_.now();
     boost::asio::steady_timer timer_;
     net::http_client http_;
-    std::optional<base::endpoint> weights_;
+    std::optional<base::endpoint> weight_store_;
     std::map<base::stream_id, stream_row> streams_;
-    std::map<base::trainer_id, wire::weight_version> serving_;
-    std::pair<std::int64_t, std::int64_t> highest_{0, 0};
-    std::list<std::string> cache_;
-    cache_events events_{absl::GetFlag(FLAGS_event_lag_ms),
-                         absl::GetFlag(FLAGS_event_gap_percent)};
-    std::deque<load_report> loads_;
+    std::map<base::trainer_id, wire::weight_version> served_versions_;
+    std::pair<std::int64_t, std::int64_t> highest_order_number_{0, 0};
+    std::list<std::string> prefix_cache_;
+    cache_event_log cache_events_{absl::GetFlag(FLAGS_event_lag_ms),
+                                  absl::GetFlag(FLAGS_event_gap_percent)};
+    std::deque<load_sample> load_history_;
     /// For each stream and each time that it was started, the version of each
     /// chunk.
     std::map<std::string, std::vector<std::vector<wire::weight_version>>>
-        record_;
+        chunk_versions_;
     std::string role_ = absl::GetFlag(FLAGS_role);
     double fail_swaps_ = absl::GetFlag(FLAGS_fail_swaps);
     bool frozen_ = false;
-    std::vector<std::pair<net::http_request, net::http_responder>> held_;
+    std::vector<std::pair<net::http_request, net::http_responder>>
+        held_requests_;
     std::vector<waiting_poll> polls_;
     std::mt19937_64 random_{1};
-    std::uint64_t started_ = 0;
-    std::uint64_t finished_ = 0;
+    std::uint64_t started_count_ = 0;
+    std::uint64_t finished_count_ = 0;
     std::int64_t busy_slot_ms_ = 0;
 };
 
@@ -540,10 +552,10 @@
 
 int main(int argc, char** argv) {
     absl::ParseCommandLine(argc, argv);
-    using hibiscus::testing::engine;
-    return hibiscus::testing::run_stand_in(
+    using hibiscus::testing::fake_engine;
+    return hibiscus::testing::run_fake_server(
         absl::GetFlag(FLAGS_address), [](boost::asio::io_context& io) {
-            auto e = std::make_shared<engine>(io);
+            auto e = std::make_shared<fake_engine>(io);
             return [e](const hibiscus::net::http_request& request,
                        const hibiscus::net::http_responder& respond) {
                 e->handle(request, respond);
--- a/testing/stand_ins/instance_list.cpp
+++ b/testing/stand_ins/instance_list.cpp
@@ -4,7 +4,7 @@
 // it is changed. Nor does it model lists that differ between readers.
 
 #include "hibiscus/wire/codec.hpp"
-#include "support/stand_in.hpp"
+#include "support/fake_server.hpp"
 
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
@@ -20,12 +20,12 @@
 namespace {
 
 /// The whole service. Runs in one thread.
-class instance_list {
+class fake_instance_list {
 public:
     /// Handles one request.
     void handle(const net::http_request& request,
                 const net::http_responder& respond) {
-        const auto path = path_of(request.target);
+        const auto path = strip_query(request.target);
         const std::string prefix = "/v1/instances/";
         if (path == "/v1/fault") {
             const auto body =
@@ -36,23 +36,23 @@
             }
             respond({200, "{}", "application/json"});
         } else if (request.method == "POST" && path == "/v1/instances") {
-            change(request, respond);
+            update_instance(request, respond);
         } else if (request.method == "DELETE" && path.rfind(prefix, 0) == 0) {
             rows_.erase(path.substr(prefix.size()));
-            note();
+            record_snapshot();
             respond({200, "{}", "application/json"});
         } else if (request.method == "GET" && path == "/v1/instances") {
-            respond(outage_
-                        ? net::http_response{503, "{}", ""}
-                        : net::http_response{200, seen(), "application/json"});
+            respond(outage_ ? net::http_response{503, "{}", ""}
+                            : net::http_response{200, visible_page(),
+                                                 "application/json"});
         } else {
             respond({404, "{}", "application/json"});
         }
     }
 
 private:
-    void change(const net::http_request& request,
-                const net::http_responder& respond) {
+    void update_instance(const net::http_request& request,
+                         const net::http_responder& respond) {
         const auto read = wire::from_json<wire::instance>(request.body);
         const auto* row = base::value_if(read);
         if (row == nullptr) {
@@ -60,32 +60,32 @@
             return;
         }
         rows_[row->id] = *row;
-        note();
+        record_snapshot();
         respond({200, "{}", "application/json"});
     }
 
-    void note() {
-        wire::instance_page page;
+    void record_snapshot() {
+        wire::instance_list page;
         for (const auto& [id, row] : rows_) {
             page.instances.push_back(row);
         }
-        history_.emplace_back(clock_.now(), wire::to_json(page));
+        snapshots_.emplace_back(clock_.now(), wire::to_json(page));
     }
 
-    std::string seen() {
+    std::string visible_page() {
         const auto limit = clock_.now() - lag_ms_;
-        while (history_.size() > 1 && history_[1].first <= limit) {
-            history_.pop_front();
+        while (snapshots_.size() > 1 && snapshots_[1].first <= limit) {
+            snapshots_.pop_front();
         }
-        if (history_.empty() || history_.front().first > limit) {
-            return wire::to_json(wire::instance_page{});
+        if (snapshots_.empty() || snapshots_.front().first > limit) {
+            return wire::to_json(wire::instance_list{});
         }
-        return history_.front().second;
+        return snapshots_.front().second;
     }
 
     base::clock clock_;
     std::map<std::string, wire::instance> rows_;
-    std::deque<std::pair<base::millis, std::string>> history_;
+    std::deque<std::pair<base::millis, std::string>> snapshots_;
     bool outage_ = false;
     base::millis lag_ms_ = absl::GetFlag(FLAGS_lag_ms);
 };
@@ -95,8 +95,8 @@
 
 int main(int argc, char** argv) {
     absl::ParseCommandLine(argc, argv);
-    auto list = std::make_shared<hibiscus::testing::instance_list>();
-    return hibiscus::testing::run_stand_in(
+    auto list = std::make_shared<hibiscus::testing::fake_instance_list>();
+    return hibiscus::testing::run_fake_server(
         absl::GetFlag(FLAGS_address), [&](boost::asio::io_context&) {
             return [list](const hibiscus::net::http_request& request,
                           const hibiscus::net::http_responder& respond) {
--- a/testing/stand_ins/log_service.cpp
+++ b/testing/stand_ins/log_service.cpp
@@ -9,7 +9,7 @@
 // records that are read out of order.
 
 #include "hibiscus/wire/codec.hpp"
-#include "support/stand_in.hpp"
+#include "support/fake_server.hpp"
 
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
@@ -38,7 +38,7 @@
     wire::log_offset from;
     /// Not answered before this time, unless the service is out.
     base::millis not_before;
-    base::millis until;
+    base::millis deadline;
     net::http_responder respond;
 };
 
@@ -64,24 +64,27 @@
 constexpr std::size_t page_records = 500;
 
 /// The whole service. Runs in one thread.
-class log_service {
+class fake_log_service {
 public:
-    explicit log_service(boost::asio::io_context& io) : timer_(io), io_(io) {
+    explicit fake_log_service(boost::asio::io_context& io)
+        : timer_(io), io_(io) {
         tick();
     }
 
     /// Handles one request.
     void handle(const net::http_request& request,
                 const net::http_responder& respond) {
-        const auto path = path_of(request.target);
+        const auto path = strip_query(request.target);
         if (path == "/v1/fault") {
             set_fault(request, respond);
             return;
         }
         if (path == "/v1/counts") {
-            respond({200,
-                     json{{"appends", appends_}, {"held", held_ids()}}.dump(),
-                     "application/json"});
+            respond(
+                {200,
+                 json{{"appends", append_count_}, {"held", count_held_ids()}}
+                     .dump(),
+                 "application/json"});
             return;
         }
         if (outage_) {
@@ -98,8 +101,8 @@
         const auto name = path.substr(
             prefix.size(), path.size() - prefix.size() - suffix.size());
         if (request.method == "POST") {
-            if (name == hold_stream_) {
-                held_.push_back({request, respond});
+            if (name == held_stream_) {
+                held_appends_.push_back({request, respond});
             } else {
                 append(streams_[name], request, respond);
             }
@@ -116,10 +119,10 @@
             outage_ = body.value("outage", outage_);
             lose_answers_ = body.value("lose_answers", lose_answers_);
             drop_appends_ = body.value("drop_appends", drop_appends_);
-            slow_ms_ = body.value("slow_ms", slow_ms_);
+            added_latency_ms_ = body.value("slow_ms", added_latency_ms_);
             rate_ = body.value("rate", rate_);
             retention_ = body.value("retention", retention_);
-            hold(body.value("hold_stream", hold_stream_));
+            set_held_stream(body.value("hold_stream", held_stream_));
         }
         respond({200, "{}", "application/json"});
     }
@@ -127,19 +130,19 @@
     /// Holds the appends to `stream` back until it is called again; "" holds
     /// none. A test that waits for two held ids knows that both writers have
     /// read what they write on.
-    void hold(const std::string& stream) {
-        if (stream == hold_stream_) {
+    void set_held_stream(const std::string& stream) {
+        if (stream == held_stream_) {
             return;
         }
-        const auto released = std::exchange(hold_stream_, stream);
-        for (const auto& h : std::exchange(held_, {})) {
+        const auto released = std::exchange(held_stream_, stream);
+        for (const auto& h : std::exchange(held_appends_, {})) {
             append(streams_[released], h.request, h.respond);
         }
     }
 
-    std::size_t held_ids() const {
+    std::size_t count_held_ids() const {
         std::set<base::append_id> ids;
-        for (const auto& h : held_) {
+        for (const auto& h : held_appends_) {
             const auto read =
                 wire::from_json<wire::append_request>(h.request.body);
             if (const auto* record = base::value_if(read)) {
@@ -159,14 +162,14 @@
         }
         if (drop_appends_ > 0) {
             --drop_appends_;
-            lost_.push_back(respond);
+            unresponded_.push_back(respond);
             return;
         }
-        if (!within_rate()) {
+        if (!consume_rate_token()) {
             respond({429, "{}", "application/json"});
             return;
         }
-        ++appends_;
+        ++append_count_;
         const auto offset = stream.end();
         stream.records.push_back({offset, record->id, record->data});
         while (stream.records.size() > static_cast<std::size_t>(retention_)) {
@@ -175,31 +178,32 @@
         }
         if (lose_answers_ > 0) {
             --lose_answers_;
-            lost_.push_back(respond);
+            unresponded_.push_back(respond);
             return;
         }
-        answer_later(respond, wire::to_json(wire::append_answer{offset}));
+        respond_after_delay(respond,
+                            wire::to_json(wire::append_response{offset}));
     }
 
     /// Takes one append out of the allowance, if there is one.
-    bool within_rate() {
+    bool consume_rate_token() {
         const auto now = clock_.now();
-        allowance_ = std::min<double>(
-            rate_,
-            allowance_ + static_cast<double>(now - refilled_) * rate_ / 1000.0);
-        refilled_ = now;
-        if (allowance_ < 1.0) {
+        rate_tokens_ = std::min<double>(
+            rate_, rate_tokens_ + static_cast<double>(now - refilled_at_) *
+                                      rate_ / 1000.0);
+        refilled_at_ = now;
+        if (rate_tokens_ < 1.0) {
             return false;
         }
-        allowance_ -= 1.0;
+        rate_tokens_ -= 1.0;
         return true;
     }
 
-    void answer_later(const net::http_responder& respond,
-                      const std::string& body) {
+    void respond_after_delay(const net::http_responder& respond,
+                             const std::string& body) {
         auto timer = std::make_shared<boost::asio::steady_timer>(io_);
         timer->expires_after(std::chrono::milliseconds(
-            absl::GetFlag(FLAGS_append_ms) + slow_ms_));
+            absl::GetFlag(FLAGS_append_ms) + added_latency_ms_));
         timer->async_wait(
             [timer, respond, body](const boost::system::error_code&) {
                 respond({200, body, "application/json"});
@@ -208,32 +212,32 @@
 
     void read(stream_row& stream, const net::http_request& request,
               const net::http_responder& respond) {
-        const auto from = query_number(request.target, "from", 0);
-        const auto wait = query_number(request.target, "wait_ms", 0);
+        const auto from = parse_query_number(request.target, "from", 0);
+        const auto wait = parse_query_number(request.target, "wait_ms", 0);
         const auto now = clock_.now();
-        stream.waiting.push_back(
-            {from, now + slow_ms_, now + slow_ms_ + wait, respond});
-        answer_reads(stream);
+        stream.waiting.push_back({from, now + added_latency_ms_,
+                                  now + added_latency_ms_ + wait, respond});
+        respond_to_reads(stream);
     }
 
-    void answer_reads(stream_row& stream) {
+    void respond_to_reads(stream_row& stream) {
         auto& waiting = stream.waiting;
         for (std::size_t i = 0; i < waiting.size();) {
             const auto now = clock_.now();
             const bool early =
                 now < waiting[i].not_before ||
-                (waiting[i].from >= stream.end() && now < waiting[i].until);
+                (waiting[i].from >= stream.end() && now < waiting[i].deadline);
             if (early && !outage_) {
                 ++i;
                 continue;
             }
-            waiting[i].respond(page_of(stream, waiting[i].from));
+            waiting[i].respond(make_page_response(stream, waiting[i].from));
             waiting.erase(waiting.begin() + static_cast<std::ptrdiff_t>(i));
         }
     }
 
-    net::http_response page_of(const stream_row& stream,
-                               wire::log_offset from) const {
+    net::http_response make_page_response(const stream_row& stream,
+                                          wire::log_offset from) const {
         if (outage_) {
             return {503, "{}", "application/json"};
         }
@@ -251,7 +255,7 @@
 
     void tick() {
         for (auto& [name, stream] : streams_) {
-            answer_reads(stream);
+            respond_to_reads(stream);
         }
         timer_.expires_after(std::chrono::milliseconds(tick_ms));
         timer_.async_wait([this](const boost::system::error_code&) { tick(); });
@@ -261,18 +265,18 @@
     boost::asio::steady_timer timer_;
     boost::asio::io_context& io_;
     std::map<std::string, stream_row> streams_;
-    std::vector<net::http_responder> lost_;
-    std::string hold_stream_;
-    std::vector<held_append> held_;
+    std::vector<net::http_responder> unresponded_;
+    std::string held_stream_;
+    std::vector<held_append> held_appends_;
     bool outage_ = false;
     int lose_answers_ = 0;
     int drop_appends_ = 0;
-    base::millis slow_ms_ = 0;
+    base::millis added_latency_ms_ = 0;
     double rate_ = absl::GetFlag(FLAGS_rate);
     int retention_ = absl::GetFlag(FLAGS_retention);
-    double allowance_ = absl::GetFlag(FLAGS_rate);
-    base::millis refilled_ = clock_.now();
-    std::int64_t appends_ = 0;
+    double rate_tokens_ = absl::GetFlag(FLAGS_rate);
+    base::millis refilled_at_ = clock_.now();
+    std::int64_t append_count_ = 0;
 };
 
 } // namespace
@@ -280,11 +284,11 @@
 
 int main(int argc, char** argv) {
     absl::ParseCommandLine(argc, argv);
-    using hibiscus::testing::log_service;
-    std::shared_ptr<log_service> service;
-    return hibiscus::testing::run_stand_in(
+    using hibiscus::testing::fake_log_service;
+    std::shared_ptr<fake_log_service> service;
+    return hibiscus::testing::run_fake_server(
         absl::GetFlag(FLAGS_address), [&](boost::asio::io_context& io) {
-            service = std::make_shared<log_service>(io);
+            service = std::make_shared<fake_log_service>(io);
             return [service](const hibiscus::net::http_request& request,
                              const hibiscus::net::http_responder& respond) {
                 service->handle(request, respond);
--- a/testing/stand_ins/plain_service.cpp
+++ b/testing/stand_ins/plain_service.cpp
@@ -4,7 +4,7 @@
 // with 503 before it runs), "lose_answers" (so many requests run and are not
 // answered) and "run_ms". It does not model work of uneven length.
 
-#include "support/stand_in.hpp"
+#include "support/fake_server.hpp"
 
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
@@ -24,16 +24,17 @@
 namespace {
 
 /// The whole service. Runs in one thread.
-class plain_service {
+class fake_plain_service {
 public:
-    explicit plain_service(boost::asio::io_context& io) : io_(io) {}
+    explicit fake_plain_service(boost::asio::io_context& io) : io_(io) {}
 
     /// Handles one request.
     void handle(const net::http_request& request,
                 const net::http_responder& respond) {
         const std::string prefix = "/v1/run/";
         if (request.target == "/v1/runs") {
-            respond({200, nlohmann::json(runs_).dump(), "application/json"});
+            respond(
+                {200, nlohmann::json(run_counts_).dump(), "application/json"});
         } else if (request.target == "/v1/fault") {
             set_fault(request, respond);
         } else if (request.method == "POST" &&
@@ -58,33 +59,33 @@
 
     void run(const std::string& key, const std::string& body,
              const net::http_responder& respond) {
-        if (refuse_ || running_ >= absl::GetFlag(FLAGS_capacity)) {
+        if (refuse_ || running_count_ >= absl::GetFlag(FLAGS_capacity)) {
             respond({503, "{}", "application/json"});
             return;
         }
-        ++runs_[key];
+        ++run_counts_[key];
         if (lose_answers_ > 0) {
             --lose_answers_;
-            lost_.push_back(respond);
+            unresponded_.push_back(respond);
             return;
         }
-        ++running_;
+        ++running_count_;
         auto timer = std::make_shared<boost::asio::steady_timer>(io_);
         timer->expires_after(std::chrono::milliseconds(run_ms_));
         timer->async_wait([this, timer, key, body,
                            respond](const boost::system::error_code&) {
-            --running_;
+            --running_count_;
             respond({200, "ran " + key + " with " + body, "text/plain"});
         });
     }
 
     boost::asio::io_context& io_;
-    int running_ = 0;
+    int running_count_ = 0;
     bool refuse_ = false;
     int lose_answers_ = 0;
     int run_ms_ = absl::GetFlag(FLAGS_run_ms);
-    std::vector<net::http_responder> lost_;
-    std::map<std::string, int> runs_;
+    std::vector<net::http_responder> unresponded_;
+    std::map<std::string, int> run_counts_;
 };
 
 } // namespace
@@ -92,10 +93,10 @@
 
 int main(int argc, char** argv) {
     absl::ParseCommandLine(argc, argv);
-    using hibiscus::testing::plain_service;
-    return hibiscus::testing::run_stand_in(
+    using hibiscus::testing::fake_plain_service;
+    return hibiscus::testing::run_fake_server(
         absl::GetFlag(FLAGS_address), [](boost::asio::io_context& io) {
-            auto service = std::make_shared<plain_service>(io);
+            auto service = std::make_shared<fake_plain_service>(io);
             return [service](const hibiscus::net::http_request& request,
                              const hibiscus::net::http_responder& respond) {
                 service->handle(request, respond);
--- a/testing/stand_ins/trainer.cpp
+++ b/testing/stand_ins/trainer.cpp
@@ -4,7 +4,7 @@
 // saw as one line of JSON; with --answers it keeps every sample that it took
 // in a file, for the oracle. It does not model several pullers in parallel.
 
-#include "support/caller.hpp"
+#include "support/entry_client.hpp"
 #include "support/process.hpp"
 
 #include <absl/flags/flag.h>
@@ -33,18 +33,18 @@
 
 using nlohmann::json;
 
-constexpr base::millis call_timeout = 4000;
-constexpr base::millis pull_wait = 1000;
+constexpr base::millis call_timeout_ms = 4000;
+constexpr base::millis pull_wait_ms = 1000;
 
 /// What a trainer saw.
-struct tally {
+struct run_stats {
     int steps = 0;
-    std::uint32_t got = 0;
-    std::uint32_t wanted = 0;
+    std::uint32_t received_samples = 0;
+    std::uint32_t requested_samples = 0;
     int duplicates = 0;
     int stale = 0;
-    int untrue = 0;
-    base::millis idle = 0;
+    int text_mismatches = 0;
+    base::millis idle_ms = 0;
     std::int64_t staleness_sum = 0;
     std::vector<base::millis> step_ms;
     /// From each step's opening to its last sample.
@@ -52,42 +52,42 @@
 };
 
 /// One trainer. Runs in the main thread.
-class trainer {
+class fake_trainer {
 public:
-    trainer()
+    fake_trainer()
         : name_(absl::GetFlag(FLAGS_name)),
-          caller_(parse_entries(absl::GetFlag(FLAGS_entries))),
-          weights_(base::parse_endpoint(absl::GetFlag(FLAGS_weights))
-                       .value_or(base::endpoint{})) {
+          client_(parse_addresses(absl::GetFlag(FLAGS_entries))),
+          weight_store_(base::parse_endpoint(absl::GetFlag(FLAGS_weights))
+                            .value_or(base::endpoint{})) {
         if (!absl::GetFlag(FLAGS_answers).empty()) {
-            answers_.open(absl::GetFlag(FLAGS_answers));
+            sample_log_.open(absl::GetFlag(FLAGS_answers));
         }
     }
 
     /// Trains all steps and prints what it saw.
     void run() {
         publish();
-        const auto begin = caller_.clock().now();
+        const auto begin = client_.clock().now();
         const int steps = absl::GetFlag(FLAGS_steps);
         opened_at_ = begin;
-        open(1);
+        open_step(1);
         for (int step = 1; step <= steps; ++step) {
-            const auto waiting = caller_.clock().now();
-            collect(step);
-            tally_.idle += caller_.clock().now() - waiting;
-            tally_.step_ms.push_back(caller_.clock().now() - waiting);
-            tally_.completion_ms.push_back(caller_.clock().now() - opened_at_);
-            ++tally_.steps;
-            opened_at_ = caller_.clock().now();
+            const auto waiting = client_.clock().now();
+            pull_samples(step);
+            stats_.idle_ms += client_.clock().now() - waiting;
+            stats_.step_ms.push_back(client_.clock().now() - waiting);
+            stats_.completion_ms.push_back(client_.clock().now() - opened_at_);
+            ++stats_.steps;
+            opened_at_ = client_.clock().now();
             if (step < steps) {
-                open(step + 1);
+                open_step(step + 1);
             }
             pause_for(absl::GetFlag(FLAGS_train_ms));
             publish();
             std::cout << name_ << ": step " << step << " trained, version "
                       << version_ << std::endl;
         }
-        print(caller_.clock().now() - begin);
+        print(client_.clock().now() - begin);
     }
 
 private:
@@ -96,20 +96,22 @@
         net::http_request put;
         put.method = "PUT";
         put.target = "/v1/weights/" + name_ + "/" + std::to_string(version_);
-        caller_.send_to(weights_, put, call_timeout);
+        client_.send_to(weight_store_, put, call_timeout_ms);
         const auto target =
             "/v1/trainers/" + name_ + "/versions/" + std::to_string(version_);
-        until_done<wire::version_answer>("PUT", target, "{}");
+        retry_until_completed<wire::version_response>("PUT", target, "{}");
     }
 
     /// Asks until the answer is `completed`.
     template <class T>
-    void until_done(const std::string& method, const std::string& target,
-                    const std::string& body) {
+    void retry_until_completed(const std::string& method,
+                               const std::string& target,
+                               const std::string& body) {
         const auto until =
-            caller_.clock().now() + absl::GetFlag(FLAGS_give_up_ms);
-        while (caller_.clock().now() < until) {
-            const auto a = caller_.ask<T>(method, target, body, call_timeout);
+            client_.clock().now() + absl::GetFlag(FLAGS_give_up_ms);
+        while (client_.clock().now() < until) {
+            const auto a =
+                client_.call<T>(method, target, body, call_timeout_ms);
             if (a && a->result == wire::outcome::completed) {
                 return;
             }
@@ -117,11 +119,11 @@
         }
     }
 
-    std::string path(int step) const {
+    std::string step_path(int step) const {
         return "/v1/trainers/" + name_ + "/steps/" + std::to_string(step);
     }
 
-    void open(int step) {
+    void open_step(int step) {
         wire::step_request request;
         request.version = version_;
         for (int g = 0; g < absl::GetFlag(FLAGS_groups); ++g) {
@@ -130,32 +132,33 @@
                  static_cast<std::uint32_t>(absl::GetFlag(FLAGS_group_size)),
                  static_cast<std::uint32_t>(absl::GetFlag(FLAGS_max_tokens))});
         }
-        until_done<wire::step_answer>("PUT", path(step),
-                                      wire::to_json(request));
+        retry_until_completed<wire::step_response>("PUT", step_path(step),
+                                                   wire::to_json(request));
     }
 
-    void collect(int step) {
+    void pull_samples(int step) {
         const auto wanted = static_cast<std::uint32_t>(
             absl::GetFlag(FLAGS_groups) * absl::GetFlag(FLAGS_group_size));
-        tally_.wanted += wanted;
+        stats_.requested_samples += wanted;
         std::set<wire::slot_index> received;
         const auto until =
-            caller_.clock().now() + absl::GetFlag(FLAGS_give_up_ms);
-        while (received.size() < wanted && caller_.clock().now() < until) {
-            const wire::pull_request pull{++pull_, version_, ranges(received),
-                                          0, pull_wait};
-            const auto answer = caller_.ask<wire::pull_answer>(
-                "POST", path(step) + "/pull", wire::to_json(pull),
-                pull_wait + call_timeout);
-            if (!answer || answer->pull != pull_) {
+            client_.clock().now() + absl::GetFlag(FLAGS_give_up_ms);
+        while (received.size() < wanted && client_.clock().now() < until) {
+            const wire::pull_request pull{++last_pull_, version_,
+                                          to_slot_ranges(received), 0,
+                                          pull_wait_ms};
+            const auto answer = client_.call<wire::pull_response>(
+                "POST", step_path(step) + "/pull", wire::to_json(pull),
+                pull_wait_ms + call_timeout_ms);
+            if (!answer || answer->pull != last_pull_) {
                 pause_for(20);
                 continue;
             }
             if (answer->why == wire::reason::unknown_step) {
-                open(step);
+                open_step(step);
             }
             for (const auto& s : answer->samples) {
-                take(s, step, received);
+                check_sample(s, step, received);
             }
             if (answer->result != wire::outcome::completed) {
                 pause_for(std::max<base::millis>(answer->retry_after_ms, 20));
@@ -164,7 +167,7 @@
     }
 
     static std::vector<wire::slot_range>
-    ranges(const std::set<wire::slot_index>& slots) {
+    to_slot_ranges(const std::set<wire::slot_index>& slots) {
         std::vector<wire::slot_range> result;
         for (const auto s : slots) {
             if (!result.empty() && result.back().last + 1 == s) {
@@ -176,13 +179,13 @@
         return result;
     }
 
-    void take(const wire::sample& s, int step,
-              std::set<wire::slot_index>& received) {
+    void check_sample(const wire::sample& s, int step,
+                      std::set<wire::slot_index>& received) {
         if (!received.insert(s.slot).second) {
-            ++tally_.duplicates;
+            ++stats_.duplicates;
             return;
         }
-        ++tally_.got;
+        ++stats_.received_samples;
         auto oldest = version_;
         const auto stream = name_ + "/" + std::to_string(step) + "/" +
                             std::to_string(s.slot) + "/" +
@@ -197,41 +200,41 @@
                               std::to_string(c.version) + ";";
             told_true = told_true && c.seq == seq++ && c.text == text;
         }
-        answers_ << json{{"stream", stream},
-                         {"at", caller_.clock().wall()},
-                         {"engine", s.engine.str()},
-                         {"at_version", version_},
-                         {"versions", std::move(versions)}}
-                 << std::endl;
-        tally_.untrue += told_true ? 0 : 1;
-        tally_.staleness_sum += version_ - oldest;
-        tally_.stale += version_ - oldest > absl::GetFlag(FLAGS_bound) ? 1 : 0;
+        sample_log_ << json{{"stream", stream},
+                            {"at", client_.clock().wall_time()},
+                            {"engine", s.engine.str()},
+                            {"at_version", version_},
+                            {"versions", std::move(versions)}}
+                    << std::endl;
+        stats_.text_mismatches += told_true ? 0 : 1;
+        stats_.staleness_sum += version_ - oldest;
+        stats_.stale += version_ - oldest > absl::GetFlag(FLAGS_bound) ? 1 : 0;
     }
 
     void print(base::millis total) const {
         std::cout << json{{"client", "trainer"},
-                          {"steps", tally_.steps},
-                          {"got", tally_.got},
-                          {"wanted", tally_.wanted},
-                          {"duplicates", tally_.duplicates},
-                          {"stale", tally_.stale},
-                          {"untrue", tally_.untrue},
-                          {"idle_ms", tally_.idle},
+                          {"steps", stats_.steps},
+                          {"got", stats_.received_samples},
+                          {"wanted", stats_.requested_samples},
+                          {"duplicates", stats_.duplicates},
+                          {"stale", stats_.stale},
+                          {"untrue", stats_.text_mismatches},
+                          {"idle_ms", stats_.idle_ms},
                           {"total_ms", total},
-                          {"staleness_sum", tally_.staleness_sum},
-                          {"step_ms", tally_.step_ms},
-                          {"completion_ms", tally_.completion_ms}}
+                          {"staleness_sum", stats_.staleness_sum},
+                          {"step_ms", stats_.step_ms},
+                          {"completion_ms", stats_.completion_ms}}
                   << std::endl;
     }
 
     std::string name_;
-    caller caller_;
-    base::endpoint weights_;
+    entry_client client_;
+    base::endpoint weight_store_;
     wire::weight_version version_ = 0;
-    std::int64_t pull_ = 0;
-    std::ofstream answers_;
+    std::int64_t last_pull_ = 0;
+    std::ofstream sample_log_;
     base::millis opened_at_ = 0;
-    tally tally_;
+    run_stats stats_;
 };
 
 } // namespace
@@ -239,7 +242,7 @@
 
 int main(int argc, char** argv) {
     absl::ParseCommandLine(argc, argv);
-    hibiscus::testing::trainer trainer;
+    hibiscus::testing::fake_trainer trainer;
     trainer.run();
     return 0;
 }
--- a/testing/stand_ins/weight_store.cpp
+++ b/testing/stand_ins/weight_store.cpp
@@ -5,7 +5,7 @@
 // versions, not their bytes, and does not model reads that break in the
 // middle.
 
-#include "support/stand_in.hpp"
+#include "support/fake_server.hpp"
 
 #include "hibiscus/base/clock.hpp"
 
@@ -28,9 +28,9 @@
 namespace {
 
 /// The whole service. Runs in one thread.
-class weight_store {
+class fake_weight_store {
 public:
-    explicit weight_store(boost::asio::io_context& io) : io_(io) {}
+    explicit fake_weight_store(boost::asio::io_context& io) : io_(io) {}
 
     /// Handles one request.
     void handle(const net::http_request& request,
@@ -67,8 +67,8 @@
         std::uniform_real_distribution<double> share(0.0, 1.0);
         const int status = share(random_) < fail_share_ ? 500 : 200;
         const auto now = clock_.now();
-        const auto start = std::max(now, free_at_);
-        free_at_ = start + spacing;
+        const auto start = std::max(now, next_read_at_);
+        next_read_at_ = start + spacing;
         auto timer = std::make_shared<boost::asio::steady_timer>(io_);
         timer->expires_after(std::chrono::milliseconds(start - now + read_ms_));
         timer->async_wait(
@@ -79,7 +79,7 @@
 
     boost::asio::io_context& io_;
     base::clock clock_;
-    base::millis free_at_ = 0;
+    base::millis next_read_at_ = 0;
     base::millis read_ms_ = absl::GetFlag(FLAGS_read_ms);
     bool outage_ = false;
     double fail_share_ = 0.0;
@@ -92,10 +92,10 @@
 
 int main(int argc, char** argv) {
     absl::ParseCommandLine(argc, argv);
-    using hibiscus::testing::weight_store;
-    return hibiscus::testing::run_stand_in(
+    using hibiscus::testing::fake_weight_store;
+    return hibiscus::testing::run_fake_server(
         absl::GetFlag(FLAGS_address), [](boost::asio::io_context& io) {
-            auto store = std::make_shared<weight_store>(io);
+            auto store = std::make_shared<fake_weight_store>(io);
             return [store](const hibiscus::net::http_request& request,
                            const hibiscus::net::http_responder& respond) {
                 store->handle(request, respond);
--- a/testing/support/caller.cpp
+++ b/testing/support/entry_client.cpp
@@ -1,4 +1,4 @@
-#include "support/caller.hpp"
+#include "support/entry_client.hpp"
 
 #include <algorithm>
 #include <future>
@@ -8,11 +8,11 @@
 namespace {
 
 constexpr base::millis connect_ms = 500;
-constexpr base::millis entries_timeout = 1000;
+constexpr base::millis entries_timeout_ms = 1000;
 
 } // namespace
 
-std::vector<base::endpoint> parse_entries(const std::string& text) {
+std::vector<base::endpoint> parse_addresses(const std::string& text) {
     std::vector<base::endpoint> entries;
     std::size_t at = 0;
     while (at < text.size()) {
@@ -25,73 +25,76 @@
     return entries;
 }
 
-caller::caller(std::vector<base::endpoint> first)
-    : guard_(io_.get_executor()), http_(io_, connect_ms),
-      thread_([this] { io_.run(); }), first_(std::move(first)),
-      entries_(first_) {}
+entry_client::entry_client(std::vector<base::endpoint> first)
+    : work_guard_(io_.get_executor()), http_(io_, connect_ms),
+      thread_([this] { io_.run(); }), seed_addresses_(std::move(first)),
+      entries_(seed_addresses_) {}
 
-caller::~caller() {
+entry_client::~entry_client() {
     io_.stop();
     thread_.join();
 }
 
-net::http_result caller::send_to(const base::endpoint& target,
-                                 net::http_request request,
-                                 base::millis timeout) {
+net::http_result entry_client::send_to(const base::endpoint& target,
+                                       net::http_request request,
+                                       base::millis timeout) {
     std::promise<net::http_result> promise;
-    http_.send(target, std::move(request), timeout, net::reuse::allowed,
+    http_.send(target, std::move(request), timeout,
+               net::connection_reuse::allowed,
                [&](net::http_result r) { promise.set_value(std::move(r)); });
     return promise.get_future().get();
 }
 
-net::http_result caller::send(net::http_request request, base::millis timeout) {
-    refresh();
-    const auto target = next_entry();
+net::http_result entry_client::send(net::http_request request,
+                                    base::millis timeout) {
+    refresh_entries();
+    const auto target = pick_entry();
     auto result = send_to(target, std::move(request), timeout);
     if (std::holds_alternative<net::http_failure>(result)) {
-        avoid(target);
+        remove_entry(target);
     }
     return result;
 }
 
-base::endpoint caller::next_entry() {
+base::endpoint entry_client::pick_entry() {
     const std::lock_guard<std::mutex> lock(mutex_);
-    return entries_[next_++ % entries_.size()];
+    return entries_[next_index_++ % entries_.size()];
 }
 
-void caller::refresh() {
+void entry_client::refresh_entries() {
     std::vector<base::endpoint> candidates;
     {
         const std::lock_guard<std::mutex> lock(mutex_);
-        if (clock_.now() < fresh_until_) {
+        if (clock_.now() < entries_expire_at_) {
             return;
         }
-        fresh_until_ = clock_.now() + entries_timeout;
+        entries_expire_at_ = clock_.now() + entries_timeout_ms;
         candidates = entries_;
-        const auto turn = next_++ % candidates.size();
+        const auto turn = next_index_++ % candidates.size();
         std::rotate(candidates.begin(),
                     candidates.begin() + static_cast<std::ptrdiff_t>(turn),
                     candidates.end());
-        candidates.insert(candidates.end(), first_.begin(), first_.end());
+        candidates.insert(candidates.end(), seed_addresses_.begin(),
+                          seed_addresses_.end());
     }
     // One that does not answer says nothing of the others. A caller that went
     // back to its first addresses alone would stand still for ever once all
     // of those have been replaced.
     for (const auto& target : candidates) {
-        if (ask_entries(target)) {
+        if (fetch_entries(target)) {
             return;
         }
     }
     const std::lock_guard<std::mutex> lock(mutex_);
     entries_ = std::move(candidates);
-    fresh_until_ = 0;
+    entries_expire_at_ = 0;
 }
 
-bool caller::ask_entries(const base::endpoint& target) {
+bool entry_client::fetch_entries(const base::endpoint& target) {
     net::http_request request;
     request.target = "/v1/entries";
-    const auto answer = decode<wire::entries_answer>(
-        send_to(target, std::move(request), entries_timeout));
+    const auto answer = decode_response<wire::entries_response>(
+        send_to(target, std::move(request), entries_timeout_ms));
     std::vector<base::endpoint> found;
     for (const auto& e :
          answer ? answer->entries : std::vector<wire::entry_address>{}) {
@@ -104,11 +107,11 @@
     }
     const std::lock_guard<std::mutex> lock(mutex_);
     entries_ = std::move(found);
-    fresh_until_ = clock_.now() + answer->ttl_ms;
+    entries_expire_at_ = clock_.now() + answer->ttl_ms;
     return true;
 }
 
-void caller::avoid(const base::endpoint& target) {
+void entry_client::remove_entry(const base::endpoint& target) {
     const std::lock_guard<std::mutex> lock(mutex_);
     if (entries_.size() > 1) {
         entries_.erase(std::remove(entries_.begin(), entries_.end(), target),
--- a/testing/support/caller.hpp
+++ b/testing/support/entry_client.hpp
@@ -15,21 +15,21 @@
 namespace hibiscus::testing {
 
 /// Returns the addresses in `text`, which are divided by commas.
-std::vector<base::endpoint> parse_entries(const std::string& text);
+std::vector<base::endpoint> parse_addresses(const std::string& text);
 
 /// Calls hibiscustack as its documentation tells callers to: asks for the
 /// addresses, keeps the answer for its time to live, connects there, and goes
 /// to another address when one fails. Safe for several threads.
-class caller {
+class entry_client {
 public:
     /// Constructs a caller that knows the addresses `first` to begin with.
-    explicit caller(std::vector<base::endpoint> first);
+    explicit entry_client(std::vector<base::endpoint> first);
 
     /// Ends its thread.
-    ~caller();
+    ~entry_client();
 
-    caller(const caller&) = delete;
-    caller& operator=(const caller&) = delete;
+    entry_client(const entry_client&) = delete;
+    entry_client& operator=(const entry_client&) = delete;
 
     /// Sends a request to an entry and waits for what comes of it.
     net::http_result send(net::http_request request, base::millis timeout);
@@ -41,18 +41,18 @@
     /// Sends `body` and returns the answer, or nothing if there is none or it
     /// is not of the type T.
     template <class T>
-    std::optional<T> ask(const std::string& method, const std::string& target,
-                         std::string body, base::millis timeout) {
+    std::optional<T> call(const std::string& method, const std::string& target,
+                          std::string body, base::millis timeout) {
         net::http_request request;
         request.method = method;
         request.target = target;
         request.body = std::move(body);
-        return decode<T>(send(std::move(request), timeout));
+        return decode_response<T>(send(std::move(request), timeout));
     }
 
     /// Returns the message in a result, or nothing.
     template <class T>
-    static std::optional<T> decode(const net::http_result& result) {
+    static std::optional<T> decode_response(const net::http_result& result) {
         const auto* response = std::get_if<net::http_response>(&result);
         if (response == nullptr) {
             return std::nullopt;
@@ -67,22 +67,22 @@
     const base::clock& clock() const { return clock_; }
 
 private:
-    base::endpoint next_entry();
-    void refresh();
-    bool ask_entries(const base::endpoint& target);
-    void avoid(const base::endpoint& target);
+    base::endpoint pick_entry();
+    void refresh_entries();
+    bool fetch_entries(const base::endpoint& target);
+    void remove_entry(const base::endpoint& target);
 
     base::clock clock_;
     boost::asio::io_context io_;
     boost::asio::executor_work_guard<boost::asio::io_context::executor_type>
-        guard_;
+        work_guard_;
     net::http_client http_;
     std::thread thread_;
     std::mutex mutex_;
-    std::vector<base::endpoint> first_;
+    std::vector<base::endpoint> seed_addresses_;
     std::vector<base::endpoint> entries_;
-    base::millis fresh_until_ = 0;
-    std::size_t next_ = 0;
+    base::millis entries_expire_at_ = 0;
+    std::size_t next_index_ = 0;
 };
 
 } // namespace hibiscus::testing
--- a/testing/support/stand_in.cpp
+++ b/testing/support/fake_server.cpp
@@ -1,4 +1,4 @@
-#include "support/stand_in.hpp"
+#include "support/fake_server.hpp"
 
 #include <boost/asio/executor_work_guard.hpp>
 #include <boost/asio/signal_set.hpp>
@@ -9,14 +9,14 @@
 
 namespace hibiscus::testing {
 
-int run_stand_in(
+int run_fake_server(
     const std::string& address,
     const std::function<net::http_handler(boost::asio::io_context&)>& make) {
     boost::asio::io_context io(1);
     const auto guard = boost::asio::make_work_guard(io);
     net::http_limits limits;
-    limits.read_ms = 600000;
-    limits.body_bytes = 64 * 1024 * 1024;
+    limits.read_timeout_ms = 600000;
+    limits.max_body_bytes = 64 * 1024 * 1024;
     net::http_server server(io, limits, make(io));
     const auto wanted = base::parse_endpoint(address);
     const auto got = wanted ? server.listen(*wanted) : std::nullopt;
@@ -32,8 +32,8 @@
     return 0;
 }
 
-std::int64_t query_number(const std::string& target, const std::string& key,
-                          std::int64_t fallback) {
+std::int64_t parse_query_number(const std::string& target,
+                                const std::string& key, std::int64_t fallback) {
     const auto query = target.find('?');
     if (query == std::string::npos) {
         return fallback;
@@ -46,7 +46,7 @@
     return std::strtoll(value.c_str(), nullptr, 10);
 }
 
-std::string path_of(const std::string& target) {
+std::string strip_query(const std::string& target) {
     return target.substr(0, target.find('?'));
 }
 
--- a/testing/support/fuzz.hpp
+++ b/testing/support/fuzz.hpp
@@ -28,7 +28,7 @@
 }
 
 /// Returns a generator of lists of commands.
-inline rc::Gen<std::vector<fuzz_command>> fuzz_commands() {
+inline rc::Gen<std::vector<fuzz_command>> generate_commands() {
     constexpr int full_range = 100;
     const auto number = [](int below) {
         return rc::gen::resize(full_range, rc::gen::inRange(0, below));
@@ -67,7 +67,7 @@
         params.maxSize = longest;
         const auto result = rc::detail::checkTestable(
             [&] {
-                const auto wrong = property(*fuzz_commands());
+                const auto wrong = property(*generate_commands());
                 if (!wrong.empty()) {
                     RC_FAIL(wrong);
                 }
--- a/testing/support/oracle.hpp
+++ b/testing/support/oracle.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "hibiscus/base/enum_names.hpp"
-#include "support/system.hpp"
+#include "support/test_cluster.hpp"
 
 #include <array>
 #include <ostream>
@@ -60,33 +60,34 @@
 };
 
 /// One answer that an application got.
-struct kept_answer {
+struct recorded_response {
     std::string id;
     /// By the time of day.
-    base::millis at = 0;
+    base::millis wall_ms = 0;
     base::millis took_ms = 0;
     /// The name of the outcome; empty if there was no answer.
     std::string result;
-    std::string why;
+    std::string reason;
     base::millis retry_after_ms = 0;
 };
 
 /// Returns the answers in the file that an application keeps.
-std::vector<kept_answer> read_answers(const std::string& file);
+std::vector<recorded_response> read_answers(const std::string& file);
 
 /// Returns the longest time between two completed answers to requests whose
 /// ids begin with `prefix`, in ms.
-base::millis longest_gap(const std::vector<kept_answer>& answers,
+base::millis longest_gap(const std::vector<recorded_response>& answers,
                          const std::string& prefix);
 
 /// Returns the longest time from the first try of a request, whose id begins
 /// with `prefix`, to its completion, in ms.
-base::millis longest_wait(const std::vector<kept_answer>& answers,
+base::millis longest_wait(const std::vector<recorded_response>& answers,
                           const std::string& prefix);
 
 /// Returns the requests whose outcome stayed open: their last answer is
 /// unknown, or there is none.
-std::vector<std::string> left_open(const std::vector<kept_answer>& answers);
+std::vector<std::string>
+find_unresolved_requests(const std::vector<recorded_response>& answers);
 
 /// Returns the longest time between two samples in the file that a trainer
 /// keeps, in ms.
@@ -94,15 +95,16 @@
 
 /// Returns what is wrong with what a trainer printed and kept, by the records
 /// of the engines.
-std::vector<violation> check_trainer(system& s, const std::string& output,
-                                     const std::string& file);
+std::vector<violation> check_trainer_output(test_cluster& s,
+                                            const std::string& output,
+                                            const std::string& file);
 
 /// Returns what is wrong with what an application printed.
-std::vector<violation> check_app(const std::string& output);
+std::vector<violation> check_app_output(const std::string& output);
 
 /// Returns which of the requests in `answers` ran twice or after a refusal,
 /// by the run records of the instances of services that `s` has started.
-std::vector<violation> check_runs(system& s,
-                                  const std::vector<kept_answer>& answers);
+std::vector<violation>
+check_runs(test_cluster& s, const std::vector<recorded_response>& answers);
 
 } // namespace hibiscus::testing
--- a/testing/support/process.cpp
+++ b/testing/support/process.cpp
@@ -19,7 +19,7 @@
 namespace hibiscus::testing {
 
 process::process(const std::vector<std::string>& arguments, std::string output)
-    : output_(std::move(output)) {
+    : output_path_(std::move(output)) {
     std::vector<char*> argv;
     argv.reserve(arguments.size() + 1);
     for (const auto& a : arguments) {
@@ -28,14 +28,14 @@
     argv.push_back(nullptr);
     posix_spawn_file_actions_t actions;
     posix_spawn_file_actions_init(&actions);
-    posix_spawn_file_actions_addopen(&actions, 1, output_.c_str(),
+    posix_spawn_file_actions_addopen(&actions, 1, output_path_.c_str(),
                                      O_WRONLY | O_CREAT | O_APPEND, 0644);
     posix_spawn_file_actions_adddup2(&actions, 1, 2);
     // A socket of the test that the program holds too would stay open after the
     // test has closed it.
     posix_spawn_file_actions_addclosefrom_np(&actions, 3);
     const int error =
-        posix_spawn(&id_, argv[0], &actions, nullptr, argv.data(), environ);
+        posix_spawn(&pid_, argv[0], &actions, nullptr, argv.data(), environ);
     posix_spawn_file_actions_destroy(&actions);
     if (error != 0) {
         throw std::runtime_error("cannot start " + arguments[0]);
@@ -43,43 +43,44 @@
 }
 
 process::~process() {
-    if (running()) {
+    if (is_running()) {
         signal(SIGKILL);
-        wait(10000);
+        wait_for_exit(10000);
     }
 }
 
 void process::signal(int number) const {
-    if (!exit_) {
-        ::kill(id_, number);
+    if (!exit_code_) {
+        ::kill(pid_, number);
     }
 }
 
-std::optional<int> process::wait(base::millis limit) {
-    eventually([this] { return !running(); }, limit);
-    return exit_;
+std::optional<int> process::wait_for_exit(base::millis limit) {
+    eventually([this] { return !is_running(); }, limit);
+    return exit_code_;
 }
 
-bool process::running() {
-    if (exit_) {
+bool process::is_running() {
+    if (exit_code_) {
         return false;
     }
     int status = 0;
-    if (::waitpid(id_, &status, WNOHANG) != id_) {
+    if (::waitpid(pid_, &status, WNOHANG) != pid_) {
         return true;
     }
-    exit_ = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
+    exit_code_ = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
     return false;
 }
 
 std::string process::output() const {
-    std::ifstream in(output_);
+    std::ifstream in(output_path_);
     std::stringstream text;
     text << in.rdbuf();
     return text.str();
 }
 
-std::optional<base::endpoint> process::listening(base::millis limit) const {
+std::optional<base::endpoint>
+process::wait_for_listen_address(base::millis limit) const {
     const std::string words = "listening on ";
     std::optional<base::endpoint> found;
     eventually(
@@ -97,9 +98,9 @@
     return found;
 }
 
-class port_reservations::sockets {
+class port_reservations::bound_sockets {
 public:
-    std::uint16_t take(const std::string& ip) {
+    std::uint16_t reserve(const std::string& ip) {
         using tcp = boost::asio::ip::tcp;
         tcp::acceptor bound(io_, tcp::v4());
         // The bound socket must allow what the program's socket asks for.
@@ -108,22 +109,22 @@
         ::fcntl(bound.native_handle(), F_SETFD, FD_CLOEXEC);
         bound.bind({boost::asio::ip::make_address(ip), 0});
         const auto port = bound.local_endpoint().port();
-        bound_.push_back(std::move(bound));
+        sockets_.push_back(std::move(bound));
         return port;
     }
 
 private:
     boost::asio::io_context io_;
-    std::vector<boost::asio::ip::tcp::acceptor> bound_;
+    std::vector<boost::asio::ip::tcp::acceptor> sockets_;
 };
 
 port_reservations::port_reservations()
-    : sockets_(std::make_unique<sockets>()) {}
+    : sockets_(std::make_unique<bound_sockets>()) {}
 
 port_reservations::~port_reservations() = default;
 
-std::uint16_t port_reservations::take(const std::string& ip) {
-    return sockets_->take(ip);
+std::uint16_t port_reservations::reserve(const std::string& ip) {
+    return sockets_->reserve(ip);
 }
 
 void pause_for(base::millis ms) {
--- a/testing/support/process.hpp
+++ b/testing/support/process.hpp
@@ -31,25 +31,26 @@
 
     /// Waits up to `limit` ms for the end. Returns the exit code, -1 if a
     /// signal ended it, or nothing if it still runs.
-    std::optional<int> wait(base::millis limit);
+    std::optional<int> wait_for_exit(base::millis limit);
 
     /// Returns true if the program has not ended.
-    bool running();
+    bool is_running();
 
     /// Returns the process id.
-    pid_t id() const { return id_; }
+    pid_t pid() const { return pid_; }
 
     /// Returns all that the program has written.
     std::string output() const;
 
     /// Waits for the line "listening on IP:PORT" and returns the address, or
     /// nothing if it does not come within `limit` ms.
-    std::optional<base::endpoint> listening(base::millis limit = 20000) const;
+    std::optional<base::endpoint>
+    wait_for_listen_address(base::millis limit = 20000) const;
 
 private:
-    std::string output_;
-    pid_t id_ = -1;
-    std::optional<int> exit_;
+    std::string output_path_;
+    pid_t pid_ = -1;
+    std::optional<int> exit_code_;
 };
 
 /// Ports for programs that a test starts. A port that was found free and let go
@@ -64,11 +65,11 @@
 
     /// Returns a free port on `ip` and keeps it for the life of this object.
     /// Programs that set SO_REUSEADDR can listen on it, one at a time.
-    std::uint16_t take(const std::string& ip);
+    std::uint16_t reserve(const std::string& ip);
 
 private:
-    class sockets;
-    std::unique_ptr<sockets> sockets_;
+    class bound_sockets;
+    std::unique_ptr<bound_sockets> sockets_;
 };
 
 /// Calls `condition` until it returns true or `limit` ms have passed; returns
