--- a/packages/store/include/hibiscus/store/latency_tracker.hpp
+++ b/packages/store/include/hibiscus/store/latency_tracker.hpp
@@ -4,19 +4,21 @@
 
 namespace hibiscus::store {
 
-/// How long the store takes to answer, besides what a call asks it to wait, by
-/// the calls that it served lately.
+/// Tracks the store's recent response latency, without the time that a call
+/// asks the store to wait.
 class latency_tracker {
 public:
-    /// Returns after how long without an answer a call is a sign that the
-    /// store is out of reach, in ms.
+    /// Returns how long after its expected response a call is overdue, in ms.
+    /// An overdue call suggests that the store is unreachable.
     base::millis overdue_threshold_ms() const;
 
-    /// A call was served `ms` after it was due at the earliest.
+    /// Records that a call was served `ms` after its earliest possible
+    /// response.
     void record_latency(base::millis ms);
 
 private:
-    /// The longest of the newest answers, in ms; below 0 before the first.
+    /// Decaying maximum of the recent latencies, in ms; negative before the
+    /// first call.
     double peak_latency_ms_ = -1;
 };
 
--- a/packages/store/include/hibiscus/store/log_store.hpp
+++ b/packages/store/include/hibiscus/store/log_store.hpp
@@ -8,11 +8,11 @@
 #include <string>
 #include <vector>
 
-/// The shared log as the product sees it: partitions of keyed records, of
-/// which the newest of each key stays readable.
+/// Client interface of the shared log: partitions of keyed records, in which
+/// the latest record of each key always stays readable.
 namespace hibiscus::store {
 
-/// The place of a record in its partition, from 0 without gaps.
+/// Position of a record in its partition; starts at 0 and has no gaps.
 using log_offset = std::uint64_t;
 
 /// One partition of a topic.
@@ -27,29 +27,30 @@
     std::string value;
 };
 
-/// A record and where it stands.
+/// A record and its offset.
 struct stored_record {
     log_offset offset = 0;
     record content;
 };
 
-/// The store answered that it did nothing.
+/// The store rejected the call and did not carry it out.
 struct rejected {
     int status = 0;
 };
 
-/// No answer came: the call may have been carried out, or may be later.
+/// The call got no response. The store may have carried it out, or may still
+/// do so.
 struct outcome_unknown {};
 
-/// All records of an append stand from `first` on; the partition ends at
-/// `end`.
+/// The records were appended at the offsets [first, end). `end` is the new end
+/// of the partition.
 struct appended {
     log_offset first = 0;
     log_offset end = 0;
 };
 
-/// Nothing was appended, since the partition does not end where the caller
-/// expected it.
+/// Nothing was appended because the partition ends at `end`, not at the
+/// expected offset.
 struct append_conflict {
     log_offset end = 0;
 };
@@ -57,53 +58,57 @@
 using append_result =
     base::result<appended, append_conflict, rejected, outcome_unknown>;
 
-/// What a partition held from the asked offset on; no records if none came
-/// within the wait.
+/// The records from the requested offset on, and the end of the partition.
+/// Empty if no record arrived within the wait.
 struct fetched_records {
     log_offset end = 0;
     std::vector<stored_record> records;
 };
 
-/// The asked records are no longer kept.
+/// The store no longer holds the requested records.
 struct records_trimmed {};
 
 using read_result =
     base::result<fetched_records, records_trimmed, rejected, outcome_unknown>;
 
-/// A page of the newest record of each key, in the order of keys.
+/// A page of the latest record of each key, sorted by key.
 struct latest_page {
     std::vector<stored_record> records;
     bool has_more = false;
     log_offset end = 0;
 };
 
-/// Returns true if a page holds nothing though others follow: no key says
-/// where to go on, and what stands behind it is not absent.
+/// Returns true if a page is empty although more pages follow. The next page
+/// can't be requested without a last key, and the remaining keys must not be
+/// treated as absent.
 inline bool has_no_cursor(const latest_page& page) {
     return page.has_more && page.records.empty();
 }
 
 using latest_result = base::result<latest_page, rejected, outcome_unknown>;
 
-/// The calls of the store. Each calls its last argument once, later.
+/// The asynchronous calls of the store. Each call invokes its callback exactly
+/// once, after the call has returned.
 struct log_store {
-    /// Appends all records or none. With `at`, only if the partition ends
-    /// there.
+    /// Appends all records or none. If `expected_end` is not null, appends only
+    /// if the partition ends at that offset.
     std::function<void(const partition&, const std::vector<record>&,
-                       const log_offset* at,
+                       const log_offset* expected_end,
                        std::function<void(append_result)>)>
         append;
-    /// Reads from an offset on, waiting up to `wait_ms` for a record.
+    /// Reads records from the offset `from` on; waits up to `wait_ms` for the
+    /// first one.
     std::function<void(const partition&, log_offset from, base::millis wait_ms,
                        std::function<void(read_result)>)>
         read;
-    /// Reads the newest records of the keys after `after`.
-    std::function<void(const partition&, const std::string& after,
+    /// Reads a page of the latest records whose keys are greater than
+    /// `after_key`.
+    std::function<void(const partition&, const std::string& after_key,
                        std::function<void(latest_result)>)>
         read_latest;
 };
 
-/// Calls a function after so many ms, on the caller's thread.
+/// Runs a function on the caller's thread after a delay in ms.
 using run_after_function =
     std::function<void(base::millis, std::function<void()>)>;
 
--- a/packages/store/include/hibiscus/store/partition_watcher.hpp
+++ b/packages/store/include/hibiscus/store/partition_watcher.hpp
@@ -8,64 +8,72 @@
 
 namespace hibiscus::store {
 
-/// A key that got a new value, or that is gone.
+/// A key that was set or deleted.
 struct change {
     std::string key;
-    /// Nothing if the key was deleted.
+    /// The new value; empty if the key was deleted.
     std::optional<std::string> value;
     log_offset offset = 0;
 };
 
-/// What a follower tells its owner.
+/// Callbacks of a partition_watcher.
 struct watcher_callbacks {
-    /// Keys changed. Each key comes with ever newer records.
+    /// Called when keys have changed. The offsets of the values reported for
+    /// one key increase.
     std::function<void(const std::vector<change>&)> on_changes;
-    /// The store was lost (false) or is heard again (true).
+    /// Called with false when the store becomes unreachable, and with true when
+    /// it is reachable, including the first time.
     std::function<void(bool)> on_reachable_changed;
 };
 
-/// Times of a follower, in ms.
+/// Intervals of a partition_watcher, in ms.
 struct watcher_times {
-    /// How long a read waits at the store. Also the age that "nothing new"
-    /// may have, since each return proves that the view is current.
+    /// How long a read waits at the store for new records. Each response proves
+    /// that the view is current, so this also bounds the age of the view of an
+    /// idle partition.
     base::millis read_wait_ms = 300;
-    /// The pause after a refusal, so that a store in trouble is not pressed.
+    /// Delay before a failed call is retried; limits the load on a failing
+    /// store.
     base::millis retry_delay_ms = 100;
-    /// The pause after a read that brought records, so that records which
-    /// come one by one do not cost a call each; none if it is not set.
+    /// Returns the delay after a read that returned records; batches records
+    /// that arrive one at a time. No delay if not set.
     std::function<base::millis()> read_interval_ms;
 };
 
-/// Keeps a view of one partition current: a snapshot of the newest record of
-/// each key, then reads that wait for what comes. A view never goes back: a
-/// snapshot that is older than what was read is dropped, and a record applies
-/// only if it stands behind the one that is known for its key.
+/// Keeps a view of one partition current. Loads a snapshot of the latest record
+/// of each key, then follows the log with long-polling reads. The view never
+/// goes backwards: a snapshot older than the records already read is discarded,
+/// and a record is applied only if its offset is greater than the known offset
+/// of its key.
 class partition_watcher {
 public:
     partition_watcher(const log_store& store, partition source,
-                      base::clock clock, run_after_function after,
-                      watcher_times times, watcher_callbacks events);
+                      base::clock clock, run_after_function run_after,
+                      watcher_times times, watcher_callbacks callbacks);
     ~partition_watcher();
 
     partition_watcher(const partition_watcher&) = delete;
     partition_watcher& operator=(const partition_watcher&) = delete;
 
-    /// Starts to read.
+    /// Starts loading the snapshot.
     void start();
 
-    /// Returns true once the first snapshot has been taken in.
+    /// Returns true once the first snapshot has been applied.
     bool is_loaded() const;
 
-    /// Returns the end of the partition as far as it was read.
+    /// Returns the offset of the next record to read.
     log_offset next_offset() const;
 
-    /// Returns the time at which the view was last known to be current: the
-    /// start of the newest read that reached the end, or of an append there.
+    /// Returns the latest time for which the view is known to be current: the
+    /// start of the last read that reached the end of the partition, the time
+    /// until which such a read waited in vain, or the start of the owner's last
+    /// append at the end of the view.
     base::millis current_as_of() const;
 
-    /// Takes in what the owner itself has appended on the condition that the
-    /// partition ends where the view does, by a call begun at `sent_at`, so
-    /// that it need not wait for the read. Ignored unless it follows on.
+    /// Applies records that the owner of the watcher appended itself, without
+    /// waiting for the next read. The append must have been conditional on the
+    /// end of the partition and sent at `sent_at`. Ignored unless `first` is
+    /// the next offset of the view.
     void apply_own_append(log_offset first, const std::vector<record>& records,
                           base::millis sent_at);
 
--- a/packages/store/include/hibiscus/store/prefix_operations.hpp
+++ b/packages/store/include/hibiscus/store/prefix_operations.hpp
@@ -6,18 +6,18 @@
 
 namespace hibiscus::store {
 
-/// Reads the records whose keys begin with `prefix`, in the order of keys,
-/// from the first one behind `after` on, until they hold `most_bytes`. Values
-/// that were stored in pieces are joined; the last one is read to its end.
-/// Calls `done` with nothing if the store gave no answer.
+/// Reads the records whose keys start with `prefix` and are greater than
+/// `after_key`, in key order, until their values reach `max_bytes`. Joins
+/// chunked values, and reads the last value to its end even beyond the limit.
+/// Calls `done` with std::nullopt if a read fails.
 void read_prefix(const log_store& store, const partition& source,
-                 const std::string& prefix, const std::string& after,
-                 std::size_t most_bytes,
+                 const std::string& prefix, const std::string& after_key,
+                 std::size_t max_bytes,
                  std::function<void(std::optional<std::vector<record>>)> done);
 
-/// Erases the records whose keys begin with `prefix`. Calls `done` with true
-/// once the store has taken it for all, with false if it gave no answer or
-/// refused; what is erased by then stays so.
+/// Deletes the records whose keys start with `prefix`. Calls `done` with true
+/// once the store has deleted them all, and with false if a call fails; records
+/// deleted before the failure stay deleted.
 void erase_prefix(const log_store& store, const partition& source,
                   const std::string& prefix, std::function<void(bool)> done);
 
--- a/packages/store/include/hibiscus/store/store_router.hpp
+++ b/packages/store/include/hibiscus/store/store_router.hpp
@@ -15,91 +15,93 @@
 
 namespace hibiscus::store {
 
-/// Where a call to the store goes.
+/// Where a call to the store is sent.
 struct call_route {
     base::endpoint address;
-    /// True if another node passes the call on.
+    /// True if `address` is a peer that relays the call to the store.
     bool relayed = false;
     std::uint64_t call_number = 0;
 };
 
-/// Times of a link, in ms.
+/// Limits of a store_router.
 struct router_limits {
-    /// How long a node that could not pass a call on is not asked again.
+    /// How long a peer is not used after it failed to relay a call.
     base::millis peer_backoff_ms = 1000;
-    /// How long it counts that a peer said so, that the store is away from it
-    /// as well.
+    /// How long a peer's report that it can't reach the store remains valid.
     base::millis peer_report_ttl_ms = 1500;
-    /// How often one call may go out. The store may turn a third of the nodes
-    /// away at once; then one call in three through others fails, and four in
-    /// a row one time in eighty.
+    /// Maximum number of attempts for one call. The store may refuse a third of
+    /// the nodes at once; then one relayed call in three fails, and four in a
+    /// row fail one time in eighty.
     int max_attempts = 4;
-    /// After so many failures of others in a row the store is taken to be away
-    /// for all, and calls are not sent again: a third of the nodes fails so
-    /// often by chance once in 6,000 rows.
+    /// After this many consecutive failures of peers, the store counts as down
+    /// for all nodes and calls are not retried. If a third of the nodes fail,
+    /// such a sequence occurs by chance once in 6,000.
     int max_consecutive_failures = 8;
-    /// How often the calls are looked at, and from which distance of two looks
-    /// on the node itself was held up.
+    /// How often pending calls are checked.
     base::millis check_interval_ms = 50;
+    /// Time between two checks beyond which the node itself was stalled.
     base::millis stall_threshold_ms = 150;
 };
 
-/// Decides whether calls go to the store itself or through another node. The
-/// store may turn single nodes away, or be cut off from them, while it serves
-/// the rest; such a node would lose the jobs that it owns for as long, and
-/// refuse its callers.
+/// Decides whether a call goes directly to the store or is relayed by a peer.
+/// The store may refuse single nodes, or be partitioned from them, while it
+/// serves the others. Without a relay such a node would lose the jobs that it
+/// owns and reject its callers until the store is reachable again.
 class store_router {
 public:
     using peer_list_function = std::function<std::vector<base::endpoint>()>;
     using unreachable_callback = std::function<void()>;
 
-    /// `lost` is called, perhaps within another call of the link, when the
-    /// store has fallen silent. What was asked of the store itself should then
-    /// be given up: it would hang until its time is over, and whoever waits
-    /// for it would not go through another node before.
+    /// `on_unreachable` is called when a direct call is overdue, possibly from
+    /// within another member function of the router. It should cancel the
+    /// pending direct calls, which would otherwise hang until they time out
+    /// before they are retried through a peer.
     store_router(base::clock clock, base::endpoint address,
-                 peer_list_function peers, unreachable_callback lost = {},
-                 router_limits times = {});
+                 peer_list_function list_peers,
+                 unreachable_callback on_unreachable = {},
+                 router_limits limits = {});
 
-    /// Begins a call to the partition `of` that is to last `wait` ms and
-    /// returns where it goes.
-    call_route begin_call(base::millis wait, const partition& of);
+    /// Registers a call to the partition `target` that waits up to `wait_ms` at
+    /// the store, and returns its route.
+    call_route begin_call(base::millis wait_ms, const partition& target);
 
-    /// Returns true if a call of which the store did nothing should go out
-    /// again at once. `tries` counts how often it did.
-    bool should_retry(int tries) const;
+    /// Returns true if a call that the store did not carry out should be sent
+    /// again at once, after `attempts` attempts.
+    bool should_retry(int attempts) const;
 
-    /// A call has ended; `served` if the store itself did what it was asked,
-    /// `reached` if there was any answer.
-    void end_call(const call_route& route, bool served, bool reached);
+    /// Reports the end of a call. `served` is true if the store itself answered
+    /// the call, `responded` if any response arrived.
+    void end_call(const call_route& route, bool served, bool responded);
 
-    /// Returns true if other nodes answer and do not reach the store either.
-    /// Then nobody can have told the store anything that this node misses.
+    /// Returns true if a peer has recently reported that it can't reach the
+    /// store either. Other nodes can't have written anything in the meantime
+    /// that this node has missed.
     bool is_store_down_for_all() const;
 
-    /// Returns true while calls go through others; the store should then be
-    /// tried now and then. To be called as often as `look` says.
+    /// Checks for overdue calls. Returns true while the store is unreachable
+    /// and calls are relayed; the caller should then probe the store from time
+    /// to time. Must be called every `check_interval_ms`.
     bool check_unreachable();
 
-    /// Returns the partition whose call showed that the store is away. It is
-    /// the one to try: a store that refuses single partitions serves the others
-    /// all the while, and the link would go back and forth.
+    /// Returns the partition of the call that showed that the store is
+    /// unreachable. Probes must use it: a store that refuses a single partition
+    /// still serves the others, and a probe of another one would make the
+    /// router switch back and forth.
     const partition& failed_partition() const { return failed_partition_; }
 
-    /// The store was tried and served within `ms`.
-    void mark_reachable(base::millis ms);
+    /// Reports that a probe of the store was served within `latency_ms`.
+    void mark_reachable(base::millis latency_ms);
 
-    /// The store has moved to another address.
+    /// Called when the store has moved to another address.
     void set_store_address(const base::endpoint& address);
 
 private:
     struct pending_call {
         bool relayed = false;
-        /// When it should be answered if the store took no time.
+        /// Time of the response if the store had no latency.
         base::millis expected_at = 0;
-        /// When it is overdue.
         base::millis overdue_at = 0;
-        partition source;
+        partition target;
     };
 
     void check_overdue_calls();
@@ -115,16 +117,16 @@
     latency_tracker direct_latency_;
     std::map<std::uint64_t, pending_call> pending_calls_;
     std::map<base::endpoint, base::millis> peer_backoff_until_;
-    /// Peers that passed a call on since this node was turned away. They are
-    /// asked first: to try the others again and again would fail every third
-    /// call while a third of the nodes is turned away.
+    /// Peers that have relayed a call since the store became unreachable. They
+    /// are preferred: with a third of the nodes refused, trying all peers in
+    /// turn would make every third call fail.
     std::set<base::endpoint> working_peers_;
     int consecutive_failures_ = 0;
     std::uint64_t last_call_number_ = 0;
     base::stall_detector stall_detector_;
     bool unreachable_ = false;
     partition failed_partition_;
-    /// When a peer last said that it could not pass a call on; 0 for never.
+    /// When a peer last reported that it can't reach the store; 0 for never.
     base::millis peer_report_at_ = 0;
 };
 
--- a/packages/store/include/hibiscus/store/value_chunks.hpp
+++ b/packages/store/include/hibiscus/store/value_chunks.hpp
@@ -5,32 +5,32 @@
 #include <string>
 #include <vector>
 
-/// Values that are larger than a record of the store. A text of a long run or
-/// the body of an item may be; refused whole, it would never be stored, and
-/// with it all that is appended together. Such a value is cut into pieces
-/// under keys of their own, which sort directly behind the key of the value,
-/// so that one reading finds them in their order.
+/// Chunking of values that exceed the store's record size limit, such as the
+/// text of a long run or the body of an item. The store would reject such a
+/// record, and with it the whole append. The value is therefore split into
+/// chunks under keys that sort directly after the key of the value, and a
+/// single scan reads the chunks in order.
 namespace hibiscus::store {
 
-/// What the store takes, in bytes.
+/// Size limits of the store, in bytes.
 struct append_limits {
-    /// One record, with its key.
+    /// One record, including its key.
     std::size_t max_record_bytes = 262144;
     /// All records of one append.
     std::size_t max_append_bytes = 2097152;
 };
 
-/// Cuts values that do not fit into a record, and deals all records to
-/// appends that the store takes, in their order. The appends are not all or
-/// nothing together; a value of which pieces are missing is read as absent.
+/// Splits values that do not fit into one record, and distributes all records
+/// in order over appends within the limits. The appends are not atomic
+/// together; a value with missing chunks is read as absent.
 std::vector<std::vector<record>>
 split_into_appends(std::vector<record> records, const append_limits& limits);
 
-/// Returns true unless the record is a piece that others follow.
+/// Returns false only for a chunk that is not the last one of its value.
 bool completes_value(const record& r);
 
-/// Joins pieces that stand in the order of their keys. Values of which a
-/// piece is missing are left out.
+/// Joins the chunks in `records`, which must be sorted by key. Omits values
+/// with a missing chunk.
 std::vector<record> join_chunks(std::vector<record> records);
 
 } // namespace hibiscus::store
--- a/packages/store/src/partition_watcher.cpp
+++ b/packages/store/src/partition_watcher.cpp
@@ -9,11 +9,11 @@
 class partition_watcher::impl : public std::enable_shared_from_this<impl> {
 public:
     impl(const log_store& store, partition source, base::clock clock,
-         run_after_function after, watcher_times times,
-         watcher_callbacks events)
+         run_after_function run_after, watcher_times times,
+         watcher_callbacks callbacks)
         : store_(store), source_(std::move(source)), clock_(std::move(clock)),
-          run_after_(std::move(after)), times_(times),
-          callbacks_(std::move(events)) {}
+          run_after_(std::move(run_after)), times_(times),
+          callbacks_(std::move(callbacks)) {}
 
     void start() { begin_snapshot(); }
 
@@ -48,9 +48,9 @@
     }
 
     void request_page() {
-        const auto after =
+        const auto after_key =
             snapshot_.empty() ? std::string() : snapshot_.back().content.key;
-        store_.read_latest(source_, after,
+        store_.read_latest(source_, after_key,
                            [self = shared_from_this()](latest_result r) {
                                self->on_page(std::move(r));
                            });
@@ -60,71 +60,71 @@
         if (stopped_) {
             return;
         }
-        auto* p = base::value_if(result);
-        if (p == nullptr || has_no_cursor(*p)) {
-            // The pages so far hold on: reading goes on from the first one's
-            // end in any case.
-            mark_disconnected();
+        auto* page = base::value_if(result);
+        if (page == nullptr || has_no_cursor(*page)) {
+            // The pages loaded so far stay valid: the log is read from the end
+            // reported with the first page in any case.
+            mark_unreachable();
             schedule_retry([](impl& self) { self.request_page(); });
             return;
         }
         if (!snapshot_end_) {
-            snapshot_end_ = p->end;
+            snapshot_end_ = page->end;
         }
-        const bool more = p->has_more;
-        std::move(p->records.begin(), p->records.end(),
+        const bool has_more = page->has_more;
+        std::move(page->records.begin(), page->records.end(),
                   std::back_inserter(snapshot_));
-        if (more) {
+        if (has_more) {
             request_page();
             return;
         }
         finish_snapshot();
     }
 
-    /// A store that answers from an old state would take keys back that were
-    /// already seen; such a snapshot is dropped and asked for again.
+    /// Applies the snapshot, or requests a new one if it is stale: a store that
+    /// responds with an old state would revert keys already reported.
     void finish_snapshot() {
         if (loaded_ && *snapshot_end_ < next_offset_) {
             schedule_retry([](impl& self) { self.begin_snapshot(); });
             return;
         }
-        std::set<std::string> present;
+        std::set<std::string> keys;
         for (const auto& r : snapshot_) {
-            present.insert(r.content.key);
+            keys.insert(r.content.key);
         }
-        std::vector<change> gone;
+        std::vector<change> deletions;
         for (const auto& row : key_offsets_) {
-            if (present.count(row.first) == 0 && row.second < *snapshot_end_) {
-                gone.push_back({row.first, std::nullopt, row.second});
+            if (keys.count(row.first) == 0 && row.second < *snapshot_end_) {
+                deletions.push_back({row.first, std::nullopt, row.second});
             }
         }
-        for (const auto& g : gone) {
-            key_offsets_.erase(g.key);
+        for (const auto& d : deletions) {
+            key_offsets_.erase(d.key);
         }
-        if (!gone.empty()) {
-            callbacks_.on_changes(gone);
+        if (!deletions.empty()) {
+            callbacks_.on_changes(deletions);
         }
         next_offset_ = std::max(next_offset_, *snapshot_end_);
         loaded_ = true;
-        mark_connected();
+        mark_reachable();
         apply(std::exchange(snapshot_, {}));
         request_records();
     }
 
     void request_records() {
-        const auto started = clock_.now();
+        const auto sent_at = clock_.now();
         store_.read(source_, next_offset_, times_.read_wait_ms,
-                    [self = shared_from_this(), started](read_result r) {
-                        self->on_read(std::move(r), started);
+                    [self = shared_from_this(), sent_at](read_result r) {
+                        self->on_read(std::move(r), sent_at);
                     });
     }
 
-    void on_read(read_result result, base::millis started) {
+    void on_read(read_result result, base::millis sent_at) {
         if (stopped_) {
             return;
         }
         std::visit(base::overloaded{
-                       [&](fetched_records& r) { apply_read(r, started); },
+                       [&](fetched_records& r) { apply_read(r, sent_at); },
                        [&](records_trimmed&) { begin_snapshot(); },
                        [&](rejected&) { on_read_failure(); },
                        [&](outcome_unknown&) { on_read_failure(); },
@@ -132,32 +132,33 @@
                    result);
     }
 
-    void apply_read(fetched_records& r, base::millis started) {
-        mark_connected();
-        std::vector<stored_record> fresh;
+    void apply_read(fetched_records& r, base::millis sent_at) {
+        mark_reachable();
+        std::vector<stored_record> new_records;
         for (auto& row : r.records) {
             if (row.offset >= next_offset_) {
                 next_offset_ = row.offset + 1;
-                fresh.push_back(std::move(row));
+                new_records.push_back(std::move(row));
             }
         }
         if (next_offset_ >= r.end) {
-            current_as_of_ = std::max(current_as_of_, started);
+            current_as_of_ = std::max(current_as_of_, sent_at);
         }
         if (r.records.empty() && r.end > next_offset_) {
             schedule_retry([](impl& self) { self.request_records(); });
             return;
         }
         if (r.records.empty() && r.end == next_offset_) {
-            // The store waited before it said that nothing came, and began to
-            // wait after the read was sent.
-            const bool waited = clock_.now() - started >= times_.read_wait_ms;
+            // The store sent_at its wait after the read was sent, and no record
+            // arrived until the wait was over.
+            const bool waited = clock_.now() - sent_at >= times_.read_wait_ms;
             current_as_of_ = std::max(
-                current_as_of_, started + (waited ? times_.read_wait_ms : 0));
+                current_as_of_, sent_at + (waited ? times_.read_wait_ms : 0));
         }
-        const bool pause = !fresh.empty() && times_.read_interval_ms;
-        apply(fresh);
-        if (pause && times_.read_interval_ms() > 0) {
+        const bool use_interval =
+            !new_records.empty() && times_.read_interval_ms;
+        apply(new_records);
+        if (use_interval && times_.read_interval_ms() > 0) {
             run_after_(times_.read_interval_ms(), [self = shared_from_this()] {
                 if (!self->stopped_) {
                     self->request_records();
@@ -169,7 +170,7 @@
     }
 
     void on_read_failure() {
-        mark_disconnected();
+        mark_unreachable();
         schedule_retry([](impl& self) { self.request_records(); });
     }
 
@@ -193,24 +194,24 @@
         }
     }
 
-    void mark_connected() {
-        if (!std::exchange(connected_, true) &&
+    void mark_reachable() {
+        if (!std::exchange(reachable_, true) &&
             callbacks_.on_reachable_changed) {
             callbacks_.on_reachable_changed(true);
         }
     }
 
-    void mark_disconnected() {
-        if (std::exchange(connected_, false) &&
+    void mark_unreachable() {
+        if (std::exchange(reachable_, false) &&
             callbacks_.on_reachable_changed) {
             callbacks_.on_reachable_changed(false);
         }
     }
 
-    void schedule_retry(void (*what)(impl&)) {
-        run_after_(times_.retry_delay_ms, [self = shared_from_this(), what] {
+    void schedule_retry(void (*action)(impl&)) {
+        run_after_(times_.retry_delay_ms, [self = shared_from_this(), action] {
             if (!self->stopped_) {
-                what(*self);
+                action(*self);
             }
         });
     }
@@ -221,25 +222,26 @@
     run_after_function run_after_;
     watcher_times times_;
     watcher_callbacks callbacks_;
+    /// Offset of the value of each key in the view.
     std::map<std::string, log_offset> key_offsets_;
     std::vector<stored_record> snapshot_;
+    /// End of the partition as of the first page of the snapshot.
     std::optional<log_offset> snapshot_end_;
     log_offset next_offset_ = 0;
     base::millis current_as_of_ = 0;
-
     bool loaded_ = false;
-    bool connected_ = false;
+    bool reachable_ = false;
     bool stopped_ = false;
 };
 
 partition_watcher::partition_watcher(const log_store& store, partition source,
                                      base::clock clock,
-                                     run_after_function after,
+                                     run_after_function run_after,
                                      watcher_times times,
-                                     watcher_callbacks events)
+                                     watcher_callbacks callbacks)
     : impl_(std::make_shared<impl>(store, std::move(source), std::move(clock),
-                                   std::move(after), times,
-                                   std::move(events))) {}
+                                   std::move(run_after), times,
+                                   std::move(callbacks))) {}
 
 partition_watcher::~partition_watcher() {
     impl_->stop();
--- a/packages/store/src/prefix_operations.cpp
+++ b/packages/store/src/prefix_operations.cpp
@@ -16,54 +16,56 @@
     std::string prefix;
     std::size_t max_bytes;
     std::function<void(std::optional<std::vector<record>>)> done;
-    std::vector<record> found;
-    std::size_t found_bytes = 0;
+    std::vector<record> records;
+    std::size_t read_bytes = 0;
 
     prefix_read_operation(
-        const log_store& s, partition p, std::string pre, std::size_t most,
-        std::function<void(std::optional<std::vector<record>>)> d)
-        : store(s), source(std::move(p)), prefix(std::move(pre)),
-          max_bytes(most), done(std::move(d)) {}
-
-    void request_page(const std::string& after) {
-        store.read_latest(source, after,
+        const log_store& log, partition read_from, std::string key_prefix,
+        std::size_t byte_limit,
+        std::function<void(std::optional<std::vector<record>>)> callback)
+        : store(log), source(std::move(read_from)),
+          prefix(std::move(key_prefix)), max_bytes(byte_limit),
+          done(std::move(callback)) {}
+
+    void request_page(const std::string& after_key) {
+        store.read_latest(source, after_key,
                           [self = shared_from_this()](latest_result r) {
                               self->on_page(std::move(r));
                           });
     }
 
     void on_page(latest_result result) {
-        auto* p = base::value_if(result);
-        if (p == nullptr || has_no_cursor(*p)) {
+        auto* page = base::value_if(result);
+        if (page == nullptr || has_no_cursor(*page)) {
             done(std::nullopt);
             return;
         }
-        std::string last;
-        for (auto& r : p->records) {
-            last = r.content.key;
-            if (last.compare(0, prefix.size(), prefix) != 0) {
+        std::string last_key;
+        for (auto& r : page->records) {
+            last_key = r.content.key;
+            if (last_key.compare(0, prefix.size(), prefix) != 0) {
                 finish();
                 return;
             }
-            found_bytes += r.content.value.size();
-            found.push_back(std::move(r.content));
-            if (found_bytes >= max_bytes && completes_value(found.back())) {
+            read_bytes += r.content.value.size();
+            records.push_back(std::move(r.content));
+            if (read_bytes >= max_bytes && completes_value(records.back())) {
                 finish();
                 return;
             }
         }
-        if (p->has_more) {
-            request_page(last);
+        if (page->has_more) {
+            request_page(last_key);
             return;
         }
         finish();
     }
 
-    void finish() { done(join_chunks(std::move(found))); }
+    void finish() { done(join_chunks(std::move(records))); }
 };
 
-/// Erases page by page; each page begins anew behind the prefix, since what
-/// was erased is no longer there.
+/// Deletes the records page by page. Each page is requested from the prefix on,
+/// because the records of the previous page no longer exist.
 struct prefix_erase_operation
     : std::enable_shared_from_this<prefix_erase_operation> {
     const log_store& store;
@@ -71,10 +73,11 @@
     std::string prefix;
     std::function<void(bool)> done;
 
-    prefix_erase_operation(const log_store& s, partition p, std::string pre,
-                           std::function<void(bool)> d)
-        : store(s), source(std::move(p)), prefix(std::move(pre)),
-          done(std::move(d)) {}
+    prefix_erase_operation(const log_store& log, partition erase_from,
+                           std::string key_prefix,
+                           std::function<void(bool)> callback)
+        : store(log), source(std::move(erase_from)),
+          prefix(std::move(key_prefix)), done(std::move(callback)) {}
 
     void request_page() {
         store.read_latest(source, prefix,
@@ -84,23 +87,23 @@
     }
 
     void on_page(const latest_result& result) {
-        const auto* p = base::value_if(result);
-        if (p == nullptr || has_no_cursor(*p)) {
+        const auto* page = base::value_if(result);
+        if (page == nullptr || has_no_cursor(*page)) {
             done(false);
             return;
         }
-        std::vector<record> erasures;
-        for (const auto& r : p->records) {
+        std::vector<record> deletions;
+        for (const auto& r : page->records) {
             if (r.content.key.compare(0, prefix.size(), prefix) != 0) {
                 break;
             }
-            erasures.push_back({r.content.key, ""});
+            deletions.push_back({r.content.key, ""});
         }
-        if (erasures.empty()) {
+        if (deletions.empty()) {
             done(true);
             return;
         }
-        store.append(source, erasures, nullptr,
+        store.append(source, deletions, nullptr,
                      [self = shared_from_this()](const append_result& r) {
                          if (base::value_if(r) == nullptr) {
                              self->done(false);
@@ -121,12 +124,12 @@
 }
 
 void read_prefix(const log_store& store, const partition& source,
-                 const std::string& prefix, const std::string& after,
-                 std::size_t most_bytes,
+                 const std::string& prefix, const std::string& after_key,
+                 std::size_t max_bytes,
                  std::function<void(std::optional<std::vector<record>>)> done) {
-    std::make_shared<prefix_read_operation>(store, source, prefix, most_bytes,
+    std::make_shared<prefix_read_operation>(store, source, prefix, max_bytes,
                                             std::move(done))
-        ->request_page(after);
+        ->request_page(after_key);
 }
 
 } // namespace hibiscus::store
--- a/packages/store/src/store_router.cpp
+++ b/packages/store/src/store_router.cpp
@@ -6,23 +6,25 @@
 namespace hibiscus::store {
 
 store_router::store_router(base::clock clock, base::endpoint address,
-                           peer_list_function peers, unreachable_callback lost,
-                           router_limits times)
+                           peer_list_function list_peers,
+                           unreachable_callback on_unreachable,
+                           router_limits limits)
     : clock_(std::move(clock)), address_(std::move(address)),
-      list_peers_(std::move(peers)), on_unreachable_(std::move(lost)),
-      limits_(times),
-      stall_detector_(times.check_interval_ms, times.stall_threshold_ms) {}
+      list_peers_(std::move(list_peers)),
+      on_unreachable_(std::move(on_unreachable)), limits_(limits),
+      stall_detector_(limits.check_interval_ms, limits.stall_threshold_ms) {}
 
 bool store_router::is_backing_off(const base::endpoint& peer) const {
-    const auto row = peer_backoff_until_.find(peer);
-    return row != peer_backoff_until_.end() && clock_.now() < row->second;
+    const auto entry = peer_backoff_until_.find(peer);
+    return entry != peer_backoff_until_.end() && clock_.now() < entry->second;
 }
 
-/// Returns the peer whose turn it is, of those that helped before if any did.
+/// Returns the next peer in round-robin order, preferably one that has relayed
+/// a call before; nothing if all peers are backing off.
 std::optional<base::endpoint>
 store_router::choose_peer(std::uint64_t turn) const {
     const auto peers = list_peers_();
-    std::optional<base::endpoint> other;
+    std::optional<base::endpoint> fallback;
     for (std::size_t n = 0; n < peers.size(); ++n) {
         const auto& peer = peers[(turn + n) % peers.size()];
         if (is_backing_off(peer)) {
@@ -31,14 +33,15 @@
         if (working_peers_.count(peer) != 0) {
             return peer;
         }
-        if (!other) {
-            other = peer;
+        if (!fallback) {
+            fallback = peer;
         }
     }
-    return other;
+    return fallback;
 }
 
-call_route store_router::begin_call(base::millis wait, const partition& of) {
+call_route store_router::begin_call(base::millis wait_ms,
+                                    const partition& target) {
     check_overdue_calls();
     call_route route{address_, false, ++last_call_number_};
     if (unreachable_) {
@@ -47,15 +50,15 @@
             route.relayed = true;
         }
     }
-    const auto earliest = clock_.now() + wait;
+    const auto expected_at = clock_.now() + wait_ms;
     pending_calls_[route.call_number] = {
-        route.relayed, earliest,
-        earliest + direct_latency_.overdue_threshold_ms(), of};
+        route.relayed, expected_at,
+        expected_at + direct_latency_.overdue_threshold_ms(), target};
     return route;
 }
 
-bool store_router::should_retry(int tries) const {
-    return unreachable_ && tries < limits_.max_attempts &&
+bool store_router::should_retry(int attempts) const {
+    return unreachable_ && attempts < limits_.max_attempts &&
            consecutive_failures_ < limits_.max_consecutive_failures &&
            choose_peer(last_call_number_ + 1);
 }
@@ -66,18 +69,18 @@
 }
 
 void store_router::end_call(const call_route& route, bool served,
-                            bool reached) {
-    const auto known = pending_calls_.find(route.call_number);
-    partition of;
-    if (known != pending_calls_.end()) {
-        // A read that brings a record before its wait is over says nothing of
-        // how long the store takes.
-        const auto ms = clock_.now() - known->second.expected_at;
-        if (served && !known->second.relayed && ms >= 0) {
-            direct_latency_.record_latency(ms);
+                            bool responded) {
+    const auto call = pending_calls_.find(route.call_number);
+    partition target;
+    if (call != pending_calls_.end()) {
+        // A read that returns a record before its wait is over does not show
+        // the latency of the store.
+        const auto latency_ms = clock_.now() - call->second.expected_at;
+        if (served && !call->second.relayed && latency_ms >= 0) {
+            direct_latency_.record_latency(latency_ms);
         }
-        of = std::move(known->second.source);
-        pending_calls_.erase(known);
+        target = std::move(call->second.target);
+        pending_calls_.erase(call);
     }
     if (served) {
         if (route.relayed) {
@@ -90,30 +93,30 @@
     if (route.relayed) {
         ++consecutive_failures_;
         working_peers_.erase(route.address);
-        if (reached) {
+        if (responded) {
             peer_report_at_ = clock_.now();
         }
         peer_backoff_until_[route.address] =
             clock_.now() + limits_.peer_backoff_ms;
     } else if (!std::exchange(unreachable_, true)) {
-        failed_partition_ = std::move(of);
+        failed_partition_ = std::move(target);
     }
 }
 
 void store_router::check_overdue_calls() {
     const auto now = clock_.now();
-    const auto held_up = stall_detector_.tick(now);
-    for (auto& [number, p] : pending_calls_) {
-        p.overdue_at += held_up;
+    const auto stalled_ms = stall_detector_.tick(now);
+    for (auto& [number, call] : pending_calls_) {
+        call.overdue_at += stalled_ms;
     }
-    const auto late = std::find_if(
-        pending_calls_.begin(), pending_calls_.end(), [now](const auto& row) {
-            return !row.second.relayed && now > row.second.overdue_at;
+    const auto overdue = std::find_if(
+        pending_calls_.begin(), pending_calls_.end(), [now](const auto& entry) {
+            return !entry.second.relayed && now > entry.second.overdue_at;
         });
-    if (late == pending_calls_.end() || std::exchange(unreachable_, true)) {
+    if (overdue == pending_calls_.end() || std::exchange(unreachable_, true)) {
         return;
     }
-    failed_partition_ = late->second.source;
+    failed_partition_ = overdue->second.target;
     if (on_unreachable_) {
         on_unreachable_();
     }
@@ -130,8 +133,8 @@
     return unreachable_;
 }
 
-void store_router::mark_reachable(base::millis ms) {
-    direct_latency_.record_latency(ms);
+void store_router::mark_reachable(base::millis latency_ms) {
+    direct_latency_.record_latency(latency_ms);
     reset_failover();
 }
 
@@ -139,9 +142,9 @@
     unreachable_ = false;
     consecutive_failures_ = 0;
     working_peers_.clear();
-    for (auto& [number, p] : pending_calls_) {
-        // What is still open belongs to the time before.
-        p.relayed = true;
+    for (auto& [number, call] : pending_calls_) {
+        // Calls sent before must not count for the latency or as overdue.
+        call.relayed = true;
     }
 }
 
--- a/packages/store/src/value_chunks.cpp
+++ b/packages/store/src/value_chunks.cpp
@@ -9,58 +9,61 @@
 
 namespace {
 
-/// Stands between the key of a value and the number of a piece. No key holds
-/// it, and it sorts before all that keys do hold.
+/// Separates the key of a value from the number of a chunk. No key contains it,
+/// and it sorts before every character that keys contain.
 constexpr char chunk_separator = '\x01';
 
-/// The digits of a piece's number and of their count; with fixed widths, keys
-/// sort as the pieces follow. A record of 4 KB and four digits allow 30 MB.
+/// Digits of a chunk's number and of the chunk count. The fixed width makes the
+/// keys sort in chunk order. With records of 4 KB, four digits allow values of
+/// 30 MB.
 constexpr std::size_t number_digits = 4;
 
-/// The bytes of a record besides its value: the longest key and the framing.
+/// Size of a record besides its value: the longest key and the framing.
 constexpr std::size_t record_overhead_bytes = 512;
 
-/// The least room for a value that limits leave, in bytes.
+/// Lower bound of the value size of a record, whatever the limits.
 constexpr std::size_t min_value_bytes = 256;
 
-std::size_t value_capacity(const append_limits& limits) {
-    const auto most =
+/// Returns the maximum value size of a record, in bytes.
+std::size_t max_value_bytes(const append_limits& limits) {
+    const auto max_bytes =
         std::min(limits.max_record_bytes, limits.max_append_bytes);
-    return most > record_overhead_bytes + min_value_bytes
-               ? most - record_overhead_bytes
+    return max_bytes > record_overhead_bytes + min_value_bytes
+               ? max_bytes - record_overhead_bytes
                : min_value_bytes;
 }
 
-/// A piece as its key tells it.
+/// Identity of a chunk, as encoded in its key.
 struct chunk_id {
     std::string value_key;
     std::size_t number = 0;
     std::size_t count = 0;
 };
 
+/// Parses `number_digits` digits at `position`.
 std::optional<std::size_t> parse_number(const std::string& text,
-                                        std::size_t at) {
+                                        std::size_t position) {
     std::size_t value = 0;
-    const auto* begin = text.data() + at;
-    const auto read = std::from_chars(begin, begin + number_digits, value);
-    if (read.ec != std::errc() || read.ptr != begin + number_digits) {
+    const auto* begin = text.data() + position;
+    const auto parsed = std::from_chars(begin, begin + number_digits, value);
+    if (parsed.ec != std::errc() || parsed.ptr != begin + number_digits) {
         return std::nullopt;
     }
     return value;
 }
 
 std::optional<chunk_id> parse_chunk_key(const std::string& key) {
-    const auto mark = key.rfind(chunk_separator);
-    if (mark == std::string::npos ||
-        key.size() != mark + 1 + 2 * number_digits) {
+    const auto separator = key.rfind(chunk_separator);
+    if (separator == std::string::npos ||
+        key.size() != separator + 1 + 2 * number_digits) {
         return std::nullopt;
     }
-    const auto number = parse_number(key, mark + 1);
-    const auto count = parse_number(key, mark + 1 + number_digits);
+    const auto number = parse_number(key, separator + 1);
+    const auto count = parse_number(key, separator + 1 + number_digits);
     if (!number || !count || *number >= *count) {
         return std::nullopt;
     }
-    return chunk_id{key.substr(0, mark), *number, *count};
+    return chunk_id{key.substr(0, separator), *number, *count};
 }
 
 std::string zero_pad(std::size_t number) {
@@ -70,21 +73,21 @@
            text;
 }
 
-std::string make_chunk_key(const chunk_id& p) {
-    return p.value_key + chunk_separator + zero_pad(p.number) +
-           zero_pad(p.count);
+std::string make_chunk_key(const chunk_id& id) {
+    return id.value_key + chunk_separator + zero_pad(id.number) +
+           zero_pad(id.count);
 }
 
-/// Adds the pieces of a value, or the record itself if it fits.
-void append_chunks(record r, std::size_t room, std::vector<record>& out) {
-    if (r.value.size() <= room) {
+/// Appends the chunks of a value, or the record itself if it fits.
+void append_chunks(record r, std::size_t max_bytes, std::vector<record>& out) {
+    if (r.value.size() <= max_bytes) {
         out.push_back(std::move(r));
         return;
     }
-    const auto count = (r.value.size() + room - 1) / room;
+    const auto count = (r.value.size() + max_bytes - 1) / max_bytes;
     for (std::size_t n = 0; n < count; ++n) {
         out.push_back({make_chunk_key({r.key, n, count}),
-                       r.value.substr(n * room, room)});
+                       r.value.substr(n * max_bytes, max_bytes)});
     }
 }
 
@@ -92,50 +95,50 @@
 
 std::vector<std::vector<record>>
 split_into_appends(std::vector<record> records, const append_limits& limits) {
-    const auto room = value_capacity(limits);
-    std::vector<record> cut_up;
+    const auto max_bytes = max_value_bytes(limits);
+    std::vector<record> chunks;
     for (auto& r : records) {
-        append_chunks(std::move(r), room, cut_up);
+        append_chunks(std::move(r), max_bytes, chunks);
     }
-    std::vector<std::vector<record>> out;
-    std::size_t bytes = 0;
-    for (auto& r : cut_up) {
+    std::vector<std::vector<record>> appends;
+    std::size_t append_bytes = 0;
+    for (auto& r : chunks) {
         const auto size = r.value.size() + record_overhead_bytes;
-        if (out.empty() || bytes + size > limits.max_append_bytes) {
-            out.emplace_back();
-            bytes = 0;
+        if (appends.empty() || append_bytes + size > limits.max_append_bytes) {
+            appends.emplace_back();
+            append_bytes = 0;
         }
-        bytes += size;
-        out.back().push_back(std::move(r));
+        append_bytes += size;
+        appends.back().push_back(std::move(r));
     }
-    return out;
+    return appends;
 }
 
 bool completes_value(const record& r) {
-    const auto p = parse_chunk_key(r.key);
-    return !p || p->number + 1 == p->count;
+    const auto chunk = parse_chunk_key(r.key);
+    return !chunk || chunk->number + 1 == chunk->count;
 }
 
 std::vector<record> join_chunks(std::vector<record> records) {
     std::vector<record> out;
     record joined;
-    std::size_t next = 0;
+    std::size_t next_number = 0;
     for (auto& r : records) {
-        const auto p = parse_chunk_key(r.key);
-        if (!p) {
+        const auto chunk = parse_chunk_key(r.key);
+        if (!chunk) {
             out.push_back(std::move(r));
             continue;
         }
-        if (p->number == 0) {
-            joined = {p->value_key, ""};
-            next = 0;
+        if (chunk->number == 0) {
+            joined = {chunk->value_key, ""};
+            next_number = 0;
         }
-        if (p->value_key != joined.key || p->number != next) {
+        if (chunk->value_key != joined.key || chunk->number != next_number) {
             continue;
         }
         joined.value += r.value;
-        ++next;
-        if (next == p->count) {
+        ++next_number;
+        if (next_number == chunk->count) {
             out.push_back(std::exchange(joined, {}));
         }
     }
--- a/packages/store/test/partition_watcher_fuzz_test.cpp
+++ b/packages/store/test/partition_watcher_fuzz_test.cpp
@@ -15,13 +15,13 @@
 namespace {
 
 const partition source{"t", 0};
-constexpr int keys = 12;
+constexpr int key_count = 12;
 
-std::string key_of(int n) {
-    return "k" + std::to_string(10 + n % keys);
+std::string make_key(int n) {
+    return "k" + std::to_string(10 + n % key_count);
 }
 
-/// Checks what a follower tells against all that was ever appended.
+/// Checks the changes reported by a watcher against all records ever appended.
 class view_oracle {
 public:
     explicit view_oracle(testing::simulated_store& store) : store_(store) {}
@@ -36,49 +36,50 @@
         }
     }
 
-    /// Checks that all that was appended until `current_at` is applied.
-    void check_complete_until(base::millis current_at) {
-        std::map<std::string, log_offset> newest;
+    /// Checks that all records appended until `time` have been applied.
+    void check_complete_until(base::millis time) {
+        std::map<std::string, log_offset> latest;
         const auto& all = store_.entries(source);
-        for (log_offset n = 0;
-             n < all.size() && all[n].appended_at <= current_at; ++n) {
-            newest[all[n].record.key] = n;
+        for (log_offset n = 0; n < all.size() && all[n].appended_at <= time;
+             ++n) {
+            latest[all[n].record.key] = n;
         }
-        for (const auto& [key, n] : newest) {
-            if (!is_applied(key, n)) {
-                fail(key + " misses " + std::to_string(n) +
-                     " in a view that counts as current");
+        for (const auto& [key, offset] : latest) {
+            if (!is_applied(key, offset)) {
+                fail(key + ": record at offset " + std::to_string(offset) +
+                     " is missing from a view reported as current");
             }
         }
     }
 
-    /// Checks that the view is what the store holds.
+    /// Checks that the view equals the contents of the store.
     void check_equals_store() {
         std::map<std::string, std::string> view;
-        for (const auto& [key, n] : view_offsets_) {
-            view[key] = store_.entries(source)[n].record.value;
+        for (const auto& [key, offset] : view_offsets_) {
+            view[key] = store_.entries(source)[offset].record.value;
         }
         if (view != store_.newest_values(source)) {
-            fail("the view differs from the store in the end");
+            fail("view differs from the store after it has settled");
         }
     }
 
-    const std::string& error() const { return error_; }
+    /// Returns the first violation, or "".
+    const std::string& violation() const { return violation_; }
 
-    void fail(const std::string& what) {
-        error_ = error_.empty() ? what : error_;
+    void fail(const std::string& text) {
+        violation_ = violation_.empty() ? text : violation_;
     }
 
 private:
     void check_value(const change& c) {
         const auto& all = store_.entries(source);
-        const auto before = last_reported_.find(c.key);
+        const auto previous = last_reported_.find(c.key);
         if (c.offset >= all.size() || all[c.offset].record.key != c.key ||
             all[c.offset].record.value != *c.value) {
-            fail(c.key + " gets a value that was never stored there");
-        } else if (before != last_reported_.end() &&
-                   before->second >= c.offset) {
-            fail(c.key + " goes back to " + std::to_string(c.offset));
+            fail(c.key + ": value was never stored at the reported offset");
+        } else if (previous != last_reported_.end() &&
+                   previous->second >= c.offset) {
+            fail(c.key + ": reverted to offset " + std::to_string(c.offset));
         }
         last_reported_[c.key] = c.offset;
         view_offsets_[c.key] = c.offset;
@@ -88,42 +89,47 @@
         const auto known = view_offsets_.find(c.key);
         if (known != view_offsets_.end() &&
             !is_deleted_after(c.key, known->second)) {
-            fail(c.key + " lives and is reported gone");
+            fail(c.key + ": reported as deleted but exists");
         }
         view_offsets_.erase(c.key);
     }
 
-    bool is_deleted_after(const std::string& key, log_offset n) const {
+    bool is_deleted_after(const std::string& key, log_offset offset) const {
         const auto& all = store_.entries(source);
-        for (++n; n < all.size(); ++n) {
-            if (all[n].record.key == key && all[n].record.value.empty()) {
+        for (++offset; offset < all.size(); ++offset) {
+            if (all[offset].record.key == key &&
+                all[offset].record.value.empty()) {
                 return true;
             }
         }
         return false;
     }
 
-    bool is_applied(const std::string& key, log_offset n) const {
+    bool is_applied(const std::string& key, log_offset offset) const {
         const auto known = view_offsets_.find(key);
         if (known != view_offsets_.end()) {
-            return known->second >= n;
+            return known->second >= offset;
         }
-        const bool erased = store_.entries(source)[n].record.value.empty();
-        return erased || is_deleted_after(key, n);
+        const bool is_deletion =
+            store_.entries(source)[offset].record.value.empty();
+        return is_deletion || is_deleted_after(key, offset);
     }
 
     testing::simulated_store& store_;
-    /// Where the value in the view stands, and the newest one that was told.
+    /// Offset of each value in the view.
     std::map<std::string, log_offset> view_offsets_;
+    /// Offset of the last value reported for each key, also if it was deleted
+    /// since.
     std::map<std::string, log_offset> last_reported_;
-    std::string error_;
+    std::string violation_;
 };
 
-/// A process with a follower, which appends by itself at times.
+/// A process with a partition_watcher that also appends records itself.
 class watching_process {
 public:
     watching_process(testing::simulated_store& store,
-                     testing::virtual_scheduler& time, base::millis pace)
+                     testing::virtual_scheduler& time,
+                     base::millis read_interval_ms)
         : clock_(time.clock()), oracle_(store), store_(store.client(alive_)),
           watcher_(
               store_, source, time.clock(),
@@ -135,7 +141,7 @@
                       }
                   });
               },
-              {150, 100, [pace] { return pace; }},
+              {150, 100, [read_interval_ms] { return read_interval_ms; }},
               {[this](const auto& changes) { oracle_.check_changes(changes); },
                {}}) {
         watcher_.start();
@@ -150,9 +156,9 @@
         if (!watcher_.is_loaded()) {
             return;
         }
-        const auto at = watcher_.next_offset();
+        const auto expected_end = watcher_.next_offset();
         store_.append(
-            source, records, &at,
+            source, records, &expected_end,
             [this, records, sent_at = clock_.now()](const append_result& r) {
                 if (const auto* a = base::value_if(r)) {
                     watcher_.apply_own_append(a->first, records, sent_at);
@@ -160,20 +166,22 @@
             });
     }
 
+    /// Returns the first violation so far, or "".
     const std::string& check() {
         if (watcher_.is_loaded() && watcher_.current_as_of() > 0) {
             oracle_.check_complete_until(watcher_.current_as_of());
         }
-        return oracle_.error();
+        return oracle_.violation();
     }
 
-    /// Checks the view once nothing has been written for a while.
+    /// Checks the view after a period without writes; it must be current as of
+    /// `since` or later.
     const std::string& check_settled(base::millis since) {
         if (watcher_.current_as_of() < since) {
-            oracle_.fail("the view stays old though the store is sound");
+            oracle_.fail("view is stale although the store is healthy");
         }
         oracle_.check_equals_store();
-        return oracle_.error();
+        return oracle_.violation();
     }
 
 private:
@@ -184,8 +192,8 @@
     partition_watcher watcher_;
 };
 
-/// What a store may be like for a while.
-testing::store_faults store_conditions(int n) {
+/// Returns one of several sets of store faults.
+testing::store_faults make_store_faults(int n) {
     switch (n % 7) {
     case 0:
         return {1, 300, 0, 0, 0};
@@ -211,18 +219,20 @@
     std::string run(const std::vector<testing::fuzz_command>& commands) {
         for (const auto& c : commands) {
             step(c);
-            for (const auto& r : processes_) {
-                if (const auto& wrong = r->check(); !wrong.empty()) {
-                    return wrong;
+            for (const auto& process : processes_) {
+                if (const auto& violation = process->check();
+                    !violation.empty()) {
+                    return violation;
                 }
             }
         }
         store_.set_faults({});
         time_.run_for(settle_ms);
-        for (const auto& r : processes_) {
-            if (const auto& wrong = r->check_settled(time_.now() - recent_ms);
-                !wrong.empty()) {
-                return wrong;
+        for (const auto& process : processes_) {
+            if (const auto& violation =
+                    process->check_settled(time_.now() - max_view_age_ms);
+                !violation.empty()) {
+                return violation;
             }
         }
         return "";
@@ -240,32 +250,35 @@
         } else if (c.kind < 73) {
             processes_[n]->append(make_records(c));
         } else if (c.kind < 80) {
-            store_.append(source, {{key_of(c.a), ""}});
+            store_.append(source, {{make_key(c.a), ""}});
         } else if (c.kind < 88) {
             const auto end = store_.entries(source).size();
             store_.trim(source, end - std::min<std::size_t>(end, c.b % 12));
         } else if (c.kind < 96) {
-            store_.set_faults(store_conditions(c.b));
+            store_.set_faults(make_store_faults(c.b));
         } else {
             processes_[n] = make_process(c.b % 2 == 0 ? 0 : 60);
         }
     }
 
     std::vector<record> make_records(const testing::fuzz_command& c) {
-        std::vector<record> out;
+        std::vector<record> records;
         for (int n = 0; n <= c.b % 4; ++n) {
-            out.push_back({key_of(c.c + 5 * n), std::to_string(++last_value_)});
+            records.push_back(
+                {make_key(c.c + 5 * n), std::to_string(++last_value_)});
         }
-        return out;
+        return records;
     }
 
-    std::unique_ptr<watching_process> make_process(base::millis pace) {
-        return std::make_unique<watching_process>(store_, time_, pace);
+    std::unique_ptr<watching_process>
+    make_process(base::millis read_interval_ms) {
+        return std::make_unique<watching_process>(store_, time_,
+                                                  read_interval_ms);
     }
 
-    /// Covers the longest way of a call, and what follows it.
+    /// Longer than the slowest call and its retries.
     static constexpr base::millis settle_ms = 20000;
-    static constexpr base::millis recent_ms = 1000;
+    static constexpr base::millis max_view_age_ms = 1000;
 
     testing::virtual_scheduler time_;
     testing::simulated_store store_;
@@ -274,15 +287,14 @@
     int last_value_ = 0;
 
     std::vector<std::unique_ptr<watching_process>> make_initial_processes() {
-        std::vector<std::unique_ptr<watching_process>> out;
-        out.push_back(make_process(0));
-        out.push_back(make_process(60));
-        return out;
+        std::vector<std::unique_ptr<watching_process>> processes;
+        processes.push_back(make_process(0));
+        processes.push_back(make_process(60));
+        return processes;
     }
 };
 
-TEST(partition_watcher_fuzz_test,
-     a_view_that_counts_as_current_misses_nothing) {
+TEST(partition_watcher_fuzz_test, current_view_contains_all_records) {
     testing::fuzz("follower", 300, [](const auto& commands) {
         return watcher_simulation(commands).run(commands);
     });
--- a/packages/store/test/partition_watcher_test.cpp
+++ b/packages/store/test/partition_watcher_test.cpp
@@ -21,9 +21,10 @@
                 scheduled_.push_back(std::move(f));
             },
             watcher_times{},
-            watcher_callbacks{
-                [this](const auto& changes) { apply(changes); },
-                [this](bool up) { reachable_changes_.push_back(up); }});
+            watcher_callbacks{[this](const auto& changes) { apply(changes); },
+                              [this](bool reachable) {
+                                  reachable_changes_.push_back(reachable);
+                              }});
     }
 
     void apply(const std::vector<change>& changes) {
@@ -41,7 +42,8 @@
                                [](const append_result&) {});
     }
 
-    /// Lets the store answer a few calls, and timers run in between.
+    /// Delivers up to `rounds` responses and runs the scheduled callbacks after
+    /// each.
     void run_rounds(int rounds = 12) {
         for (int n = 0; n < rounds; ++n) {
             time_->advance(10);
@@ -61,7 +63,7 @@
     std::optional<partition_watcher> watcher_;
 };
 
-TEST_F(partition_watcher_test, takes_a_snapshot_by_pages_and_then_what_comes) {
+TEST_F(partition_watcher_test, loads_a_snapshot_by_pages_and_follows_the_log) {
     for (const char* key : {"a", "b", "c", "d", "e"}) {
         append(key, "1");
     }
@@ -75,22 +77,23 @@
     EXPECT_EQ(watcher_->next_offset(), 6U);
 }
 
-TEST_F(partition_watcher_test, tells_when_its_view_was_last_current) {
+TEST_F(partition_watcher_test,
+       reports_the_time_when_its_view_was_last_current) {
     watcher_->start();
     run_rounds();
-    const auto before = time_->now();
+    const auto loaded_at = time_->now();
     run_rounds();
-    EXPECT_GE(watcher_->current_as_of(), before - 10);
+    EXPECT_GE(watcher_->current_as_of(), loaded_at - 10);
     store_.set_reads_rejected(true);
     run_rounds();
-    const auto lost = time_->now();
+    const auto unreachable_at = time_->now();
     run_rounds();
-    EXPECT_LT(watcher_->current_as_of(), lost);
+    EXPECT_LT(watcher_->current_as_of(), unreachable_at);
 }
 
-TEST_F(partition_watcher_test, goes_on_after_the_history_was_dropped) {
-    // The store drops the records that a node has not read yet. The node must
-    // not stand still, and must see what was deleted meanwhile.
+TEST_F(partition_watcher_test, recovers_after_unread_records_were_trimmed) {
+    // Guards against a watcher that stops, or misses deletions, when the store
+    // has trimmed records that the watcher has not read yet.
     append("a", "1");
     append("b", "1");
     watcher_->start();
@@ -107,30 +110,30 @@
 }
 
 TEST_F(partition_watcher_test,
-       a_read_without_records_before_the_end_is_not_current) {
-    // Guards against a 404 for a record that stands behind an empty answer.
-    log_store hollow = store_.client();
-    hollow.read = [this](const partition&, log_offset, base::millis wait,
-                         const std::function<void(read_result)>& done) {
+       empty_read_before_the_end_does_not_make_the_view_current) {
+    // Guards against a 404 for a record that follows an empty response.
+    log_store empty_reads = store_.client();
+    empty_reads.read = [this](const partition&, log_offset, base::millis wait,
+                              const std::function<void(read_result)>& done) {
         scheduled_.push_back([this, wait, done] {
             time_->advance(wait);
             done(fetched_records{1, {}});
         });
     };
-    partition_watcher f(hollow, {"t", 0}, base::clock(time_),
-                        [this](base::millis, std::function<void()> g) {
-                            scheduled_.push_back(std::move(g));
-                        },
-                        {}, {[](const auto&) {}, {}});
-    f.start();
+    partition_watcher watcher(empty_reads, {"t", 0}, base::clock(time_),
+                              [this](base::millis, std::function<void()> f) {
+                                  scheduled_.push_back(std::move(f));
+                              },
+                              {}, {[](const auto&) {}, {}});
+    watcher.start();
     run_rounds();
-    EXPECT_TRUE(f.is_loaded());
-    EXPECT_EQ(f.current_as_of(), 0);
+    EXPECT_TRUE(watcher.is_loaded());
+    EXPECT_EQ(watcher.current_as_of(), 0);
 }
 
-TEST_F(partition_watcher_test,
-       a_refused_page_does_not_begin_the_snapshot_anew) {
-    // Guards against a node that starts beside a store in trouble without end.
+TEST_F(partition_watcher_test, rejected_page_does_not_restart_the_snapshot) {
+    // Guards against a node that never finishes starting while the store
+    // rejects some of the calls.
     for (const char* key : {"a", "b", "c", "d", "e", "f", "g"}) {
         append(key, "1");
     }
@@ -146,61 +149,60 @@
             store_.client().read_latest(p, after, std::move(done));
         }
     };
-    partition_watcher f(flaky, {"t", 0}, base::clock(time_),
-                        [this](base::millis, std::function<void()> g) {
-                            scheduled_.push_back(std::move(g));
-                        },
-                        {},
-                        {[this](const auto& changes) { apply(changes); }, {}});
-    f.start();
+    partition_watcher watcher(
+        flaky, {"t", 0}, base::clock(time_),
+        [this](base::millis, std::function<void()> f) {
+            scheduled_.push_back(std::move(f));
+        },
+        {}, {[this](const auto& changes) { apply(changes); }, {}});
+    watcher.start();
     run_rounds(100);
-    EXPECT_TRUE(f.is_loaded());
+    EXPECT_TRUE(watcher.is_loaded());
     EXPECT_EQ(view_.size(), 7U);
 }
 
 TEST_F(partition_watcher_test,
-       a_page_without_records_before_the_last_one_ends_nothing) {
-    // Guards against a 404 for what stands behind an empty page.
+       empty_page_before_the_last_one_does_not_end_the_scan) {
+    // Guards against a 404 for records that follow an empty page.
     for (const char* key : {"b/1", "b/2", "b/3", "b/4"}) {
         append(key, "1");
     }
-    log_store hollow = store_.client();
+    log_store empty_pages = store_.client();
     int calls = 0;
-    hollow.read_latest = [this,
-                          &calls](const partition& p, const std::string& after,
-                                  std::function<void(latest_result)> done) {
-        if (++calls % 2 == 0) {
-            scheduled_.push_back([done = std::move(done)] {
-                done(latest_page{{}, true, 4});
-            });
-        } else {
-            store_.client().read_latest(p, after, std::move(done));
-        }
-    };
-    partition_watcher f(hollow, {"t", 0}, base::clock(time_),
-                        [this](base::millis, std::function<void()> g) {
-                            scheduled_.push_back(std::move(g));
-                        },
-                        {},
-                        {[this](const auto& changes) { apply(changes); }, {}});
-    f.start();
+    empty_pages.read_latest =
+        [this, &calls](const partition& p, const std::string& after,
+                       std::function<void(latest_result)> done) {
+            if (++calls % 2 == 0) {
+                scheduled_.push_back([done = std::move(done)] {
+                    done(latest_page{{}, true, 4});
+                });
+            } else {
+                store_.client().read_latest(p, after, std::move(done));
+            }
+        };
+    partition_watcher watcher(
+        empty_pages, {"t", 0}, base::clock(time_),
+        [this](base::millis, std::function<void()> f) {
+            scheduled_.push_back(std::move(f));
+        },
+        {}, {[this](const auto& changes) { apply(changes); }, {}});
+    watcher.start();
     run_rounds(40);
     EXPECT_EQ(view_.size(), 4U);
     calls = 0;
     std::optional<std::vector<record>> found{std::vector<record>()};
-    read_prefix(hollow, {"t", 0}, "b/", "b/", 1000,
+    read_prefix(empty_pages, {"t", 0}, "b/", "b/", 1000,
                 [&](auto records) { found = std::move(records); });
     run_rounds(40);
     EXPECT_FALSE(found);
     calls = 1;
-    std::optional<bool> gone;
-    erase_prefix(hollow, {"t", 0}, "b/", [&](bool all) { gone = all; });
+    std::optional<bool> erased;
+    erase_prefix(empty_pages, {"t", 0}, "b/", [&](bool ok) { erased = ok; });
     run_rounds(40);
-    EXPECT_EQ(gone, false);
+    EXPECT_EQ(erased, false);
 }
 
-TEST_F(partition_watcher_test,
-       tells_the_loss_of_the_store_and_its_return_once) {
+TEST_F(partition_watcher_test, reports_each_change_of_reachability_once) {
     watcher_->start();
     run_rounds();
     store_.set_reads_rejected(true);
@@ -210,23 +212,23 @@
     EXPECT_EQ(reachable_changes_, (std::vector<bool>{true, false, true}));
 }
 
-TEST_F(partition_watcher_test,
-       takes_in_what_its_owner_appended_only_at_its_end) {
+TEST_F(partition_watcher_test, applies_own_append_only_at_its_next_offset) {
     append("a", "1");
     watcher_->start();
     run_rounds();
     watcher_->apply_own_append(1, {{"b", "1"}}, 0);
     EXPECT_EQ(view_.at("b"), "1");
     EXPECT_EQ(watcher_->next_offset(), 2U);
-    // Somebody else's record lies between: what follows must wait for it.
+    // The record at offset 2 was appended by another node and must be read
+    // first.
     watcher_->apply_own_append(3, {{"c", "1"}}, 0);
     EXPECT_EQ(view_.count("c"), 0U);
 }
 
 TEST_F(partition_watcher_test,
-       an_append_at_its_end_shows_that_the_view_is_current) {
-    // Guards against an owner that renews while its reads hang and begins no
-    // item.
+       own_append_at_the_next_offset_makes_the_view_current) {
+    // Guards against a job owner that renews its lease but starts no item,
+    // because its reads hang and its view counts as stale.
     append("a", "1");
     watcher_->start();
     run_rounds();
@@ -242,7 +244,7 @@
     EXPECT_EQ(watcher_->current_as_of(), sent_at);
 }
 
-TEST_F(partition_watcher_test, a_prefix_is_read_over_pages_and_no_further) {
+TEST_F(partition_watcher_test, read_prefix_reads_all_pages_of_the_prefix_only) {
     for (const char* key : {"a/1", "b/1", "b/2", "b/3", "b/4", "c/1"}) {
         append(key, "x");
     }
@@ -255,42 +257,45 @@
     EXPECT_EQ(found->back().key, "b/4");
 }
 
-TEST_F(partition_watcher_test, a_prefix_is_erased_over_pages_and_nothing_else) {
+TEST_F(partition_watcher_test,
+       erase_prefix_deletes_all_pages_of_the_prefix_only) {
     for (const char* key : {"a/1", "b/1", "b/2", "b/3", "b/4", "c/1"}) {
         append(key, "x");
     }
-    std::optional<bool> gone;
+    std::optional<bool> erased;
     erase_prefix(store_.client(), {"t", 0}, "b/",
-                 [&](bool all) { gone = all; });
+                 [&](bool ok) { erased = ok; });
     run_rounds(40);
-    EXPECT_EQ(gone, true);
+    EXPECT_EQ(erased, true);
     watcher_->start();
     run_rounds(40);
     EXPECT_EQ(view_.size(), 2U);
     EXPECT_EQ(view_.count("a/1") + view_.count("c/1"), 2U);
 }
 
-TEST_F(partition_watcher_test, an_erasure_that_the_store_refuses_is_said) {
-    // The store goes away while a job is erased. Its header must stay in the
-    // journal then, or nobody would ever find the rest.
+TEST_F(partition_watcher_test, erase_prefix_reports_a_rejected_append) {
+    // The store becomes unreachable while the records of a job are deleted. The
+    // job's header must then stay in the journal, or the remaining records
+    // would never be found and deleted.
     append("b/1", "x");
     run_rounds(2);
     store_.set_append_behavior(testing::append_behavior::rejected);
-    std::optional<bool> gone;
+    std::optional<bool> erased;
     erase_prefix(store_.client(), {"t", 0}, "b/",
-                 [&](bool all) { gone = all; });
+                 [&](bool ok) { erased = ok; });
     run_rounds(10);
-    EXPECT_EQ(gone, false);
+    EXPECT_EQ(erased, false);
 }
 
-TEST_F(partition_watcher_test, a_prefix_is_read_to_the_end_of_a_large_value) {
-    // A result larger than a record lies in pieces. A reader that stopped at
-    // its bound in the middle of them would find nothing it can hand out, each
-    // time it is asked.
-    const append_limits small{1024, 4096};
-    for (const auto& a : split_into_appends(
-             {{"b/1", std::string(5000, 'x')}, {"b/2", "y"}}, small)) {
-        for (const auto& r : a) {
+TEST_F(partition_watcher_test,
+       read_prefix_reads_a_chunked_value_beyond_the_byte_limit) {
+    // Guards against a read that stops at its byte limit in the middle of a
+    // chunked value: it would omit the incomplete value and return nothing, at
+    // every call.
+    const append_limits small_limits{1024, 4096};
+    for (const auto& records : split_into_appends(
+             {{"b/1", std::string(5000, 'x')}, {"b/2", "y"}}, small_limits)) {
+        for (const auto& r : records) {
             append(r.key, r.value);
         }
     }
--- a/packages/store/test/store_router_test.cpp
+++ b/packages/store/test/store_router_test.cpp
@@ -19,34 +19,34 @@
     store_router router_{base::clock(time_), store_address_,
                          [this] { return peers_; }};
 
-    /// Lets time pass in which the node looks at its calls as often as it does.
+    /// Advances the time by `ms` and checks the router at its usual interval.
     void advance_with_checks(base::millis ms) {
-        constexpr base::millis look_ms = 50;
-        for (; ms > 0; ms -= look_ms) {
-            time_->advance(std::min(ms, look_ms));
+        constexpr base::millis interval_ms = 50;
+        for (; ms > 0; ms -= interval_ms) {
+            time_->advance(std::min(ms, interval_ms));
             router_.check_unreachable();
         }
     }
 };
 
-TEST_F(store_router_test, goes_to_the_store_while_it_serves) {
+TEST_F(store_router_test, calls_the_store_directly_while_it_is_reachable) {
     const auto route = router_.begin_call(0, journal_);
     EXPECT_EQ(route.address, store_address_);
     router_.end_call(route, true, true);
     EXPECT_FALSE(router_.check_unreachable());
 }
 
-TEST_F(store_router_test, goes_through_others_when_the_store_turns_it_away) {
-    // The store refuses this node while it serves the others. The jobs that
-    // the node owns would stand still, and its callers be refused.
+TEST_F(store_router_test, uses_a_peer_when_the_store_refuses_this_node) {
+    // Guards against a node whose jobs make no progress and whose callers are
+    // rejected because the store refuses this node alone.
     router_.end_call(router_.begin_call(0, journal_), false, false);
     const auto route = router_.begin_call(0, journal_);
     EXPECT_TRUE(route.relayed);
     EXPECT_FALSE(route.address == store_address_);
 }
 
-TEST_F(store_router_test, a_call_that_hangs_is_noticed_before_its_timeout) {
-    // A partition drops packets: a call gets no answer and no error.
+TEST_F(store_router_test, hanging_call_is_detected_before_its_timeout) {
+    // A network partition drops packets: a call gets no response and no error.
     router_.begin_call(300, journal_);
     advance_with_checks(650);
     EXPECT_FALSE(router_.check_unreachable());
@@ -54,60 +54,62 @@
     EXPECT_TRUE(router_.begin_call(0, journal_).relayed);
 }
 
-// A node that was busy for longer than the store takes has not lost it.
-TEST_F(store_router_test, its_own_delay_is_not_the_delay_of_the_store) {
+// Guards against a node that treats the store as unreachable because its own
+// thread was stalled for longer than the threshold.
+TEST_F(store_router_test, own_stall_does_not_count_as_latency_of_the_store) {
     for (int n = 0; n < 10; ++n) {
-        const auto quick = router_.begin_call(0, journal_);
+        const auto fast_call = router_.begin_call(0, journal_);
         time_->advance(8);
-        router_.end_call(quick, true, true);
+        router_.end_call(fast_call, true, true);
     }
-    const auto read = router_.begin_call(0, journal_);
-    const auto other = router_.begin_call(0, journal_);
+    const auto first_call = router_.begin_call(0, journal_);
+    const auto second_call = router_.begin_call(0, journal_);
     time_->advance(400);
     EXPECT_FALSE(router_.begin_call(0, journal_).relayed);
-    router_.end_call(read, true, true);
+    router_.end_call(first_call, true, true);
     EXPECT_FALSE(router_.check_unreachable());
-    router_.end_call(other, true, true);
+    router_.end_call(second_call, true, true);
     advance_with_checks(1000);
     EXPECT_TRUE(router_.check_unreachable());
 }
 
-// The store refuses one partition and serves all others. Tried by another one,
-// it would seem to be back at once, and be lost again with the next call.
-TEST_F(store_router_test, tries_the_partition_that_was_refused) {
+// The store refuses one partition and serves all others. If another partition
+// were probed, the store would seem reachable until the next call fails.
+TEST_F(store_router_test, reports_the_partition_whose_call_was_refused) {
     router_.end_call(router_.begin_call(0, journal_), true, true);
     router_.end_call(router_.begin_call(0, {"texts", 7}), false, true);
     EXPECT_EQ(router_.failed_partition().topic, "texts");
     EXPECT_EQ(router_.failed_partition().number, 7);
 }
 
-TEST_F(store_router_test, tries_the_partition_whose_call_hung) {
+TEST_F(store_router_test, reports_the_partition_whose_call_was_overdue) {
     router_.begin_call(0, {"texts", 7});
     advance_with_checks(500);
     EXPECT_TRUE(router_.check_unreachable());
     EXPECT_EQ(router_.failed_partition().number, 7);
 }
 
-TEST_F(store_router_test, leaves_out_a_peer_that_could_not_help) {
+TEST_F(store_router_test, backs_off_from_a_peer_that_failed_to_relay) {
     router_.end_call(router_.begin_call(0, journal_), false, false);
-    const auto first = router_.begin_call(0, journal_);
-    router_.end_call(first, false, false);
+    const auto failed_route = router_.begin_call(0, journal_);
+    router_.end_call(failed_route, false, false);
     for (int n = 0; n < 4; ++n) {
-        EXPECT_FALSE(router_.begin_call(0, journal_).address == first.address);
+        EXPECT_FALSE(router_.begin_call(0, journal_).address ==
+                     failed_route.address);
     }
     time_->advance(1001);
-    bool again = false;
+    bool used_again = false;
     for (int n = 0; n < 4; ++n) {
-        again =
-            again || router_.begin_call(0, journal_).address == first.address;
+        used_again = used_again || router_.begin_call(0, journal_).address ==
+                                       failed_route.address;
     }
-    EXPECT_TRUE(again);
+    EXPECT_TRUE(used_again);
 }
 
-TEST_F(store_router_test, keeps_to_a_peer_that_helped) {
-    // The store turns a third of the nodes away. A node that went on asking
-    // all others in turn failed with every third call; an owner that stores
-    // several texts at once listed nothing and lost the jobs.
+TEST_F(store_router_test, prefers_a_peer_that_relayed_a_call) {
+    // The store refuses a third of the nodes. Trying all peers in turn makes
+    // every third call fail; a job owner that stores several texts at once then
+    // commits no result and loses its jobs.
     peers_.push_back({"10.0.0.4", 2});
     router_.end_call(router_.begin_call(0, journal_), false, true);
     for (int n = 0; n < 3; ++n) {
@@ -122,38 +124,37 @@
     }
 }
 
-TEST_F(store_router_test, a_call_of_which_nothing_was_done_goes_out_again) {
+TEST_F(store_router_test, rejected_call_is_retried) {
     router_.end_call(router_.begin_call(0, journal_), false, true);
     EXPECT_TRUE(router_.should_retry(1));
     EXPECT_FALSE(router_.should_retry(4));
 }
 
-TEST_F(store_router_test,
-       nothing_is_sent_again_while_the_store_is_away_for_all) {
-    // The store is down. If each call of 75 nodes went out four times, its
-    // return would meet a crowd.
+TEST_F(store_router_test, does_not_retry_while_the_store_is_down_for_all) {
+    // Guards against a retry storm when the store recovers: 75 nodes would send
+    // each call four times.
     peers_.clear();
     for (int n = 0; n < 40; ++n) {
         peers_.push_back({"10.0.1." + std::to_string(n), 2});
     }
     router_.end_call(router_.begin_call(0, journal_), false, true);
-    int sent = 0;
-    while (router_.should_retry(1) && sent < 100) {
+    int retries = 0;
+    while (router_.should_retry(1) && retries < 100) {
         router_.end_call(router_.begin_call(0, journal_), false, true);
-        ++sent;
+        ++retries;
     }
-    EXPECT_EQ(sent, 8);
+    EXPECT_EQ(retries, 8);
     router_.end_call(router_.begin_call(0, journal_), true, true);
     EXPECT_TRUE(router_.should_retry(1));
 }
 
-TEST_F(store_router_test, nothing_is_sent_again_without_a_peer) {
+TEST_F(store_router_test, does_not_retry_without_a_peer) {
     peers_.clear();
     router_.end_call(router_.begin_call(0, journal_), false, true);
     EXPECT_FALSE(router_.should_retry(1));
 }
 
-TEST_F(store_router_test, returns_to_the_store_once_it_was_tried) {
+TEST_F(store_router_test, calls_the_store_directly_after_a_successful_probe) {
     router_.begin_call(0, journal_);
     advance_with_checks(1000);
     EXPECT_TRUE(router_.check_unreachable());
@@ -161,10 +162,11 @@
     EXPECT_FALSE(router_.begin_call(0, journal_).relayed);
 }
 
-TEST_F(store_router_test, knows_an_outage_of_the_store_from_one_of_its_own) {
-    // The store is down for all: what this node knows is as new as it gets,
-    // and it may go on. If only this node is cut off, others may know that a
-    // job has ended.
+TEST_F(store_router_test,
+       distinguishes_an_outage_of_the_store_from_a_partition_of_the_node) {
+    // If the store is down for all nodes, the view of this node is current and
+    // it may continue. If only this node is partitioned from the store, other
+    // nodes may know that a job has ended.
     time_->advance(1);
     router_.end_call(router_.begin_call(0, journal_), false, false);
     EXPECT_FALSE(router_.is_store_down_for_all());
@@ -178,7 +180,7 @@
     EXPECT_FALSE(router_.is_store_down_for_all());
 }
 
-TEST_F(store_router_test, tries_the_store_itself_if_there_is_nobody_else) {
+TEST_F(store_router_test, calls_the_store_directly_if_there_is_no_peer) {
     peers_.clear();
     router_.end_call(router_.begin_call(0, journal_), false, false);
     EXPECT_EQ(router_.begin_call(0, journal_).address, store_address_);
--- a/packages/store/test/value_chunks_test.cpp
+++ b/packages/store/test/value_chunks_test.cpp
@@ -13,14 +13,14 @@
 const append_limits limits{2048, 4096};
 
 std::vector<record> flatten(const std::vector<std::vector<record>>& appends) {
-    std::vector<record> out;
-    for (const auto& a : appends) {
-        out.insert(out.end(), a.begin(), a.end());
+    std::vector<record> records;
+    for (const auto& append : appends) {
+        records.insert(records.end(), append.begin(), append.end());
     }
-    return out;
+    return records;
 }
 
-TEST(value_chunks_test, a_value_that_fits_is_stored_as_it_is) {
+TEST(value_chunks_test, value_that_fits_is_not_split) {
     const auto appends = split_into_appends({{"a", "1"}, {"b", "2"}}, limits);
     ASSERT_EQ(appends.size(), 1U);
     EXPECT_EQ(appends[0][0].key, "a");
@@ -28,9 +28,9 @@
     EXPECT_TRUE(completes_value(appends[0][0]));
 }
 
-TEST(value_chunks_test, pieces_sort_behind_their_key_and_before_the_next) {
-    // A reader that begins directly before the key of a large text must find
-    // its pieces, and find them before what stands behind it.
+TEST(value_chunks_test, chunks_sort_between_their_key_and_the_next_key) {
+    // A scan that starts directly before the key of a large text must return
+    // its chunks, and return them before the next key.
     auto stored =
         flatten(split_into_appends({{"j/1/8-3", std::string(5000, 'x')}}, {}));
     ASSERT_EQ(stored.size(), 1U);
@@ -45,65 +45,65 @@
     EXPECT_TRUE(completes_value(stored[3]));
 }
 
-TEST(value_chunks_test, a_value_of_which_a_piece_is_missing_is_left_out) {
-    // The append of the second half was refused while the store was away. A
-    // reader that took the first half for the whole would hand out a text
-    // that breaks off.
+TEST(value_chunks_test, value_with_a_missing_chunk_is_omitted) {
+    // Guards against returning a truncated text: the append of the second half
+    // was rejected while the store was unreachable.
     const auto stored = flatten(split_into_appends(
         {{"a", std::string(5000, 'x')}, {"b", "1"}}, limits));
     ASSERT_EQ(stored.size(), 5U);
-    for (std::size_t gone = 0; gone < 4; ++gone) {
-        auto rest = stored;
-        rest.erase(rest.begin() + static_cast<long>(gone));
-        const auto joined = join_chunks(rest);
-        ASSERT_EQ(joined.size(), 1U) << gone;
+    for (std::size_t missing = 0; missing < 4; ++missing) {
+        auto remaining = stored;
+        remaining.erase(remaining.begin() + static_cast<long>(missing));
+        const auto joined = join_chunks(remaining);
+        ASSERT_EQ(joined.size(), 1U) << missing;
         EXPECT_EQ(joined[0].key, "b");
     }
 }
 
-/// Stores values of the given sizes, reads them in the order of keys, and
-/// returns what came back wrong, or "".
-std::string check_round_trip(const std::vector<testing::fuzz_command>& sizes) {
+/// Splits values of the given sizes into appends, joins them in key order, and
+/// returns the first violation, or "".
+std::string
+check_round_trip(const std::vector<testing::fuzz_command>& commands) {
     std::vector<record> records;
-    for (const auto& s : sizes) {
-        const auto size = static_cast<std::size_t>(s.a) *
-                          static_cast<std::size_t>(1 + s.b % 12);
-        const auto name = std::to_string(100000 + records.size());
+    for (const auto& c : commands) {
+        const auto size = static_cast<std::size_t>(c.a) *
+                          static_cast<std::size_t>(1 + c.b % 12);
+        const auto key = std::to_string(100000 + records.size());
         records.push_back(
-            {name, std::string(size + 1, static_cast<char>('a' + s.c % 26))});
+            {key, std::string(size + 1, static_cast<char>('a' + c.c % 26))});
     }
     const auto appends = split_into_appends(records, limits);
     std::vector<record> stored;
     for (const auto& append : appends) {
-        std::size_t call = 0;
+        std::size_t append_bytes = 0;
         for (const auto& r : append) {
             const auto size = r.key.size() + 1 + r.value.size();
             if (size > limits.max_record_bytes) {
-                return "a record is too large: " + r.key;
+                return "record exceeds the size limit: " + r.key;
             }
-            call += size;
+            append_bytes += size;
             stored.push_back(r);
         }
-        if (call > limits.max_append_bytes) {
-            return "an append is too large";
+        if (append_bytes > limits.max_append_bytes) {
+            return "append exceeds the size limit";
         }
     }
     std::sort(stored.begin(), stored.end(),
               [](const auto& a, const auto& b) { return a.key < b.key; });
-    const auto read = join_chunks(stored);
-    if (read.size() != records.size()) {
-        return "values are missing";
+    const auto joined = join_chunks(stored);
+    if (joined.size() != records.size()) {
+        return "number of values differs";
     }
-    for (std::size_t n = 0; n < read.size(); ++n) {
-        if (read[n].key != records[n].key ||
-            read[n].value != records[n].value) {
-            return "a value came back changed: " + read[n].key;
+    for (std::size_t n = 0; n < joined.size(); ++n) {
+        if (joined[n].key != records[n].key ||
+            joined[n].value != records[n].value) {
+            return "value differs: " + joined[n].key;
         }
     }
     return "";
 }
 
-TEST(value_chunks_fuzz_test, values_of_any_size_come_back_whole) {
+TEST(value_chunks_fuzz_test, values_of_any_size_round_trip) {
     testing::fuzz("pieces", 200, check_round_trip);
 }
 
