--- a/packages/gateway/include/hibiscus/gateway/configuration.hpp
+++ b/packages/gateway/include/hibiscus/gateway/configuration.hpp
@@ -11,24 +11,23 @@
 #include <string_view>
 #include <vector>
 
-/// Which requests go to which service, as the operator says.
+/// The operator's configuration: which requests go to which service.
 namespace hibiscus::gateway {
 
-/// What may be repeated of a route's requests.
+/// Kind of a route; determines whether its requests may run more than once.
 enum class route_kind {
     idempotent,     ///< May run more than once.
-    non_idempotent, ///< Runs at most once for each attempt of a caller.
-    streaming,      ///< Answers in events; at most once unless resumable.
-    batch,          ///< Takes batch jobs.
+    non_idempotent, ///< Runs at most once per attempt of a caller.
+    streaming,      ///< Sends events; runs at most once unless resumable.
+    batch,          ///< Accepts batch jobs.
 };
 
-/// A service and its share of a route's requests.
+/// A service and its relative share of a route's requests.
 struct weighted_service {
     std::string service;
     int weight = 1;
 };
 
-/// One route.
 struct route {
     std::string name;
     std::string host;
@@ -36,30 +35,33 @@
     std::string path_prefix;
     route_kind kind = route_kind::idempotent;
     bool resumable = false;
-    /// A batch result must come from one version of the weights.
+    /// True if all tokens of a batch result must come from the same version of
+    /// the weights.
     bool single_version = false;
-    /// How long a caller may be kept waiting, in ms; 0 for no bound.
+    /// Maximum time that a caller may wait for the response, in ms; 0 for no
+    /// limit.
     base::millis timeout_ms = 0;
-    /// Within which an answer is worth the most, in ms.
+    /// Latency target, in ms; a response within it has the highest value.
     base::millis latency_target_ms = 0;
-    /// Within which the results of a batch job are due, in ms.
+    /// Target time for the results of a batch job, in ms.
     base::millis batch_target_ms = 0;
-    /// After which an item of a batch job may be given up, in ms.
+    /// Age after which an item of a batch job may be abandoned, in ms.
     base::millis batch_item_expiry_ms = 0;
     int priority = 0;
-    /// The most servers that one attempt of a caller may be sent to.
+    /// Maximum number of backend servers to which one attempt of a caller may
+    /// be sent.
     int max_attempts = 1;
     std::vector<weighted_service> services;
 };
 
-/// A service that makes tokens, and the memory of each of its servers in
-/// tokens; 0 if it is not told.
+/// A service whose backend servers are samplers.
 struct sampler_service {
     std::string name;
+    /// Size of the key-value cache of each server, in tokens; 0 if unknown.
     std::int64_t kv_capacity_tokens = 0;
 };
 
-/// What callers may send.
+/// Limits for requests of callers.
 struct request_limits {
     std::size_t max_header_bytes = 16 * 1024;
     std::size_t max_body_bytes = 32 * 1024 * 1024;
@@ -67,7 +69,7 @@
     base::millis idle_timeout_ms = 15000;
 };
 
-/// A version of the operator's configuration.
+/// One version of the operator's configuration.
 struct configuration {
     std::int64_t version = 0;
     std::vector<route> routes;
@@ -75,16 +77,16 @@
     request_limits limits;
 };
 
-/// Returns the route of a request: of those of its host, the one with the
-/// longest prefix that begins the path. Null if there is none.
+/// Returns the route of the host with the longest prefix of the path, or null
+/// if none matches.
 const route* find_route(const configuration& c, std::string_view host,
                         std::string_view path);
 
-/// Returns the service of a request by the weights of its route. `point` is
-/// drawn by the caller, from 0 to 1.
-const std::string& choose_service(const route& r, double point);
+/// Returns a service of the route, chosen by weight. `random_value` is a random
+/// number in [0, 1).
+const std::string& choose_service(const route& r, double random_value);
 
-/// Returns true if requests of a route may go to a service.
+/// Returns true if the route sends requests to the service.
 bool has_service(const route& r, std::string_view service);
 
 } // namespace hibiscus::gateway
--- a/packages/gateway/src/configuration.cpp
+++ b/packages/gateway/src/configuration.cpp
@@ -6,31 +6,31 @@
 
 const route* find_route(const configuration& c, std::string_view host,
                         std::string_view path) {
-    const auto bare = path.substr(0, path.find('?'));
-    const route* best = nullptr;
+    const auto path_only = path.substr(0, path.find('?'));
+    const route* longest = nullptr;
     for (const auto& r : c.routes) {
         if (r.host != host ||
-            bare.substr(0, r.path_prefix.size()) != r.path_prefix) {
+            path_only.substr(0, r.path_prefix.size()) != r.path_prefix) {
             continue;
         }
-        if (best == nullptr ||
-            r.path_prefix.size() > best->path_prefix.size()) {
-            best = &r;
+        if (longest == nullptr ||
+            r.path_prefix.size() > longest->path_prefix.size()) {
+            longest = &r;
         }
     }
-    return best;
+    return longest;
 }
 
-const std::string& choose_service(const route& r, double point) {
-    int total = 0;
-    for (const auto& t : r.services) {
-        total += std::max(0, t.weight);
+const std::string& choose_service(const route& r, double random_value) {
+    int total_weight = 0;
+    for (const auto& s : r.services) {
+        total_weight += std::max(0, s.weight);
     }
-    double left = point * total;
-    for (const auto& t : r.services) {
-        left -= std::max(0, t.weight);
-        if (left < 0) {
-            return t.service;
+    double remaining = random_value * total_weight;
+    for (const auto& s : r.services) {
+        remaining -= std::max(0, s.weight);
+        if (remaining < 0) {
+            return s.service;
         }
     }
     return r.services.back().service;
@@ -39,7 +39,7 @@
 bool has_service(const route& r, std::string_view service) {
     return std::any_of(
         r.services.begin(), r.services.end(),
-        [service](const auto& t) { return t.service == service; });
+        [service](const auto& s) { return s.service == service; });
 }
 
 } // namespace hibiscus::gateway
