--- a/packages/gateway/include/hibiscus/gateway/configuration.hpp
+++ b/packages/gateway/include/hibiscus/gateway/configuration.hpp
@@ -17,7 +17,7 @@
 /// Kind of a route; determines whether its requests may run more than once.
 enum class route_kind {
     idempotent,     ///< May run more than once.
-    non_idempotent, ///< Runs at most once per attempt of a caller.
+    non_idempotent, ///< Runs at most once per received request.
     streaming,      ///< Sends events; runs at most once unless resumable.
     batch,          ///< Accepts batch jobs.
 };
@@ -34,6 +34,7 @@
     /// Begins and ends with a slash.
     std::string path_prefix;
     route_kind kind = route_kind::idempotent;
+    /// True if an interrupted stream can be resumed after its last event.
     bool resumable = false;
     /// True if all tokens of a batch result must come from the same version of
     /// the weights.
@@ -41,15 +42,17 @@
     /// Maximum time that a caller may wait for the response, in ms; 0 for no
     /// limit.
     base::millis timeout_ms = 0;
-    /// Latency target, in ms; a response within it has the highest value.
+    /// Desired latency of a response, in ms; a faster response is not worth
+    /// more to the caller.
     base::millis latency_target_ms = 0;
     /// Target time for the results of a batch job, in ms.
     base::millis batch_target_ms = 0;
-    /// Age after which an item of a batch job may be abandoned, in ms.
+    /// Age of a batch job after which its items may be abandoned, in ms.
     base::millis batch_item_expiry_ms = 0;
     int priority = 0;
-    /// Maximum number of backend servers to which one attempt of a caller may
-    /// be sent.
+    /// Maximum number of backend servers to which one received request may be
+    /// sent. A request that must not run twice is only resent if it has
+    /// definitely not run.
     int max_attempts = 1;
     std::vector<weighted_service> services;
 };
@@ -78,12 +81,12 @@
 };
 
 /// Returns the route of the host with the longest prefix of the path, or null
-/// if none matches.
+/// if none matches. `request_target` may include a query.
 const route* find_route(const configuration& c, std::string_view host,
-                        std::string_view path);
+                        std::string_view request_target);
 
 /// Returns a service of the route, chosen by weight. `random_value` is a random
-/// number in [0, 1).
+/// number in [0, 1). The route must have at least one service.
 const std::string& choose_service(const route& r, double random_value);
 
 /// Returns true if the route sends requests to the service.
--- a/packages/gateway/src/configuration.cpp
+++ b/packages/gateway/src/configuration.cpp
@@ -5,12 +5,12 @@
 namespace hibiscus::gateway {
 
 const route* find_route(const configuration& c, std::string_view host,
-                        std::string_view path) {
-    const auto path_only = path.substr(0, path.find('?'));
+                        std::string_view request_target) {
+    const auto path = request_target.substr(0, request_target.find('?'));
     const route* longest = nullptr;
     for (const auto& r : c.routes) {
         if (r.host != host ||
-            path_only.substr(0, r.path_prefix.size()) != r.path_prefix) {
+            path.substr(0, r.path_prefix.size()) != r.path_prefix) {
             continue;
         }
         if (longest == nullptr ||
--- a/packages/store/include/hibiscus/store/latency_tracker.hpp
+++ b/packages/store/include/hibiscus/store/latency_tracker.hpp
@@ -8,12 +8,12 @@
 /// asks the store to wait.
 class latency_tracker {
 public:
-    /// Returns how long after its expected response a call is overdue, in ms.
-    /// An overdue call suggests that the store is unreachable.
+    /// Returns how long after its expected time, which is the send time plus
+    /// the wait at the store, a response is overdue, in ms. An overdue response
+    /// suggests that the store is unreachable.
     base::millis overdue_threshold_ms() const;
 
-    /// Records that a call was served `ms` after its earliest possible
-    /// response.
+    /// Records that a response arrived `ms` after its expected time.
     void record_latency(base::millis ms);
 
 private:
--- a/packages/store/include/hibiscus/store/log_store.hpp
+++ b/packages/store/include/hibiscus/store/log_store.hpp
@@ -8,8 +8,8 @@
 #include <string>
 #include <vector>
 
-/// Client interface of the shared log: partitions of keyed records, in which
-/// the latest record of each key always stays readable.
+/// Client interface of the shared log, a partitioned, compacted log of keyed
+/// records: the latest record of each key always stays readable.
 namespace hibiscus::store {
 
 /// Position of a record in its partition; starts at 0 and has no gaps.
@@ -35,6 +35,7 @@
 
 /// The store rejected the call and did not carry it out.
 struct rejected {
+    /// HTTP status; 0 if the call was not sent.
     int status = 0;
 };
 
@@ -59,7 +60,8 @@
     base::result<appended, append_conflict, rejected, outcome_unknown>;
 
 /// The records from the requested offset on, and the end of the partition.
-/// Empty if no record arrived within the wait.
+/// `records` is empty if none arrived within the wait. The store may also
+/// return no records although `end` is greater than the requested offset.
 struct fetched_records {
     log_offset end = 0;
     std::vector<stored_record> records;
@@ -108,7 +110,7 @@
         read_latest;
 };
 
-/// Runs a function on the caller's thread after a delay in ms.
+/// Runs a function on the calling thread after a delay in ms.
 using run_after_function =
     std::function<void(base::millis, std::function<void()>)>;
 
--- a/packages/store/include/hibiscus/store/partition_watcher.hpp
+++ b/packages/store/include/hibiscus/store/partition_watcher.hpp
@@ -11,7 +11,7 @@
 /// A key that was set or deleted.
 struct change {
     std::string key;
-    /// The new value; empty if the key was deleted.
+    /// The new value; std::nullopt if the key was deleted.
     std::optional<std::string> value;
     log_offset offset = 0;
 };
@@ -65,13 +65,13 @@
     log_offset next_offset() const;
 
     /// Returns the latest time for which the view is known to be current: the
-    /// start of the last read that reached the end of the partition, the time
-    /// until which such a read waited in vain, or the start of the owner's last
-    /// append at the end of the view.
+    /// start of the last read that reached the end of the partition, the end of
+    /// such a read's wait if no record arrived, or the send time of the last
+    /// append applied by apply_own_append().
     base::millis current_as_of() const;
 
-    /// Applies records that the owner of the watcher appended itself, without
-    /// waiting for the next read. The append must have been conditional on the
+    /// Applies records that this process appended itself, without waiting for
+    /// the next read. The append must have been conditional on the
     /// end of the partition and sent at `sent_at`. Ignored unless `first` is
     /// the next offset of the view.
     void apply_own_append(log_offset first, const std::vector<record>& records,
--- a/packages/store/include/hibiscus/store/prefix_operations.hpp
+++ b/packages/store/include/hibiscus/store/prefix_operations.hpp
@@ -9,7 +9,8 @@
 /// Reads the records whose keys start with `prefix` and are greater than
 /// `after_key`, in key order, until their values reach `max_bytes`. Joins
 /// chunked values, and reads the last value to its end even beyond the limit.
-/// Calls `done` with std::nullopt if a read fails.
+/// Omits values with a missing chunk. Calls `done` with std::nullopt if a read
+/// fails.
 void read_prefix(const log_store& store, const partition& source,
                  const std::string& prefix, const std::string& after_key,
                  std::size_t max_bytes,
--- a/packages/store/include/hibiscus/store/store_router.hpp
+++ b/packages/store/include/hibiscus/store/store_router.hpp
@@ -23,30 +23,31 @@
     std::uint64_t call_number = 0;
 };
 
-/// Limits of a store_router.
+/// Timeouts and retry limits of a store_router.
 struct router_limits {
     /// How long a peer is not used after it failed to relay a call.
     base::millis peer_backoff_ms = 1000;
     /// How long a peer's report that it can't reach the store remains valid.
     base::millis peer_report_ttl_ms = 1500;
-    /// Maximum number of attempts for one call. The store may refuse a third of
-    /// the nodes at once; then one relayed call in three fails, and four in a
-    /// row fail one time in eighty.
+    /// Maximum number of attempts for one call. The store may reject the calls
+    /// of a third of the nodes at once; then one relayed call in three fails,
+    /// and four in a row fail one time in eighty.
     int max_attempts = 4;
-    /// After this many consecutive failures of peers, the store counts as down
-    /// for all nodes and calls are not retried. If a third of the nodes fail,
-    /// such a sequence occurs by chance once in 6,000.
+    /// After this many consecutive failures of peers, calls are not retried,
+    /// because the store is probably down for all nodes. If a third of the
+    /// nodes fail, one sequence in 6,000 is that long by chance.
     int max_consecutive_failures = 8;
     /// How often pending calls are checked.
     base::millis check_interval_ms = 50;
-    /// Time between two checks beyond which the node itself was stalled.
+    /// If more time passes between two checks, this node was stalled; the stall
+    /// does not count as latency of the store.
     base::millis stall_threshold_ms = 150;
 };
 
 /// Decides whether a call goes directly to the store or is relayed by a peer.
-/// The store may refuse single nodes, or be partitioned from them, while it
-/// serves the others. Without a relay such a node would lose the jobs that it
-/// owns and reject its callers until the store is reachable again.
+/// The store may reject the calls of individual nodes, or be partitioned from
+/// them, while it serves the others. Without a relay such a node would lose the
+/// jobs that it owns and reject its callers until the store is reachable again.
 class store_router {
 public:
     using peer_list_function = std::function<std::vector<base::endpoint>()>;
@@ -61,21 +62,22 @@
                  unreachable_callback on_unreachable = {},
                  router_limits limits = {});
 
-    /// Registers a call to the partition `target` that waits up to `wait_ms` at
-    /// the store, and returns its route.
-    call_route begin_call(base::millis wait_ms, const partition& target);
+    /// Registers a call to `target_partition`, which may wait up to `wait_ms`
+    /// at the store, and returns its route.
+    call_route begin_call(base::millis wait_ms,
+                          const partition& target_partition);
 
     /// Returns true if a call that the store did not carry out should be sent
     /// again at once, after `attempts` attempts.
     bool should_retry(int attempts) const;
 
-    /// Reports the end of a call. `served` is true if the store itself answered
+    /// Reports the end of a call. `served` is true if the store itself served
     /// the call, `responded` if any response arrived.
     void end_call(const call_route& route, bool served, bool responded);
 
     /// Returns true if a peer has recently reported that it can't reach the
-    /// store either. Other nodes can't have written anything in the meantime
-    /// that this node has missed.
+    /// store either. The store then counts as down for all nodes: no other node
+    /// can have written anything that this node has missed.
     bool is_store_down_for_all() const;
 
     /// Checks for overdue calls. Returns true while the store is unreachable
@@ -84,7 +86,7 @@
     bool check_unreachable();
 
     /// Returns the partition of the call that showed that the store is
-    /// unreachable. Probes must use it: a store that refuses a single partition
+    /// unreachable. Probes must use it: a store that rejects a single partition
     /// still serves the others, and a probe of another one would make the
     /// router switch back and forth.
     const partition& failed_partition() const { return failed_partition_; }
@@ -98,10 +100,10 @@
 private:
     struct pending_call {
         bool relayed = false;
-        /// Time of the response if the store had no latency.
+        /// Send time plus the wait at the store.
         base::millis expected_at = 0;
         base::millis overdue_at = 0;
-        partition target;
+        partition target_partition;
     };
 
     void check_overdue_calls();
@@ -118,8 +120,8 @@
     std::map<std::uint64_t, pending_call> pending_calls_;
     std::map<base::endpoint, base::millis> peer_backoff_until_;
     /// Peers that have relayed a call since the store became unreachable. They
-    /// are preferred: with a third of the nodes refused, trying all peers in
-    /// turn would make every third call fail.
+    /// are preferred: while the store rejects a third of the nodes, trying all
+    /// peers in turn would make every third call fail.
     std::set<base::endpoint> working_peers_;
     int consecutive_failures_ = 0;
     std::uint64_t last_call_number_ = 0;
--- a/packages/store/include/hibiscus/store/value_chunks.hpp
+++ b/packages/store/include/hibiscus/store/value_chunks.hpp
@@ -21,12 +21,12 @@
 };
 
 /// Splits values that do not fit into one record, and distributes all records
-/// in order over appends within the limits. The appends are not atomic
-/// together; a value with missing chunks is read as absent.
+/// in order over appends within the limits. Together, the appends are
+/// not atomic; a value with missing chunks is read as absent.
 std::vector<std::vector<record>>
 split_into_appends(std::vector<record> records, const append_limits& limits);
 
-/// Returns false only for a chunk that is not the last one of its value.
+/// Returns true for a whole value and for the last chunk of a value.
 bool completes_value(const record& r);
 
 /// Joins the chunks in `records`, which must be sorted by key. Omits values
--- a/packages/store/src/latency_tracker.cpp
+++ b/packages/store/src/latency_tracker.cpp
@@ -13,9 +13,10 @@
 /// little slower from counting as unreachable.
 constexpr double threshold_factor = 8;
 
-/// Bounds of the threshold, in ms: other processes of the machine often stall
-/// this one for some ten ms, and calls time out after a second anyway.
+/// Lower bound: other processes of the machine often stall this one for tens of
+/// ms.
 constexpr base::millis min_threshold_ms = 100;
+/// Upper bound: calls time out after a second anyway.
 constexpr base::millis max_threshold_ms = 800;
 
 /// Weight of the latest latency when it is below the peak; the effect of one
--- a/packages/store/src/partition_watcher.cpp
+++ b/packages/store/src/partition_watcher.cpp
@@ -149,8 +149,8 @@
             return;
         }
         if (r.records.empty() && r.end == next_offset_) {
-            // The store sent_at its wait after the read was sent, and no record
-            // arrived until the wait was over.
+            // The wait at the store began after the read was sent, and no
+            // record arrived before it ended.
             const bool waited = clock_.now() - sent_at >= times_.read_wait_ms;
             current_as_of_ = std::max(
                 current_as_of_, sent_at + (waited ? times_.read_wait_ms : 0));
--- a/packages/store/src/prefix_operations.cpp
+++ b/packages/store/src/prefix_operations.cpp
@@ -20,10 +20,10 @@
     std::size_t read_bytes = 0;
 
     prefix_read_operation(
-        const log_store& log, partition read_from, std::string key_prefix,
+        const log_store& log_calls, partition read_from, std::string key_prefix,
         std::size_t byte_limit,
         std::function<void(std::optional<std::vector<record>>)> callback)
-        : store(log), source(std::move(read_from)),
+        : store(log_calls), source(std::move(read_from)),
           prefix(std::move(key_prefix)), max_bytes(byte_limit),
           done(std::move(callback)) {}
 
@@ -73,10 +73,10 @@
     std::string prefix;
     std::function<void(bool)> done;
 
-    prefix_erase_operation(const log_store& log, partition erase_from,
+    prefix_erase_operation(const log_store& log_calls, partition erase_from,
                            std::string key_prefix,
                            std::function<void(bool)> callback)
-        : store(log), source(std::move(erase_from)),
+        : store(log_calls), source(std::move(erase_from)),
           prefix(std::move(key_prefix)), done(std::move(callback)) {}
 
     void request_page() {
--- a/packages/store/src/store_router.cpp
+++ b/packages/store/src/store_router.cpp
@@ -41,7 +41,7 @@
 }
 
 call_route store_router::begin_call(base::millis wait_ms,
-                                    const partition& target) {
+                                    const partition& target_partition) {
     check_overdue_calls();
     call_route route{address_, false, ++last_call_number_};
     if (unreachable_) {
@@ -53,7 +53,7 @@
     const auto expected_at = clock_.now() + wait_ms;
     pending_calls_[route.call_number] = {
         route.relayed, expected_at,
-        expected_at + direct_latency_.overdue_threshold_ms(), target};
+        expected_at + direct_latency_.overdue_threshold_ms(), target_partition};
     return route;
 }
 
@@ -71,7 +71,7 @@
 void store_router::end_call(const call_route& route, bool served,
                             bool responded) {
     const auto call = pending_calls_.find(route.call_number);
-    partition target;
+    partition target_partition;
     if (call != pending_calls_.end()) {
         // A read that returns a record before its wait is over does not show
         // the latency of the store.
@@ -79,7 +79,7 @@
         if (served && !call->second.relayed && latency_ms >= 0) {
             direct_latency_.record_latency(latency_ms);
         }
-        target = std::move(call->second.target);
+        target_partition = std::move(call->second.target_partition);
         pending_calls_.erase(call);
     }
     if (served) {
@@ -99,7 +99,7 @@
         peer_backoff_until_[route.address] =
             clock_.now() + limits_.peer_backoff_ms;
     } else if (!std::exchange(unreachable_, true)) {
-        failed_partition_ = std::move(target);
+        failed_partition_ = std::move(target_partition);
     }
 }
 
@@ -116,7 +116,7 @@
     if (overdue == pending_calls_.end() || std::exchange(unreachable_, true)) {
         return;
     }
-    failed_partition_ = overdue->second.target;
+    failed_partition_ = overdue->second.target_partition;
     if (on_unreachable_) {
         on_unreachable_();
     }
--- a/packages/store/src/value_chunks.cpp
+++ b/packages/store/src/value_chunks.cpp
@@ -16,7 +16,7 @@
 /// Digits of a chunk's number and of the chunk count. The fixed width makes the
 /// keys sort in chunk order. With records of 4 KB, four digits allow values of
 /// 30 MB.
-constexpr std::size_t number_digits = 4;
+constexpr std::size_t chunk_number_width = 4;
 
 /// Size of a record besides its value: the longest key and the framing.
 constexpr std::size_t record_overhead_bytes = 512;
@@ -40,13 +40,14 @@
     std::size_t count = 0;
 };
 
-/// Parses `number_digits` digits at `position`.
+/// Parses `chunk_number_width` digits at `position`.
 std::optional<std::size_t> parse_number(const std::string& text,
                                         std::size_t position) {
     std::size_t value = 0;
     const auto* begin = text.data() + position;
-    const auto parsed = std::from_chars(begin, begin + number_digits, value);
-    if (parsed.ec != std::errc() || parsed.ptr != begin + number_digits) {
+    const auto parsed =
+        std::from_chars(begin, begin + chunk_number_width, value);
+    if (parsed.ec != std::errc() || parsed.ptr != begin + chunk_number_width) {
         return std::nullopt;
     }
     return value;
@@ -55,11 +56,11 @@
 std::optional<chunk_id> parse_chunk_key(const std::string& key) {
     const auto separator = key.rfind(chunk_separator);
     if (separator == std::string::npos ||
-        key.size() != separator + 1 + 2 * number_digits) {
+        key.size() != separator + 1 + 2 * chunk_number_width) {
         return std::nullopt;
     }
     const auto number = parse_number(key, separator + 1);
-    const auto count = parse_number(key, separator + 1 + number_digits);
+    const auto count = parse_number(key, separator + 1 + chunk_number_width);
     if (!number || !count || *number >= *count) {
         return std::nullopt;
     }
@@ -68,7 +69,8 @@
 
 std::string zero_pad(std::size_t number) {
     const auto text = std::to_string(number);
-    return std::string(number_digits - std::min(number_digits, text.size()),
+    return std::string(chunk_number_width -
+                           std::min(chunk_number_width, text.size()),
                        '0') +
            text;
 }
--- a/packages/store/test/partition_watcher_fuzz_test.cpp
+++ b/packages/store/test/partition_watcher_fuzz_test.cpp
@@ -160,8 +160,8 @@
         store_.append(
             source, records, &expected_end,
             [this, records, sent_at = clock_.now()](const append_result& r) {
-                if (const auto* a = base::value_if(r)) {
-                    watcher_.apply_own_append(a->first, records, sent_at);
+                if (const auto* success = base::value_if(r)) {
+                    watcher_.apply_own_append(success->first, records, sent_at);
                 }
             });
     }
--- a/packages/store/test/partition_watcher_test.cpp
+++ b/packages/store/test/partition_watcher_test.cpp
@@ -111,7 +111,8 @@
 
 TEST_F(partition_watcher_test,
        empty_read_before_the_end_does_not_make_the_view_current) {
-    // Guards against a 404 for a record that follows an empty response.
+    // Guards against a node that reports a record as missing (404 to the
+    // caller) because its view counted as current after an empty response.
     log_store empty_reads = store_.client();
     empty_reads.read = [this](const partition&, log_offset, base::millis wait,
                               const std::function<void(read_result)>& done) {
@@ -163,7 +164,8 @@
 
 TEST_F(partition_watcher_test,
        empty_page_before_the_last_one_does_not_end_the_scan) {
-    // Guards against a 404 for records that follow an empty page.
+    // Guards against a node that reports records as missing (404 to the caller)
+    // because they follow an empty page.
     for (const char* key : {"b/1", "b/2", "b/3", "b/4"}) {
         append(key, "1");
     }
--- a/packages/store/test/store_router_test.cpp
+++ b/packages/store/test/store_router_test.cpp
@@ -36,9 +36,9 @@
     EXPECT_FALSE(router_.check_unreachable());
 }
 
-TEST_F(store_router_test, uses_a_peer_when_the_store_refuses_this_node) {
+TEST_F(store_router_test, uses_a_peer_when_the_store_rejects_this_node) {
     // Guards against a node whose jobs make no progress and whose callers are
-    // rejected because the store refuses this node alone.
+    // rejected because the store rejects the calls of this node alone.
     router_.end_call(router_.begin_call(0, journal_), false, false);
     const auto route = router_.begin_call(0, journal_);
     EXPECT_TRUE(route.relayed);
@@ -73,9 +73,10 @@
     EXPECT_TRUE(router_.check_unreachable());
 }
 
-// The store refuses one partition and serves all others. If another partition
-// were probed, the store would seem reachable until the next call fails.
-TEST_F(store_router_test, reports_the_partition_whose_call_was_refused) {
+// The store rejects calls to one partition and serves all others. If another
+// partition were probed, the store would seem reachable until the next call
+// fails.
+TEST_F(store_router_test, reports_the_partition_whose_call_was_rejected) {
     router_.end_call(router_.begin_call(0, journal_), true, true);
     router_.end_call(router_.begin_call(0, {"texts", 7}), false, true);
     EXPECT_EQ(router_.failed_partition().topic, "texts");
@@ -107,7 +108,7 @@
 }
 
 TEST_F(store_router_test, prefers_a_peer_that_relayed_a_call) {
-    // The store refuses a third of the nodes. Trying all peers in turn makes
+    // The store rejects a third of the nodes. Trying all peers in turn makes
     // every third call fail; a job owner that stores several texts at once then
     // commits no result and loses its jobs.
     peers_.push_back({"10.0.0.4", 2});
