--- a/packages/samplers/include/hibiscus/samplers/load_time_estimate.hpp
+++ b/packages/samplers/include/hibiscus/samplers/load_time_estimate.hpp
@@ -4,22 +4,24 @@
 
 namespace hibiscus::samplers {
 
-/// How long a load of weights lasts, by those that were seen to end.
+/// Estimates how long a server takes to load weights, from the loads that have
+/// ended.
 class load_time_estimate {
 public:
-    /// Returns how long a load lasts until its end is reported, in ms.
+    /// Returns the expected time from the start of a load until its end is
+    /// reported, in ms.
     base::millis expected_ms() const;
 
-    /// Returns after how long a load that is not reported to have ended is
-    /// given up, in ms: its server may be out of reach and must not hold up
-    /// the others.
+    /// Returns the time after which a load whose end was not reported no longer
+    /// counts, in ms. Its server may be unreachable and must not block the
+    /// loads of other servers.
     base::millis timeout_ms() const;
 
-    /// A load lasted `ms`.
+    /// Adds a load that took `ms`.
     void add_sample(base::millis ms);
 
 private:
-    /// The mean of the newest loads; 0 before the first.
+    /// Running mean; 0 before the first load.
     double mean_ms_ = 0;
 };
 
--- a/packages/samplers/include/hibiscus/samplers/plain_placement.hpp
+++ b/packages/samplers/include/hibiscus/samplers/plain_placement.hpp
@@ -5,11 +5,14 @@
 #include <optional>
 #include <set>
 
-/// Which backend server takes a plain request.
+/// Places plain requests, which get one whole response instead of a stream of
+/// events, on backend servers.
 namespace hibiscus::samplers {
 
-/// Returns the server for a plain request: the one with the least work of
-/// this process for its places, nearest first. Those in `tried` come last.
+/// Returns the server for a plain request, or nothing if the service has none.
+/// Prefers servers in zone `near` with few requests of this process in flight
+/// for their slots and short response times. Servers in `tried` come last,
+/// apart from blocked ones.
 std::optional<sampler_id> choose_plain_server(const sampler_table& table,
                                               const service_name& service,
                                               const base::zone_id& near,
--- a/packages/samplers/include/hibiscus/samplers/run_placement.hpp
+++ b/packages/samplers/include/hibiscus/samplers/run_placement.hpp
@@ -10,100 +10,105 @@
 #include <tuple>
 #include <unordered_map>
 
-/// Which backend server takes a run.
+/// Places runs on backend servers.
 namespace hibiscus::samplers {
 
-/// What a run needs of its server.
+/// What a run requires of its server.
 struct run_requirements {
     service_name service;
     std::string model;
-    /// The oldest weights that it admits.
+    /// The oldest version of the weights that the run accepts.
     std::int64_t min_version = 0;
-    /// What it is expected to hold in memory at its end.
+    /// Tokens that the run is expected to hold in memory when it ends.
     std::int64_t expected_tokens = 0;
 };
 
-/// How many servers of a service could take a run, and what keeps the others
-/// from it; each counts once.
+/// The servers of a service, counted by whether they can take a run. Each
+/// server counts once, under the first that applies of draining, unlisted,
+/// full, blocked, loading and old_weights, or else as available.
 struct server_counts {
     int available = 0;
     int full = 0;
     int draining = 0;
-    /// The entry is gone, and may be back.
+    /// The registry entry is gone but may come back.
     int unlisted = 0;
-    /// Left alone after failures or a refusal.
+    /// Backing off after failures or a rejection.
     int blocked = 0;
     int loading = 0;
     int old_weights = 0;
 
-    /// Returns how many have a free place, whatever keeps a run from it.
+    /// Returns how many servers have a free slot, including those that are
+    /// blocked, loading or have old weights.
     int with_free_slots() const {
         return available + blocked + loading + old_weights;
     }
 };
 
-/// The places that servers have for runs at one moment. Each step of a
-/// trainer asks for hundreds of places at once and each tick again for those
-/// that found none: servers are ranked once for all runs with the same needs,
-/// since an owner that looked through all servers for each run would spend its
-/// processor on it in a fleet of hundreds of servers, and let events and
-/// renewals wait.
+/// The free slots of servers at one moment. Each step of a trainer asks for
+/// hundreds of slots at once, and each tick asks again for the items that got
+/// none. Servers are therefore ranked once for all runs with the same
+/// requirements. If a job owner examined all servers for each run, it would
+/// spend its CPU time on that in a fleet of hundreds of servers and delay
+/// events and lease renewals.
 ///
-/// The table must not gain or lose servers while this object lives; whoever
-/// changes one says so with changed().
+/// The table must not gain or lose servers during the lifetime of this object.
+/// update_server() must be called after each change of a row.
 class run_placement {
 public:
     run_placement(const sampler_table& table, base::millis now);
 
-    /// Returns the server for a run that needs weights of at least `least`, or
-    /// nothing if no place is free. Answers the load of one trainer's step:
-    /// more items than places at first, half of the places empty later. Runs
-    /// go to the server that makes events fastest, so that the longest, which
-    /// are placed first, end soonest; a fuller server counts as slower by what
-    /// its batch costs, and one whose memory will not do for its runs as much
-    /// slower. Leaves out those in `except`.
+    /// Returns the server for a run, or nothing if no slot is free. Suits the
+    /// load of one trainer's step: more items than slots at first, half of the
+    /// slots empty later. Prefers the server with the shortest event interval,
+    /// so that the longest runs, which are placed first, end as early as
+    /// possible. The cost of a server grows with its load, and steeply once its
+    /// memory does not suffice for its runs. Skips the servers in `except`.
     std::optional<sampler_id>
     find_best(const run_requirements& needs,
               const std::set<sampler_id>& except = {});
 
-    /// Returns true if a server without those in `except` stays and has the
-    /// weights, whether it has a place now or not.
+    /// Returns true if a listed server that is not draining and not in `except`
+    /// has the weights, whether or not it has a free slot.
     bool has_server(const run_requirements& needs,
                     const std::set<sampler_id>& except) const;
 
-    /// Returns a server that makes events so much faster than `from` that a
-    /// long run should go on there, or nothing. Samples of a step end together
-    /// only if the longest do not stay on the slower servers.
+    /// Returns a server whose event interval is so much shorter than that of
+    /// `current` that a long run should move there, or nothing. The samples of
+    /// a step end together only if the longest runs do not stay on slower
+    /// servers.
     std::optional<sampler_id> find_faster(const run_requirements& needs,
-                                          const sampler_id& from);
+                                          const sampler_id& current);
 
-    /// Returns how many more runs the servers that best() may choose take,
-    /// without those in `except`.
+    /// Returns how many more runs the servers that find_best() may choose can
+    /// take, without those in `except`.
     int free_slots(const run_requirements& needs,
                    const std::set<sampler_id>& except = {});
 
-    /// Returns what the servers of a service are to a run with these needs.
+    /// Counts the servers of a service by whether they can take a run with
+    /// these requirements.
     server_counts count_servers(const run_requirements& needs) const;
 
-    /// Returns the mean time between two events of a run at a server, in ms,
-    /// as it was seen there lately, or else at the usual server of its
-    /// service.
+    /// Returns the expected time between two events of a run at a server, in
+    /// ms: the mean observed there, or the median of its service if there is
+    /// none. An observation that is no longer recent is bounded by a multiple
+    /// of that median.
     double event_interval(const sampler_id& id);
 
-    /// Returns the servers of a service that make events much more slowly than
-    /// most, so that long runs should leave them.
+    /// Returns the servers of a service whose event interval is so much longer
+    /// than the median that long runs should leave them.
     const std::set<sampler_id>& slow_servers(const service_name& service);
 
-    /// Takes in that a server has begun or ended a run, or is blocked.
+    /// Must be called after a run began or ended at a server, or the server was
+    /// blocked.
     void update_server(const sampler_id& id);
 
-    /// Returns how often a server was looked at, for tests of what a decision
-    /// costs.
+    /// Returns how many times a server was examined, for tests of the cost of a
+    /// decision.
     std::uint64_t servers_examined() const { return servers_examined_; }
 
 private:
-    /// A server with a place, and what a run costs there besides what its
-    /// memory adds.
+    /// A server with free slots, and the cost of a run there without the cost
+    /// of its memory.
     struct ranked_server {
         double cost = 0;
         const sampler_id* id = nullptr;
@@ -115,7 +120,7 @@
         }
     };
 
-    /// The servers with places for one kind of needs, the cheapest first.
+    /// The servers with free slots for one set of requirements, cheapest first.
     struct ranking {
         std::set<ranked_server> servers;
         std::unordered_map<const sampler_row*, ranked_server> by_row;
@@ -125,13 +130,13 @@
     using ranking_key = std::tuple<service_name, std::string, std::int64_t>;
 
     ranking& find_or_make_ranking(const run_requirements& needs);
-    bool can_take_run(const ranking_key& of, const sampler_row& row) const;
-    void add_if_available(const ranking_key& of, ranking& to,
+    bool can_take_run(const ranking_key& key, const sampler_row& row) const;
+    void add_if_available(const ranking_key& key, ranking& target,
                           const sampler_id& id, const sampler_row& row);
     double median_interval(const service_name& service);
     double expected_interval(const sampler_row& row);
-    double base_cost(const ranking_key& of, const sampler_row& row);
-    double memory_cost(const ranked_server& at, std::int64_t tokens);
+    double base_cost(const ranking_key& key, const sampler_row& row);
+    double memory_cost(const ranked_server& server, std::int64_t tokens);
 
     const sampler_table& table_;
     base::millis now_;
--- a/packages/samplers/include/hibiscus/samplers/sampler_table.hpp
+++ b/packages/samplers/include/hibiscus/samplers/sampler_table.hpp
@@ -11,76 +11,83 @@
 #include <string>
 #include <vector>
 
-/// The backend servers behind the nodes: what they say of themselves and what
-/// this process has seen of them.
+/// The table of backend servers: what they register and what this process has
+/// observed of them.
 namespace hibiscus::samplers {
 
-/// Names one backend server, of any service.
+/// Identifies one backend server of any service.
 using sampler_id = base::id<struct sampler_tag>;
 using service_name = base::id<struct service_name_tag>;
 
-/// What a backend server registers of itself.
+/// The registry entry of a backend server.
 struct registration {
     service_name service;
     base::endpoint address;
     base::zone_id zone;
     int slots = 1;
     bool draining = false;
-    /// The weights that it serves, by model.
+    /// Versions of the weights that the server has, by model.
     std::map<std::string, std::int64_t> versions;
-    /// The time of day of its start, in ms since 1970; 0 if it doesn't say.
+    /// Start time in ms since the Unix epoch; 0 if not registered.
     std::int64_t started_ms = 0;
 };
 
-/// One row of the table.
+/// What is known of one backend server.
 struct sampler_row {
     registration registered;
-    /// Requests of this process that it works on, and the tokens that they
-    /// are expected to hold in its memory at their ends.
+    /// Requests of this process in flight at the server, and the tokens that
+    /// they are expected to hold in its memory when they end.
     int in_flight = 0;
     std::int64_t reserved_tokens = 0;
-    /// Nothing is sent before this time.
+    /// Until this time the server gets no runs, and plain requests only if all
+    /// servers are blocked.
     base::millis blocked_until = 0;
-    /// Failures in a row.
     int consecutive_failures = 0;
-    /// The models whose weights it is known to load, and until when at most.
-    /// It refuses new runs of these alone.
+    /// Models whose weights the server loads, each with the time until which
+    /// the load counts at most. The server refuses new runs of these models
+    /// only.
     std::map<std::string, base::millis> loading_until;
-    /// The mean time between two events of a run, in ms; 0 if not known.
+    /// Running mean of the time between two events of a run, in ms; 0 if
+    /// unknown.
     double event_interval_ms = 0;
     base::millis last_event_at = 0;
-    /// The mean time of a plain answer, in ms; 0 if not known.
+    /// Running mean of the response time of plain requests, in ms; 0 if
+    /// unknown.
     double mean_response_ms = 0;
-    /// When it last answered a plain request; 0 for never.
+    /// When the server last responded to a plain request; 0 if never.
     base::millis last_response_at = 0;
-    /// A number from 0 to 1 that differs between processes.
+    /// A number from 0 to 1 that differs between servers and between processes.
     double tie_breaker = 0;
-    /// Weights that its own answers or orders showed, newer than registered.
+    /// Versions shown by the server's responses or by the results of orders, by
+    /// model. They may be newer than the registered ones.
     std::map<std::string, std::int64_t> observed_versions;
-    /// The newer of what is registered and what was seen, for each model.
+    /// The newer of the registered and the observed version, by model.
     std::map<std::string, std::int64_t> known_versions;
-    /// Set when its entry is gone from the registry, but the registry may be
-    /// wrong since it was out of reach.
+    /// Set if the server's entry is gone but the registry can't be trusted
+    /// because it was unreachable.
     bool unlisted = false;
 
-    /// Returns the version of `model`, as far as it is known; 0 if not.
+    /// Returns the known version of `model`, or 0.
     std::int64_t version_of(const std::string& model) const;
 };
 
-/// All backend servers that may take work.
+/// The backend servers that may take requests.
 class sampler_table {
 public:
-    /// `salt` differs between processes, so that they choose differently
-    /// among servers that are alike.
+    /// `salt` differs between processes, so that they choose differently among
+    /// equal servers.
     explicit sampler_table(base::clock clock, std::uint64_t salt = 0,
-                           base::feature_set mechanisms = {})
-        : clock_(std::move(clock)), salt_(salt), features_(mechanisms) {}
+                           base::feature_set features = {})
+        : clock_(std::move(clock)), salt_(salt), features_(features) {}
 
-    /// Returns true if decisions over the table may use `m`.
-    bool is_enabled(base::feature m) const { return features_.is_enabled(m); }
+    /// Returns true if placement decisions may use `feature`.
+    bool is_enabled(base::feature feature) const {
+        return features_.is_enabled(feature);
+    }
 
-    /// Takes in an entry. A server that started anew under its id is a new
-    /// one: what was seen of it before no longer holds.
+    /// Adds or updates a server. If it has restarted under the same id,
+    /// everything observed of it is dropped; its requests in flight still
+    /// count.
     void put(const sampler_id& id, registration r);
 
     /// Removes a server whose entry is gone.
@@ -89,58 +96,59 @@
     /// Marks a server whose entry is gone while the registry can't be trusted.
     void mark_unlisted(const sampler_id& id);
 
-    /// Removes all that are still marked.
+    /// Removes all servers that are still marked as unlisted.
     void remove_unlisted();
 
-    /// Returns true if a server of the service that stays has weights of a
-    /// model.
+    /// Returns true if a listed server of the service that is not draining has
+    /// weights of the model.
     bool has_model(const service_name& service, const std::string& model) const;
 
     sampler_row* find(const sampler_id& id);
     const std::map<sampler_id, sampler_row>& rows() const { return rows_; }
 
-    /// A request was sent to a server, or has ended there. `tokens` is what
-    /// it is expected to hold in the server's memory.
+    /// Called when a request is sent to a server and when it has ended there.
+    /// `tokens` is the memory that the request is expected to hold.
     void on_request_started(const sampler_id& id, std::int64_t tokens = 0);
     void on_request_ended(const sampler_id& id, std::int64_t tokens = 0);
 
-    /// Sets the memory of the servers of a service, in tokens.
+    /// Sets the memory size of each server of a service, in tokens.
     void set_memory_tokens(const service_name& service, std::int64_t tokens);
 
-    /// Returns the share of a server's memory that is taken once a request
-    /// with `tokens` is added; 0 if its memory is not known.
+    /// Returns the share of a server's memory that is reserved once a request
+    /// with `tokens` is added; 0 if the memory size is unknown.
     double memory_share(const sampler_row& row, std::int64_t tokens) const;
 
-    /// A request failed there without an answer: the server is left alone for
-    /// a time that doubles with each failure in a row.
+    /// Called when a request failed without a response. Blocks the server for a
+    /// time that doubles with each consecutive failure.
     void on_failure(const sampler_id& id);
 
-    /// A server refused without running: it is full, loading or not the one
-    /// that was expected. It is left alone for `ms`.
+    /// Blocks a server for `ms`. Called when it rejected a request without
+    /// running it: it is full, loading, or not the expected server.
     void block(const sampler_id& id, base::millis ms);
 
-    /// A whole answer came after `ms`.
+    /// Called when a whole response arrived after `ms`.
     void on_response(const sampler_id& id, base::millis ms);
 
-    /// An event came `ms` after the one before.
+    /// Called when an event arrived `ms` after the previous event of its run.
     void on_event(const sampler_id& id, base::millis ms);
 
-    /// An answer or an order showed which weights a server has.
+    /// Records the version of a model that a response or an order showed a
+    /// server to have.
     void set_observed_version(const sampler_id& id, const std::string& model,
                               std::int64_t version);
 
-    /// A server loads weights of a model, for `longest` ms at most, or has
-    /// done so.
+    /// Marks a server as loading weights of a model, for at most `max_ms`.
     void set_loading(const sampler_id& id, const std::string& model,
-                     base::millis longest);
+                     base::millis max_ms);
+    /// Called when a server no longer loads any weights.
     void clear_loading_of(const sampler_id& id);
-    /// Nothing is known of loads any more.
+    /// Forgets the loads of all servers.
     void clear_all_loading();
 
 private:
     using row_map = std::map<sampler_id, sampler_row>;
 
-    /// What goes on at a server.
+    /// Usage of a server that is not listed by requests still in flight.
     struct unlisted_usage {
         int in_flight = 0;
         std::int64_t reserved_tokens = 0;
@@ -152,7 +160,7 @@
     std::uint64_t salt_;
     base::feature_set features_;
     row_map rows_;
-    /// The work that goes on at servers whose entries are gone.
+    /// Usage of servers whose entries are gone while requests are in flight.
     std::map<sampler_id, unlisted_usage> unlisted_usage_;
     std::map<service_name, std::int64_t> memory_tokens_;
 };
--- a/packages/samplers/include/hibiscus/samplers/weight_rollout.hpp
+++ b/packages/samplers/include/hibiscus/samplers/weight_rollout.hpp
@@ -9,84 +9,88 @@
 #include <string>
 #include <vector>
 
-/// Which server loads new weights when.
+/// Schedules the loading of new weights by backend servers.
 namespace hibiscus::samplers {
 
-/// An order to load weights.
+/// An order to a server to load one version of a model's weights.
 struct load_order {
     sampler_id sampler;
     std::string model;
     std::int64_t version = 0;
 };
 
-/// Plans the loads of one holder of the right to order.
+/// Schedules the loads for the holder of the order lease.
 class weight_rollout {
 public:
     explicit weight_rollout(base::clock clock) : clock_(std::move(clock)) {}
 
-    /// The newest version that a trainer has named.
+    /// Called when a trainer has announced a version. Older versions than the
+    /// newest are ignored.
     void announce_version(const std::string& model, std::int64_t version);
 
-    /// Says how many free places the items of a model's steps need. Servers
-    /// beyond those are loaded only with weights that stand for some time:
-    /// where a version is replaced within seconds, what they load would be of
-    /// use to nobody, and they would be closed to the model's runs meanwhile.
-    /// Until this was said of a model, all servers are loaded.
-    void set_wanted_slots(const std::string& model, int free_places);
-
-    /// Returns the orders to send now. Loads slow each other down when many
-    /// run at once, so a fifth of the servers load at a time. A step admits the
-    /// weights of the step before as well: a server with the newest version
-    /// serves the step that is under way and the next one, a server with the
-    /// version before it only the first of the two. The model that has the
-    /// fewest such places comes first, and of its servers those whose weights
-    /// are of no use any more, then those that have least to do. Servers that
-    /// are slow or refuse requests are loaded last and count for nothing.
+    /// Sets how many free slots the items of a model's steps need. More servers
+    /// are loaded only with a version that has been the newest for some time:
+    /// where versions are replaced within seconds, further loads would be of no
+    /// use and would block the model's runs meanwhile. Until the first call for
+    /// a model, all servers are loaded.
+    void set_wanted_slots(const std::string& model, int free_slots);
+
+    /// Returns the orders to send now. Concurrent loads slow each other down,
+    /// so about a fifth of the servers load at a time. A step also accepts the
+    /// weights of the step before: a server with the newest version serves the
+    /// current step and the next one, a server with the version before it
+    /// serves only the current one. The model with the fewest steps served by
+    /// its servers comes first. Of its servers, those whose weights are useless
+    /// come first, then those with the fewest requests in flight. Slow and
+    /// blocked servers are loaded last and do not count as serving any step.
     std::vector<load_order> take_due_orders(const sampler_table& table);
 
-    /// Returns the servers whose loads may have ended, to be asked. A load
-    /// counts until its server says that it is done: taken for done after its
-    /// usual time, loads that are slow would be joined by ever more that make
-    /// all of them slower.
+    /// Returns the servers to ask now whether their loads have ended. A load
+    /// counts until its server reports the end. If it counted as done after its
+    /// usual time, more and more loads would join slow ones and slow all of
+    /// them down further.
     std::vector<sampler_id> take_due_checks();
 
-    /// What became of an order.
+    /// Called when a server accepted an order.
     void on_order_accepted(const load_order& order);
-    /// The server carries out an order already.
+    /// Called when a server is already carrying out an order.
     void on_server_busy(const sampler_id& id);
-    /// The server did not take the order, or nothing is known of it; it is
-    /// asked again after a pause.
+    /// Called when a server did not accept an order or the outcome is unknown.
+    /// The server may get an order again after a delay.
     void on_order_rejected(const load_order& order);
-    /// The server carries out no order any more, and has these weights.
+    /// Called when a server is not carrying out any order and has these
+    /// weights.
     void on_load_done(const sampler_id& id,
                       const std::map<std::string, std::int64_t>& versions);
-    /// The server had the weights before it was ordered to load them.
+    /// Called when a server had the weights before it was ordered to load them.
     void on_load_not_needed(const sampler_id& id);
 
-    /// Returns true until a load is known to be done.
+    /// Returns true until the load of a server is known to have ended.
     bool is_loading(const sampler_id& id) const {
         return loads_.count(id) != 0;
     }
 
-    /// Returns after how long a load that is not reported to have ended no
-    /// longer counts, in ms.
+    /// Returns the time after which a load whose end was not reported no longer
+    /// counts, in ms.
     base::millis load_timeout_ms() const { return load_time_.timeout_ms(); }
 
-    /// Returns the newest named version of a model, or 0.
+    /// Returns the newest announced version of a model, or 0.
     std::int64_t newest_version(const std::string& model) const;
 
-    /// Forgets what is under way, for a new holder.
+    /// Forgets the loads in progress and the pending retries, for a new holder
+    /// of the order lease.
     void reset();
 
 private:
     struct load {
         base::millis started_at = 0;
         base::millis next_check_at = 0;
-        /// When it was asked for last.
+        /// When the server was last asked about the load.
         base::millis last_check_at = 0;
-        /// When it was asked for before that, and had not ended.
+        /// When the server was asked the time before; the load had not ended by
+        /// then.
         base::millis last_seen_loading_at = 0;
-        /// What is loaded; empty if another process ordered it.
+        /// The model that is loaded; empty if another process sent the order.
         std::string model;
         std::int64_t version = 0;
     };
@@ -94,29 +98,29 @@
     /// A server that could load the newest version of a model.
     struct candidate {
         bool is_healthy = false;
-        /// Its present weights serve the step that is under way.
+        /// True if its present weights serve the current step.
         bool serves_current_step = false;
         int in_flight = 0;
         int free_slots = 0;
-        /// Points into the table.
+        /// Points into the sampler table.
         const sampler_id* sampler = nullptr;
     };
 
-    /// How well the servers are supplied with a model's weights.
+    /// The supply of a model's weights among the servers.
     struct supply {
         std::int64_t newest_version = 0;
-        /// Counts up with each order; of models that are supplied alike, the
-        /// one whose last order is the oldest comes first.
+        /// The number of the last order for the model. Of models with equal
+        /// supply, the one with the oldest last order comes first.
         std::uint64_t last_order_number = 0;
-        /// Sound servers that have the newest version or load it, and those
-        /// that have the version before.
+        /// Healthy servers that have or load the newest version, and healthy
+        /// servers that have the version before it.
         int servers_with_newest = 0;
         int servers_one_behind = 0;
-        /// The free places of the former.
+        /// The free slots of servers_with_newest.
         int free_slots = 0;
-        /// How many there should be; nothing if all servers are to load.
+        /// The free slots that are needed; nothing if all servers should load.
         std::optional<int> wanted_slots;
-        /// Worst first, so that the next one is at the end.
+        /// The worst candidate first, the next one to load last.
         std::vector<candidate> candidates;
 
         int steps_served() const {
@@ -129,21 +133,22 @@
 
     std::map<std::string, supply>
     compute_supplies(const sampler_table& table) const;
-    void add_server(std::map<std::string, supply>& to, const sampler_id& id,
-                    const sampler_row& row, bool sound) const;
+    void add_server(std::map<std::string, supply>& supplies,
+                    const sampler_id& id, const sampler_row& row,
+                    bool is_healthy) const;
     supply make_supply(const std::string& model) const;
     bool may_order(const sampler_id& id, const sampler_row& row) const;
-    load_order take_next_order(std::map<std::string, supply>& from,
-                               bool by_need, bool where_needed);
+    load_order take_next_order(std::map<std::string, supply>& supplies,
+                               bool order_by_need, bool only_if_needed);
     void start_load(const load_order& order);
     base::millis first_check_ms() const;
     base::millis overdue_after_ms() const;
-    bool may_start_load(std::size_t servers) const;
+    bool may_start_load(std::size_t server_count) const;
     void remove_stale_loads(const sampler_table& table);
 
     base::clock clock_;
     load_time_estimate load_time_;
-    /// The weights of a model and what its steps need.
+    /// The newest version of a model and the slots that its steps need.
     struct model_state {
         std::int64_t newest_version = 0;
         base::millis announced_at = 0;
--- a/packages/samplers/src/load_time_estimate.cpp
+++ b/packages/samplers/src/load_time_estimate.cpp
@@ -6,19 +6,19 @@
 
 namespace {
 
-/// How long a load is expected to last before any was seen, in ms.
+/// Expected time of a load before the first one has ended, in ms.
 constexpr base::millis initial_load_ms = 1150;
 
-/// The weight of the newest load in the mean: that the way to the weights has
-/// become slow shows after three or four.
+/// Weight of the newest load in the running mean. Slower access to the weights
+/// shows after three or four loads.
 constexpr double newest_weight = 0.25;
 
-/// One load counts for no more than so many times the mean before it: a server
-/// that was out of reach for a minute says little of the others.
+/// Upper bound of a sample as a multiple of the mean before it. A load whose
+/// server was unreachable for a minute says little about other loads.
 constexpr double max_sample_factor = 3;
 
-/// Loads that last so many times as long as usual are given up, but none
-/// before this time, in ms.
+/// A load times out after this multiple of its expected time, but not before
+/// min_timeout_ms.
 constexpr int timeout_factor = 4;
 constexpr base::millis min_timeout_ms = 6000;
 
@@ -33,10 +33,10 @@
 }
 
 void load_time_estimate::add_sample(base::millis ms) {
-    const auto before = static_cast<double>(expected_ms());
-    const auto seen =
-        std::clamp(static_cast<double>(ms), 1.0, max_sample_factor * before);
-    mean_ms_ = before + newest_weight * (seen - before);
+    const auto previous_mean = static_cast<double>(expected_ms());
+    const auto sample = std::clamp(static_cast<double>(ms), 1.0,
+                                   max_sample_factor * previous_mean);
+    mean_ms_ = previous_mean + newest_weight * (sample - previous_mean);
 }
 
 } // namespace hibiscus::samplers
--- a/packages/samplers/src/plain_placement.cpp
+++ b/packages/samplers/src/plain_placement.cpp
@@ -6,29 +6,30 @@
 
 namespace {
 
-/// A server that answered so lately may have kept its connection, in ms:
-/// servers close idle ones after some seconds. Where one has not, nothing is
-/// lost.
+/// A server that responded within this time, in ms, has probably kept its
+/// connection open: servers close idle connections after some seconds. A wrong
+/// guess does no harm.
 constexpr base::millis warm_connection_ms = 8000;
 
-/// Parts servers that are alike, so that not all nodes choose the same: less
-/// than the difference of any two answers that counts.
+/// Largest cost that breaks a tie, so that nodes choose differently among equal
+/// servers. Smaller than any relevant difference between two response times.
 constexpr double tie_cost = 0.005;
 
-/// Returns the mean time of answers of a service, in ms; what a server counts
-/// with that was not asked yet. Counted as the fastest, each server would be
-/// asked by each node before any is asked twice.
+/// Returns the mean response time of a service, in ms, which is assumed for a
+/// server that has not responded yet. If such a server counted as the fastest,
+/// each node would send a request to every server before it sends a second one
+/// to any.
 double service_response_ms(const sampler_table& table,
                            const service_name& service) {
     double sum = 0;
-    int seen = 0;
+    int servers = 0;
     for (const auto& [id, row] : table.rows()) {
         if (row.registered.service == service && row.mean_response_ms > 0) {
             sum += row.mean_response_ms;
-            ++seen;
+            ++servers;
         }
     }
-    return seen == 0 ? 0 : sum / seen;
+    return servers == 0 ? 0 : sum / servers;
 }
 
 } // namespace
@@ -40,16 +41,17 @@
                                               base::millis now) {
     const sampler_id* best = nullptr;
     double best_cost = 0;
-    // A request that waits for a blocked server is worse off than one that
-    // tries it: all may be blocked while only the first few were at fault.
+    // Blocked servers are tried last but not skipped: all may be blocked
+    // although only the first few failed, and a request that tries one is
+    // better off than a request that waits.
     constexpr double blocked_cost = 1000;
     constexpr double tried_cost = 100;
     constexpr double far_cost = 0.25;
-    // A node with a request each few seconds would open a connection for each
-    // if it went through the servers in turn. A larger cost would keep nodes at
-    // servers that have become slow.
+    // Cost of a server without a warm connection. A node with a request every
+    // few seconds would open a connection for each one if it took the servers
+    // in turn. A larger cost would keep nodes at servers that have become slow.
     constexpr double cold_cost = 0.02;
-    const double usual = service_response_ms(table, service);
+    const double service_mean_ms = service_response_ms(table, service);
     for (const auto& [id, row] : table.rows()) {
         if (row.registered.service != service || row.registered.draining ||
             row.unlisted) {
@@ -64,8 +66,9 @@
         cost += row.registered.zone == near ? 0 : far_cost;
         cost += now < row.blocked_until ? blocked_cost : 0;
         cost += tried.count(id) != 0 ? tried_cost : 0;
-        cost +=
-            (row.mean_response_ms > 0 ? row.mean_response_ms : usual) / 1000;
+        cost += (row.mean_response_ms > 0 ? row.mean_response_ms
+                                          : service_mean_ms) /
+                1000;
         cost += warm ? 0 : cold_cost;
         cost += tie_cost * row.tie_breaker;
         if (best == nullptr || cost < best_cost) {
--- a/packages/samplers/src/run_placement.cpp
+++ b/packages/samplers/src/run_placement.cpp
@@ -7,46 +7,49 @@
 
 namespace {
 
-/// The pace that servers are given before any was seen, in ms an event; it
-/// only has to be the same for all.
+/// Event interval assumed before any was observed, in ms. The value only has to
+/// be the same for all servers.
 constexpr double initial_interval_ms = 37;
 
-/// The slowest of sound servers take so many times as long as the usual ones.
-/// What was slower than that was in trouble, which may be over once it has not
-/// been seen for a while.
+/// The slowest healthy servers take this multiple of the median interval. A
+/// longer interval was due to a temporary fault, which may be over once the
+/// observation is no longer recent.
 constexpr double max_healthy_factor = 1.35;
 
-/// What a full server counts as more than an empty one. Its tokens come hardly
-/// more slowly, but the longest runs, which are placed first, would all stand
-/// on the fastest servers and slow each other down to their end.
+/// Additional cost of a full server relative to an empty one. A full server
+/// produces events only slightly more slowly, but without this cost the longest
+/// runs, which are placed first, would all go to the fastest servers and slow
+/// each other down until they end.
 constexpr double full_server_cost = 0.25;
 
-/// A server at this multiple of the median pace is slow. Sound ones differ by
-/// 1.3; at 1.7 a move pays for a run with a second or more to go.
+/// A server above this multiple of the median interval is slow. Healthy servers
+/// differ by a factor of 1.3; at 1.7, moving a run with a second or more to go
+/// pays off.
 constexpr double slow_server_factor = 1.7;
 
-/// A pace that was last seen so long ago does not show a trouble of now, in
-/// ms; that a server is one of the slower ones it still shows.
+/// An interval last observed longer ago than this, in ms, no longer indicates a
+/// current fault. It still shows that the server is one of the slower ones.
 constexpr base::millis max_interval_age_ms = 3000;
 
-/// How much dearer a place counts for each version that its server is ahead
-/// of what the run needs: a step that needs the newer weights has no other
-/// place. Less than the difference between a sound server and a slow one.
+/// Additional cost for each version by which a server is ahead of what the run
+/// requires: a step that needs the newer weights has no other slots. Less than
+/// the difference between a healthy server and a slow one.
 constexpr double newer_version_cost = 0.04;
 
-/// The share of a server's memory up to which runs are planned, and what more
-/// costs: a run that finds no memory is read in anew and waits for others.
+/// Share of a server's memory up to which runs are planned, and the cost of
+/// exceeding it: a run that finds no memory has to be prefilled again and waits
+/// for other runs.
 constexpr double max_memory_share = 0.85;
 constexpr double over_memory_cost = 3;
 
-/// By how much faster a server must be for a run to move there: sound ones
-/// differ by 1.3, and a pace is known to a tenth.
+/// Minimum speedup for which a run moves. Healthy servers differ by a factor of
+/// 1.3, and an interval is accurate to a tenth.
 constexpr double min_speedup = 1.15;
 
-/// The fewest servers of which some can be called slow.
+/// Minimum number of usable servers for classifying any as slow.
 constexpr std::size_t min_servers_for_slow = 3;
 
-/// Returns the median; there must be a value.
+/// Returns the median of a vector that is not empty.
 double median(std::vector<double> values) {
     const auto middle = values.begin() + static_cast<long>(values.size() / 2);
     std::nth_element(values.begin(), middle, values.end());
@@ -59,9 +62,10 @@
            !row.unlisted && now >= row.blocked_until;
 }
 
-/// A load concerns the runs of its model only. Counted as away for the runs of
-/// all models, some of the servers that several models share would be missing
-/// at any time.
+/// Returns true if the server refuses runs of `model` because of a load. A load
+/// affects only the runs of its model: if it counted for the runs of all
+/// models, some of the servers that several models share would always be
+/// missing.
 bool is_loading(const sampler_table& table, const sampler_row& row,
                 const std::string& model, base::millis now) {
     if (!table.is_enabled(base::feature::load_one_model)) {
@@ -78,36 +82,37 @@
     : table_(table), now_(now) {}
 
 double run_placement::median_interval(const service_name& service) {
-    const auto known = median_intervals_.find(service);
-    if (known != median_intervals_.end()) {
-        return known->second;
+    const auto cached = median_intervals_.find(service);
+    if (cached != median_intervals_.end()) {
+        return cached->second;
     }
-    std::vector<double> paces;
+    std::vector<double> intervals;
     for (const auto& [id, row] : table_.rows()) {
         ++servers_examined_;
         if (row.registered.service == service && row.event_interval_ms > 0) {
-            paces.push_back(row.event_interval_ms);
+            intervals.push_back(row.event_interval_ms);
         }
     }
-    const double usual =
-        paces.empty() ? initial_interval_ms : median(std::move(paces));
-    median_intervals_.emplace(service, usual);
-    return usual;
+    const double median_ms =
+        intervals.empty() ? initial_interval_ms : median(std::move(intervals));
+    median_intervals_.emplace(service, median_ms);
+    return median_ms;
 }
 
-/// Servers differ for good, by a third. One that had been idle for some
-/// seconds was taken for the fastest of all, and the longest runs, which are
-/// placed first, went to the slower ones just then.
+/// Servers differ permanently, by a third. A slower server that has been idle
+/// for some seconds must not be taken for the fastest, or the longest runs,
+/// which are placed first, would go to it.
 double run_placement::expected_interval(const sampler_row& row) {
-    const double usual = median_interval(row.registered.service);
-    const bool fresh = now_ - row.last_event_at < max_interval_age_ms;
-    const bool known =
-        fresh || table_.is_enabled(base::feature::remember_paces);
-    if (row.event_interval_ms <= 0 || !known) {
-        return usual;
+    const double median_ms = median_interval(row.registered.service);
+    const bool is_recent = now_ - row.last_event_at < max_interval_age_ms;
+    const bool may_use =
+        is_recent || table_.is_enabled(base::feature::remember_paces);
+    if (row.event_interval_ms <= 0 || !may_use) {
+        return median_ms;
     }
-    return fresh ? row.event_interval_ms
-                 : std::min(row.event_interval_ms, max_healthy_factor * usual);
+    return is_recent ? row.event_interval_ms
+                     : std::min(row.event_interval_ms,
+                                max_healthy_factor * median_ms);
 }
 
 double run_placement::event_interval(const sampler_id& id) {
@@ -116,61 +121,65 @@
                                       : expected_interval(row->second);
 }
 
-bool run_placement::can_take_run(const ranking_key& of,
+bool run_placement::can_take_run(const ranking_key& key,
                                  const sampler_row& row) const {
-    const auto& [service, model, least] = of;
+    const auto& [service, model, min_version] = key;
     return is_usable(row, service, now_) &&
            row.in_flight < row.registered.slots &&
            !is_loading(table_, row, model, now_) &&
-           row.version_of(model) >= least;
+           row.version_of(model) >= min_version;
 }
 
-double run_placement::base_cost(const ranking_key& of, const sampler_row& row) {
-    const auto& [service, model, least] = of;
+double run_placement::base_cost(const ranking_key& key,
+                                const sampler_row& row) {
+    const auto& [service, model, min_version] = key;
     double factor = 1;
     if (table_.is_enabled(base::feature::spread_runs)) {
         factor += full_server_cost * row.in_flight / row.registered.slots;
     }
     if (table_.is_enabled(base::feature::spare_newer_weights)) {
         factor += newer_version_cost *
-                  static_cast<double>(row.version_of(model) - least);
+                  static_cast<double>(row.version_of(model) - min_version);
     }
     return expected_interval(row) * factor;
 }
 
-double run_placement::memory_cost(const ranked_server& at,
+double run_placement::memory_cost(const ranked_server& server,
                                   std::int64_t tokens) {
     if (!table_.is_enabled(base::feature::memory_cost)) {
         return 0;
     }
-    const double over = table_.memory_share(*at.row, tokens) - max_memory_share;
-    return over <= 0 ? 0 : expected_interval(*at.row) * over_memory_cost * over;
+    const double excess =
+        table_.memory_share(*server.row, tokens) - max_memory_share;
+    return excess <= 0
+               ? 0
+               : expected_interval(*server.row) * over_memory_cost * excess;
 }
 
-void run_placement::add_if_available(const ranking_key& of, ranking& to,
+void run_placement::add_if_available(const ranking_key& key, ranking& target,
                                      const sampler_id& id,
                                      const sampler_row& row) {
     ++servers_examined_;
-    if (!can_take_run(of, row)) {
+    if (!can_take_run(key, row)) {
         return;
     }
-    const ranked_server p{base_cost(of, row), &id, &row,
-                          row.registered.slots - row.in_flight};
-    to.servers.insert(p);
-    to.by_row.emplace(&row, p);
-    to.free_slots += p.free_slots;
+    const ranked_server server{base_cost(key, row), &id, &row,
+                               row.registered.slots - row.in_flight};
+    target.servers.insert(server);
+    target.by_row.emplace(&row, server);
+    target.free_slots += server.free_slots;
 }
 
 run_placement::ranking&
 run_placement::find_or_make_ranking(const run_requirements& needs) {
-    const auto [row, added] = rankings_.try_emplace(
+    const auto [entry, added] = rankings_.try_emplace(
         ranking_key(needs.service, needs.model, needs.min_version));
     if (added) {
         for (const auto& [id, sampler] : table_.rows()) {
-            add_if_available(row->first, row->second, id, sampler);
+            add_if_available(entry->first, entry->second, id, sampler);
         }
     }
-    return row->second;
+    return entry->second;
 }
 
 void run_placement::update_server(const sampler_id& id) {
@@ -178,70 +187,71 @@
     if (row == table_.rows().end()) {
         return;
     }
-    for (auto& [of, ranked] : rankings_) {
-        const auto known = ranked.by_row.find(&row->second);
-        if (known != ranked.by_row.end()) {
-            ranked.free_slots -= known->second.free_slots;
-            ranked.servers.erase(known->second);
-            ranked.by_row.erase(known);
+    for (auto& [key, ranked] : rankings_) {
+        const auto entry = ranked.by_row.find(&row->second);
+        if (entry != ranked.by_row.end()) {
+            ranked.free_slots -= entry->second.free_slots;
+            ranked.servers.erase(entry->second);
+            ranked.by_row.erase(entry);
         }
-        add_if_available(of, ranked, row->first, row->second);
+        add_if_available(key, ranked, row->first, row->second);
     }
 }
 
 std::optional<sampler_id>
 run_placement::find_best(const run_requirements& needs,
                          const std::set<sampler_id>& except) {
-    const ranked_server* found = nullptr;
-    double least_cost = 0;
-    for (const auto& p : find_or_make_ranking(needs).servers) {
-        // What is ranked behind costs more even with memory to spare.
-        if (found != nullptr && p.cost >= least_cost) {
+    const ranked_server* best = nullptr;
+    double best_cost = 0;
+    for (const auto& server : find_or_make_ranking(needs).servers) {
+        // The remaining servers cost more even without a memory cost.
+        if (best != nullptr && server.cost >= best_cost) {
             break;
         }
         ++servers_examined_;
-        if (except.count(*p.id) != 0) {
+        if (except.count(*server.id) != 0) {
             continue;
         }
-        const double cost = p.cost + memory_cost(p, needs.expected_tokens);
-        if (found == nullptr || cost < least_cost) {
-            found = &p;
-            least_cost = cost;
+        const double cost =
+            server.cost + memory_cost(server, needs.expected_tokens);
+        if (best == nullptr || cost < best_cost) {
+            best = &server;
+            best_cost = cost;
         }
     }
-    return found == nullptr ? std::nullopt
-                            : std::optional<sampler_id>(*found->id);
+    return best == nullptr ? std::nullopt
+                           : std::optional<sampler_id>(*best->id);
 }
 
 bool run_placement::has_server(const run_requirements& needs,
                                const std::set<sampler_id>& except) const {
     return std::any_of(
         table_.rows().begin(), table_.rows().end(), [&](const auto& row) {
-            const auto& [id, s] = row;
-            return s.registered.service == needs.service &&
-                   !s.registered.draining && !s.unlisted &&
-                   s.version_of(needs.model) >= needs.min_version &&
+            const auto& [id, sampler] = row;
+            return sampler.registered.service == needs.service &&
+                   !sampler.registered.draining && !sampler.unlisted &&
+                   sampler.version_of(needs.model) >= needs.min_version &&
                    except.count(id) == 0;
         });
 }
 
 std::optional<sampler_id>
 run_placement::find_faster(const run_requirements& needs,
-                           const sampler_id& from) {
-    const auto here = table_.rows().find(from);
-    if (here == table_.rows().end()) {
+                           const sampler_id& current) {
+    const auto current_row = table_.rows().find(current);
+    if (current_row == table_.rows().end()) {
         return std::nullopt;
     }
-    auto to = find_best(needs);
-    if (!to || *to == from) {
+    auto best = find_best(needs);
+    if (!best || *best == current) {
         return std::nullopt;
     }
-    const auto& there = table_.rows().at(*to);
-    const bool room =
-        table_.memory_share(there, needs.expected_tokens) < max_memory_share;
-    const bool pays = expected_interval(there) * min_speedup <
-                      expected_interval(here->second);
-    return room && pays ? to : std::nullopt;
+    const auto& best_row = table_.rows().at(*best);
+    const bool has_room =
+        table_.memory_share(best_row, needs.expected_tokens) < max_memory_share;
+    const bool pays_off = expected_interval(best_row) * min_speedup <
+                          expected_interval(current_row->second);
+    return has_room && pays_off ? best : std::nullopt;
 }
 
 int run_placement::free_slots(const run_requirements& needs,
@@ -250,64 +260,65 @@
     int free = ranked.free_slots;
     for (const auto& id : except) {
         const auto row = table_.rows().find(id);
-        const auto known = row == table_.rows().end()
+        const auto entry = row == table_.rows().end()
                                ? ranked.by_row.end()
                                : ranked.by_row.find(&row->second);
-        free -= known == ranked.by_row.end() ? 0 : known->second.free_slots;
+        free -= entry == ranked.by_row.end() ? 0 : entry->second.free_slots;
     }
     return free;
 }
 
 server_counts
 run_placement::count_servers(const run_requirements& needs) const {
-    server_counts out;
+    server_counts counts;
     for (const auto& [id, row] : table_.rows()) {
         if (row.registered.service != needs.service) {
             continue;
         }
         if (row.registered.draining) {
-            ++out.draining;
+            ++counts.draining;
         } else if (row.unlisted) {
-            ++out.unlisted;
+            ++counts.unlisted;
         } else if (row.in_flight >= row.registered.slots) {
-            ++out.full;
+            ++counts.full;
         } else if (now_ < row.blocked_until) {
-            ++out.blocked;
+            ++counts.blocked;
         } else if (is_loading(table_, row, needs.model, now_)) {
-            ++out.loading;
+            ++counts.loading;
         } else if (row.version_of(needs.model) < needs.min_version) {
-            ++out.old_weights;
+            ++counts.old_weights;
         } else {
-            ++out.available;
+            ++counts.available;
         }
     }
-    return out;
+    return counts;
 }
 
 const std::set<sampler_id>&
 run_placement::slow_servers(const service_name& service) {
-    const auto [known, added] = slow_servers_.try_emplace(service);
+    const auto [entry, added] = slow_servers_.try_emplace(service);
     if (!added) {
-        return known->second;
+        return entry->second;
     }
-    std::vector<double> paces;
+    std::vector<double> intervals;
     for (const auto& [id, row] : table_.rows()) {
         ++servers_examined_;
         if (is_usable(row, service, now_)) {
-            paces.push_back(expected_interval(row));
+            intervals.push_back(expected_interval(row));
         }
     }
-    if (paces.size() < min_servers_for_slow) {
-        return known->second;
+    if (intervals.size() < min_servers_for_slow) {
+        return entry->second;
     }
-    const double most = slow_server_factor * median(std::move(paces));
+    const double max_interval =
+        slow_server_factor * median(std::move(intervals));
     for (const auto& [id, row] : table_.rows()) {
         if (row.registered.service == service &&
-            expected_interval(row) > most) {
-            known->second.insert(id);
+            expected_interval(row) > max_interval) {
+            entry->second.insert(id);
         }
     }
-    return known->second;
+    return entry->second;
 }
 
 } // namespace hibiscus::samplers
--- a/packages/samplers/src/sampler_table.cpp
+++ b/packages/samplers/src/sampler_table.cpp
@@ -9,13 +9,14 @@
 
 namespace {
 
-/// The first pause after a failure and the longest, in ms. A crashed server is
-/// taken from the registry after three heartbeats of 1.2 s; the longest pause
-/// lets one that was only cut off serve again within a second.
+/// The first and the longest backoff after failures, in ms. The registry
+/// removes a crashed server after three missed heartbeats of 1.2 s. With the
+/// longest backoff, a server that was only unreachable serves again within
+/// about a second.
 constexpr base::millis initial_backoff_ms = 150;
 constexpr base::millis max_backoff_ms = 1200;
 
-/// The weight of the newest value in a running mean: about ten values back
+/// Weight of the newest value in a running mean. About the last ten values
 /// count, which is half a second of one run.
 constexpr double newest_weight = 0.1;
 
@@ -31,23 +32,23 @@
 }
 
 void sampler_table::put(const sampler_id& id, registration r) {
-    const auto [at, listed_anew] = rows_.try_emplace(id);
-    auto& row = at->second;
-    if (listed_anew) {
-        const auto left = unlisted_usage_.find(id);
-        if (left != unlisted_usage_.end()) {
-            row.in_flight = left->second.in_flight;
-            row.reserved_tokens = left->second.reserved_tokens;
-            unlisted_usage_.erase(left);
+    const auto [entry, inserted] = rows_.try_emplace(id);
+    auto& row = entry->second;
+    if (inserted) {
+        const auto usage = unlisted_usage_.find(id);
+        if (usage != unlisted_usage_.end()) {
+            row.in_flight = usage->second.in_flight;
+            row.reserved_tokens = usage->second.reserved_tokens;
+            unlisted_usage_.erase(usage);
         }
     }
-    const bool anew = row.registered.started_ms != r.started_ms ||
-                      !(row.registered.address == r.address);
-    if (anew) {
-        const auto running = row.in_flight;
+    const bool restarted = row.registered.started_ms != r.started_ms ||
+                           !(row.registered.address == r.address);
+    if (restarted) {
+        const auto in_flight_count = row.in_flight;
         const auto tokens = row.reserved_tokens;
         row = sampler_row();
-        row.in_flight = running;
+        row.in_flight = in_flight_count;
         row.reserved_tokens = tokens;
     }
     row.unlisted = false;
@@ -69,8 +70,8 @@
     }
 }
 
-/// Requests may go on at a server whose entry is gone, and it may be listed
-/// again before they end.
+/// Removes a row but keeps its usage: requests may continue at a server whose
+/// entry is gone, and it may be listed again before they end.
 sampler_table::row_map::iterator sampler_table::erase(row_map::iterator row) {
     const auto& r = row->second;
     if (r.in_flight > 0) {
@@ -121,11 +122,11 @@
             std::max<std::int64_t>(0, row->reserved_tokens - tokens);
         return;
     }
-    const auto left = unlisted_usage_.find(id);
-    if (left != unlisted_usage_.end()) {
-        left->second.reserved_tokens -= tokens;
-        if (--left->second.in_flight <= 0) {
-            unlisted_usage_.erase(left);
+    const auto usage = unlisted_usage_.find(id);
+    if (usage != unlisted_usage_.end()) {
+        usage->second.reserved_tokens -= tokens;
+        if (--usage->second.in_flight <= 0) {
+            unlisted_usage_.erase(usage);
         }
     }
 }
@@ -150,11 +151,12 @@
     if (row == nullptr) {
         return;
     }
-    const auto pause =
+    const auto backoff_ms =
         std::min(max_backoff_ms,
                  initial_backoff_ms << std::min(row->consecutive_failures, 4));
     ++row->consecutive_failures;
-    row->blocked_until = std::max(row->blocked_until, clock_.now() + pause);
+    row->blocked_until =
+        std::max(row->blocked_until, clock_.now() + backoff_ms);
 }
 
 void sampler_table::block(const sampler_id& id, base::millis ms) {
@@ -184,16 +186,16 @@
                                          std::int64_t version) {
     if (auto* row = find(id)) {
         row->observed_versions[model] = version;
-        auto& listed = row->registered.versions[model];
-        listed = std::min(listed, version);
+        auto& registered = row->registered.versions[model];
+        registered = std::min(registered, version);
         row->known_versions[model] = version;
     }
 }
 
 void sampler_table::set_loading(const sampler_id& id, const std::string& model,
-                                base::millis longest) {
+                                base::millis max_ms) {
     if (auto* row = find(id)) {
-        row->loading_until[model] = clock_.now() + longest;
+        row->loading_until[model] = clock_.now() + max_ms;
     }
 }
 
--- a/packages/samplers/src/weight_rollout.cpp
+++ b/packages/samplers/src/weight_rollout.cpp
@@ -10,166 +10,173 @@
 
 namespace {
 
-/// One in so many servers may load at a time, rounded, and at least two: as
-/// many as the way to the weights takes at full speed. Fewer leave a step with
-/// too few servers that have its weights.
+/// One in this many servers may load at a time, rounded, but at least
+/// min_concurrent_loads. This many use the full bandwidth to the weights; with
+/// fewer, a step would have too few servers with its weights.
 constexpr std::size_t servers_per_load = 5;
 constexpr std::size_t min_concurrent_loads = 2;
 
-/// The share of these by which loads that are past their time may be exceeded.
-/// They are known to have ended only once their servers report it, a quarter of
-/// a load later, and nothing would be loaded meanwhile.
+/// One load for each this many allowed ones may start in addition while others
+/// are overdue. Overdue loads are known to have ended only when their servers
+/// report it, a quarter of a load later, and no load would start meanwhile.
 constexpr std::size_t loads_per_overdue_load = 3;
 
-/// How often a server whose load should have ended is asked, in ms.
+/// Interval between two checks of a load that is about to end, in ms.
 constexpr base::millis check_interval_ms = 200;
 
-/// How long a server may go unasked, in ms, so that the end of its load is
-/// known well enough whatever a load lasts: with the answers' way, and a
-/// question that was lost.
+/// Longest time between the last two checks of a load, in ms, with which its
+/// end is known precisely enough, however long a load takes. Allows for the
+/// latency of responses and one lost check.
 constexpr base::millis max_check_gap_ms = 3 * check_interval_ms;
 
-/// The pause before a server that did not take an order is asked again, in
-/// ms: what it reports of itself is some 200 ms old.
+/// Delay before a server that did not accept an order gets another one, in ms.
+/// What a server reports of itself is some 200 ms old.
 constexpr base::millis order_retry_ms = 400;
 
-/// A version that has been the newest for so long, in ms, stands: all servers
-/// load it, and have it within 22 s of its naming.
+/// A version that has been the newest for this long, in ms, is stable: all
+/// servers load it, and have it within 22 s of its announcement.
 constexpr base::millis stable_version_ms = 10000;
 
 } // namespace
 
 void weight_rollout::announce_version(const std::string& model,
                                       std::int64_t version) {
-    auto& m = models_[model];
-    if (version > m.newest_version) {
-        m.newest_version = version;
-        m.announced_at = clock_.now();
+    auto& state = models_[model];
+    if (version > state.newest_version) {
+        state.newest_version = version;
+        state.announced_at = clock_.now();
     }
 }
 
 void weight_rollout::set_wanted_slots(const std::string& model,
-                                      int free_places) {
-    models_[model].wanted_slots = free_places;
+                                      int free_slots) {
+    models_[model].wanted_slots = free_slots;
 }
 
 std::int64_t weight_rollout::newest_version(const std::string& model) const {
-    const auto row = models_.find(model);
-    return row == models_.end() ? 0 : row->second.newest_version;
+    const auto state = models_.find(model);
+    return state == models_.end() ? 0 : state->second.newest_version;
 }
 
-/// A load is asked for its end from half of its usual time on. Asked only when
-/// it is due, a load could never seem to be shorter than those before: once
-/// some had taken long, each was found at its end seconds late, and steps went
-/// without weights meanwhile.
+/// Returns the time from the start of a load to its first check, in ms: half of
+/// the expected time. If loads were checked only when due, none could appear
+/// shorter than those before it. After some slow loads, the end of each load
+/// would be noticed seconds late, and steps would lack weights meanwhile.
 base::millis weight_rollout::first_check_ms() const {
     return std::max(check_interval_ms, load_time_.expected_ms() / 2);
 }
 
-/// Returns from what time on a load is about to end, in ms.
+/// Returns the age from which a load is overdue, that is, about to end, in ms.
 base::millis weight_rollout::overdue_after_ms() const {
     return std::max(check_interval_ms,
                     load_time_.expected_ms() - check_interval_ms);
 }
 
-bool weight_rollout::may_start_load(std::size_t servers) const {
-    const auto most =
+bool weight_rollout::may_start_load(std::size_t server_count) const {
+    const auto max_loads =
         std::max(min_concurrent_loads,
-                 (servers + servers_per_load / 2) / servers_per_load);
-    const auto overdue =
-        std::max<std::size_t>(1, most / loads_per_overdue_load);
+                 (server_count + servers_per_load / 2) / servers_per_load);
+    const auto max_extra_loads =
+        std::max<std::size_t>(1, max_loads / loads_per_overdue_load);
     const auto now = clock_.now();
-    std::size_t fresh = 0;
-    for (const auto& [id, l] : loads_) {
-        fresh += now - l.started_at < overdue_after_ms() ? 1 : 0;
+    std::size_t not_overdue = 0;
+    for (const auto& [id, load] : loads_) {
+        not_overdue += now - load.started_at < overdue_after_ms() ? 1 : 0;
     }
-    // Those that are past their time are about to be reported as done; should
-    // they not be, only a few more may begin.
-    return fresh < most && loads_.size() < most + overdue;
+    // Overdue loads are about to be reported as done. In case they are not,
+    // only a few more may start.
+    return not_overdue < max_loads &&
+           loads_.size() < max_loads + max_extra_loads;
 }
 
 void weight_rollout::remove_stale_loads(const sampler_table& table) {
     const auto now = clock_.now();
-    for (auto l = loads_.begin(); l != loads_.end();) {
-        const bool gone = table.rows().count(l->first) == 0;
-        l = gone || now - l->second.started_at > load_time_.timeout_ms()
-                ? loads_.erase(l)
-                : std::next(l);
+    for (auto load = loads_.begin(); load != loads_.end();) {
+        const bool is_removed = table.rows().count(load->first) == 0;
+        load = is_removed ||
+                       now - load->second.started_at > load_time_.timeout_ms()
+                   ? loads_.erase(load)
+                   : std::next(load);
     }
 }
 
 bool weight_rollout::may_order(const sampler_id& id,
                                const sampler_row& row) const {
-    const auto again = retry_at_.find(id);
-    const bool paused =
-        again != retry_at_.end() && clock_.now() < again->second;
-    return !row.registered.draining && !is_loading(id) && !paused;
+    const auto retry = retry_at_.find(id);
+    const bool is_delayed =
+        retry != retry_at_.end() && clock_.now() < retry->second;
+    return !row.registered.draining && !is_loading(id) && !is_delayed;
 }
 
-void weight_rollout::add_server(std::map<std::string, supply>& to,
+void weight_rollout::add_server(std::map<std::string, supply>& supplies,
                                 const sampler_id& id, const sampler_row& row,
-                                bool sound) const {
+                                bool is_healthy) const {
     const auto load = loads_.find(id);
-    const bool orderable = may_order(id, row);
+    const bool is_orderable = may_order(id, row);
     const int free = std::max(0, row.registered.slots - row.in_flight);
-    // Servers of a service serve the same models, so that the two maps are
-    // walked through side by side.
-    auto at = to.begin();
-    for (const auto& [model, listed] : row.registered.versions) {
-        while (at != to.end() && at->first < model) {
-            ++at;
+    // Servers of a service serve the same models, so both sorted maps are
+    // iterated side by side.
+    auto entry = supplies.begin();
+    for (const auto& [model, registered_version] : row.registered.versions) {
+        while (entry != supplies.end() && entry->first < model) {
+            ++entry;
         }
-        if (at == to.end() || at->first != model) {
-            at = to.emplace_hint(at, model, make_supply(model));
+        if (entry == supplies.end() || entry->first != model) {
+            entry = supplies.emplace_hint(entry, model, make_supply(model));
         }
-        auto& s = at->second;
-        auto has = row.version_of(model);
+        auto& model_supply = entry->second;
+        auto version = row.version_of(model);
         if (load != loads_.end() && load->second.model == model) {
-            has = std::max(has, load->second.version);
+            version = std::max(version, load->second.version);
         }
-        const bool newest_here = sound && has >= s.newest_version;
-        s.servers_with_newest += newest_here ? 1 : 0;
-        s.free_slots += newest_here ? free : 0;
-        s.servers_one_behind += sound && has == s.newest_version - 1 ? 1 : 0;
-        if (has < s.newest_version && orderable) {
-            s.candidates.push_back(
-                {sound, has == s.newest_version - 1, row.in_flight, free, &id});
+        const bool has_newest =
+            is_healthy && version >= model_supply.newest_version;
+        model_supply.servers_with_newest += has_newest ? 1 : 0;
+        model_supply.free_slots += has_newest ? free : 0;
+        model_supply.servers_one_behind +=
+            is_healthy && version == model_supply.newest_version - 1 ? 1 : 0;
+        if (version < model_supply.newest_version && is_orderable) {
+            model_supply.candidates.push_back(
+                {is_healthy, version == model_supply.newest_version - 1,
+                 row.in_flight, free, &id});
         }
     }
 }
 
 weight_rollout::supply
 weight_rollout::make_supply(const std::string& model) const {
-    supply s;
-    const auto known = models_.find(model);
-    if (known != models_.end()) {
-        s.newest_version = known->second.newest_version;
-        if (clock_.now() - known->second.announced_at < stable_version_ms) {
-            s.wanted_slots = known->second.wanted_slots;
+    supply result;
+    const auto state = models_.find(model);
+    if (state != models_.end()) {
+        result.newest_version = state->second.newest_version;
+        if (clock_.now() - state->second.announced_at < stable_version_ms) {
+            result.wanted_slots = state->second.wanted_slots;
         }
     }
-    const auto last = last_order_numbers_.find(model);
-    s.last_order_number = last == last_order_numbers_.end() ? 0 : last->second;
-    return s;
+    const auto last_order = last_order_numbers_.find(model);
+    result.last_order_number =
+        last_order == last_order_numbers_.end() ? 0 : last_order->second;
+    return result;
 }
 
 std::map<std::string, weight_rollout::supply>
 weight_rollout::compute_supplies(const sampler_table& table) const {
-    std::map<std::string, supply> out;
+    std::map<std::string, supply> supplies;
     const auto now = clock_.now();
-    run_placement places(table, now);
+    run_placement placement(table, now);
     for (const auto& [id, row] : table.rows()) {
         if (row.registered.versions.empty() || row.unlisted) {
             continue;
         }
         const auto& service = row.registered.service;
-        const bool sound = !row.registered.draining &&
-                           now >= row.blocked_until &&
-                           places.slow_servers(service).count(id) == 0;
-        add_server(out, id, row, sound);
+        const bool is_healthy = !row.registered.draining &&
+                                now >= row.blocked_until &&
+                                placement.slow_servers(service).count(id) == 0;
+        add_server(supplies, id, row, is_healthy);
     }
-    for (auto& [model, s] : out) {
-        std::sort(s.candidates.begin(), s.candidates.end(),
+    for (auto& [model, model_supply] : supplies) {
+        std::sort(model_supply.candidates.begin(),
+                  model_supply.candidates.end(),
                   [](const auto& a, const auto& b) {
                       return std::tie(b.is_healthy, a.serves_current_step,
                                       a.in_flight, *a.sampler) >
@@ -177,94 +184,98 @@
                                       b.in_flight, *b.sampler);
                   });
     }
-    return out;
+    return supplies;
 }
 
-/// Takes the best candidate of the model that is supplied worst; an order
-/// without a model if there is none. Several trainers name more versions than
-/// the servers can load: dealt by the version's number, the trainer that is
-/// furthest behind would take all loads while the others' steps wait for
-/// weights.
-load_order weight_rollout::take_next_order(std::map<std::string, supply>& from,
-                                           bool by_need, bool where_needed) {
-    const auto may_take = [where_needed](const supply& s) {
-        return !s.candidates.empty() && !(where_needed && s.is_sufficient());
+/// Takes the best candidate of the model with the worst supply. Returns an
+/// order without a model if there is none. Trainers announce more versions than
+/// the servers can load. If models were ordered by version number, the trainer
+/// that is furthest behind would take all loads while the steps of others wait
+/// for weights.
+load_order
+weight_rollout::take_next_order(std::map<std::string, supply>& supplies,
+                                bool order_by_need, bool only_if_needed) {
+    const auto may_take = [only_if_needed](const supply& s) {
+        return !s.candidates.empty() && !(only_if_needed && s.is_sufficient());
     };
-    const auto rank = [by_need](const supply& s) {
-        return std::make_pair(by_need ? s.steps_served() : 0,
+    const auto rank = [order_by_need](const supply& s) {
+        return std::make_pair(order_by_need ? s.steps_served() : 0,
                               s.last_order_number);
     };
-    auto worst = from.end();
-    for (auto s = from.begin(); s != from.end(); ++s) {
-        if (may_take(s->second) &&
-            (worst == from.end() || rank(s->second) < rank(worst->second))) {
-            worst = s;
+    auto worst = supplies.end();
+    for (auto entry = supplies.begin(); entry != supplies.end(); ++entry) {
+        if (may_take(entry->second) &&
+            (worst == supplies.end() ||
+             rank(entry->second) < rank(worst->second))) {
+            worst = entry;
         }
     }
-    if (worst == from.end()) {
+    if (worst == supplies.end()) {
         return {};
     }
-    auto& s = worst->second;
-    const auto best = s.candidates.back();
-    s.candidates.pop_back();
-    s.last_order_number = ++order_count_;
-    last_order_numbers_[worst->first] = s.last_order_number;
-    s.servers_with_newest += best.is_healthy ? 1 : 0;
-    s.free_slots += best.is_healthy ? best.free_slots : 0;
-    s.servers_one_behind -= best.is_healthy && best.serves_current_step ? 1 : 0;
-    return {*best.sampler, worst->first, s.newest_version};
+    auto& worst_supply = worst->second;
+    const auto best = worst_supply.candidates.back();
+    worst_supply.candidates.pop_back();
+    worst_supply.last_order_number = ++order_count_;
+    last_order_numbers_[worst->first] = worst_supply.last_order_number;
+    worst_supply.servers_with_newest += best.is_healthy ? 1 : 0;
+    worst_supply.free_slots += best.is_healthy ? best.free_slots : 0;
+    worst_supply.servers_one_behind -=
+        best.is_healthy && best.serves_current_step ? 1 : 0;
+    return {*best.sampler, worst->first, worst_supply.newest_version};
 }
 
 std::vector<load_order>
 weight_rollout::take_due_orders(const sampler_table& table) {
     remove_stale_loads(table);
-    const auto with_models = static_cast<std::size_t>(std::count_if(
+    const auto server_count = static_cast<std::size_t>(std::count_if(
         table.rows().begin(), table.rows().end(), [](const auto& r) {
             return !r.second.registered.versions.empty() && !r.second.unlisted;
         }));
-    std::vector<load_order> out;
-    if (!may_start_load(with_models)) {
-        return out;
+    std::vector<load_order> orders;
+    if (!may_start_load(server_count)) {
+        return orders;
     }
-    auto behind = compute_supplies(table);
-    const bool by_need = table.is_enabled(base::feature::load_by_need);
-    const bool where_needed =
+    auto supplies = compute_supplies(table);
+    const bool order_by_need = table.is_enabled(base::feature::load_by_need);
+    const bool only_if_needed =
         table.is_enabled(base::feature::load_where_needed);
-    while (may_start_load(with_models)) {
-        const auto order = take_next_order(behind, by_need, where_needed);
+    while (may_start_load(server_count)) {
+        const auto order =
+            take_next_order(supplies, order_by_need, only_if_needed);
         if (order.model.empty()) {
             break;
         }
         if (!is_loading(order.sampler)) {
             start_load(order);
-            out.push_back(order);
+            orders.push_back(order);
         }
     }
-    return out;
+    return orders;
 }
 
 std::vector<sampler_id> weight_rollout::take_due_checks() {
     const auto now = clock_.now();
-    std::vector<sampler_id> out;
-    for (auto& [id, l] : loads_) {
-        if (now >= l.next_check_at) {
-            l.next_check_at = now + check_interval_ms;
-            l.last_seen_loading_at = std::exchange(l.last_check_at, now);
-            out.push_back(id);
+    std::vector<sampler_id> servers;
+    for (auto& [id, load] : loads_) {
+        if (now >= load.next_check_at) {
+            load.next_check_at = now + check_interval_ms;
+            load.last_seen_loading_at = std::exchange(load.last_check_at, now);
+            servers.push_back(id);
         }
     }
-    return out;
+    return servers;
 }
 
 void weight_rollout::start_load(const load_order& order) {
     const auto now = clock_.now();
-    auto& l = loads_[order.sampler];
-    l.started_at = now;
-    l.next_check_at = now + first_check_ms();
-    l.last_check_at = now;
-    l.last_seen_loading_at = now;
-    l.model = order.model;
-    l.version = order.version;
+    auto& load = loads_[order.sampler];
+    load.started_at = now;
+    load.next_check_at = now + first_check_ms();
+    load.last_check_at = now;
+    load.last_seen_loading_at = now;
+    load.model = order.model;
+    load.version = order.version;
 }
 
 void weight_rollout::on_order_accepted(const load_order& order) {
@@ -273,11 +284,11 @@
 
 void weight_rollout::on_server_busy(const sampler_id& id) {
     const auto now = clock_.now();
-    const auto l = loads_.find(id);
-    if (l == loads_.end()) {
+    const auto load = loads_.find(id);
+    if (load == loads_.end()) {
         loads_[id] = {now, now + check_interval_ms, now, now, {}, 0};
     } else {
-        l->second.next_check_at = now + check_interval_ms;
+        load->second.next_check_at = now + check_interval_ms;
     }
 }
 
@@ -288,22 +299,24 @@
 
 void weight_rollout::on_load_done(
     const sampler_id& id, const std::map<std::string, std::int64_t>& versions) {
-    const auto l = loads_.find(id);
-    if (l == loads_.end()) {
+    const auto load = loads_.find(id);
+    if (load == loads_.end()) {
         return;
     }
-    // A server that started anew meanwhile has not loaded anything, and says
-    // nothing of how long a load lasts. Nor does one that nobody could ask for
-    // long, as while the store is away: the load may have ended at any time.
+    // A server that restarted meanwhile did not load anything and says nothing
+    // about the duration of loads. Neither does a server that could not be
+    // checked for long, such as while the store is unreachable: its load may
+    // have ended at any time.
     const auto now = clock_.now();
-    const auto has = versions.find(l->second.model);
-    const bool loaded =
-        has != versions.end() && has->second >= l->second.version;
-    const auto most_gap = std::max(max_check_gap_ms, load_time_.expected_ms());
-    if (loaded && now - l->second.last_seen_loading_at <= most_gap) {
-        load_time_.add_sample(now - l->second.started_at);
+    const auto served = versions.find(load->second.model);
+    const bool was_loaded =
+        served != versions.end() && served->second >= load->second.version;
+    const auto max_gap_ms =
+        std::max(max_check_gap_ms, load_time_.expected_ms());
+    if (was_loaded && now - load->second.last_seen_loading_at <= max_gap_ms) {
+        load_time_.add_sample(now - load->second.started_at);
     }
-    loads_.erase(l);
+    loads_.erase(load);
 }
 
 void weight_rollout::on_load_not_needed(const sampler_id& id) {
--- a/packages/samplers/test/plain_placement_test.cpp
+++ b/packages/samplers/test/plain_placement_test.cpp
@@ -14,7 +14,7 @@
 
 class plain_placement_test : public testing::Test {
 protected:
-    void add(const char* id, int slots = 8) {
+    void add_server(const char* id, int slots = 8) {
         registration r;
         r.service = engines;
         r.address = {"127.0.0.1", 1};
@@ -23,10 +23,10 @@
         table_.put(sampler_id(id), r);
     }
 
-    std::string plain() {
-        const auto to = choose_plain_server(table_, engines, base::zone_id("z"),
-                                            {}, clock_.now());
-        return to ? to->str() : "";
+    std::string choose_server() {
+        const auto chosen = choose_plain_server(
+            table_, engines, base::zone_id("z"), {}, clock_.now());
+        return chosen ? chosen->str() : "";
     }
 
     std::shared_ptr<base::manual_time> time_ =
@@ -36,39 +36,40 @@
 };
 
 TEST_F(plain_placement_test,
-       requests_now_and_then_go_to_the_server_known_already) {
-    // A node gets a lookup each second. Went it through the servers in turn,
-    // each lookup would wait for a new connection.
+       infrequent_requests_stay_at_a_server_with_a_warm_connection) {
+    // A node gets one lookup per second. If it took the servers in turn, each
+    // lookup would wait for a new connection.
     for (const char* id : {"a", "b", "c"}) {
-        add(id);
+        add_server(id);
     }
     time_->advance(1);
-    const auto first = plain();
+    const auto first = choose_server();
     for (int n = 0; n < 10; ++n) {
         table_.on_response(sampler_id(first), 30);
         time_->advance(1000);
-        EXPECT_EQ(plain(), first);
+        EXPECT_EQ(choose_server(), first);
     }
     table_.on_request_started(sampler_id(first));
-    EXPECT_NE(plain(), first);
+    EXPECT_NE(choose_server(), first);
 }
 
-TEST_F(plain_placement_test, a_server_that_answers_slowly_is_left) {
-    add("a");
-    add("b");
+TEST_F(plain_placement_test, a_server_with_slow_responses_is_avoided) {
+    add_server("a");
+    add_server("b");
     time_->advance(1);
-    const auto first = plain();
+    const auto first = choose_server();
     for (int n = 0; n < 60; ++n) {
         table_.on_response(sampler_id(first), 400);
     }
     table_.on_response(sampler_id(first == "a" ? "b" : "a"), 30);
     time_->advance(1000);
-    EXPECT_NE(plain(), first);
+    EXPECT_NE(choose_server(), first);
 }
 
 TEST_F(plain_placement_test, processes_choose_differently_among_equal_servers) {
-    // All nodes start at once and know nothing of the servers. If all chose
-    // the first by name, it alone would get their first requests.
+    // All nodes start at the same time and know nothing about the servers. If
+    // all chose the first one by name, that server alone would get their first
+    // requests.
     std::set<std::string> chosen;
     for (std::uint64_t salt = 1; salt <= 40; ++salt) {
         sampler_table table(clock_, salt);
--- a/packages/samplers/test/weight_rollout_test.cpp
+++ b/packages/samplers/test/weight_rollout_test.cpp
@@ -14,7 +14,7 @@
 
 class weight_rollout_test : public testing::Test {
 protected:
-    void add(int count) {
+    void add_servers(int count) {
         for (int n = 0; n < count; ++n) {
             registration r;
             r.service = service_name("engines");
@@ -24,41 +24,46 @@
         }
     }
 
-    /// Adds servers that serve two models.
-    void add_shared(int count, std::int64_t late, std::int64_t prompt) {
+    /// Adds servers that serve two models, with these versions.
+    void add_shared_servers(int count, std::int64_t behind,
+                            std::int64_t current) {
         for (int n = 0; n < count; ++n) {
             registration r;
             r.service = service_name("engines");
             r.slots = 12;
-            r.versions = {{"late", late}, {"prompt", prompt}};
+            r.versions = {{"behind", behind}, {"current", current}};
             table_.put(sampler_id("s" + std::to_string(10 + n)), r);
         }
     }
 
-    /// Carries out loads for some seconds and counts them by model.
-    std::map<std::string, int> loads_of(int rounds) {
-        std::map<std::string, int> out;
+    /// Carries out the due loads for a number of rounds and counts them by
+    /// model.
+    std::map<std::string, int> count_loads(int rounds) {
+        std::map<std::string, int> loads;
         for (int n = 0; n < rounds; ++n) {
-            for (const auto& o : rollout_.take_due_orders(table_)) {
-                rollout_.on_order_accepted(o);
-                ++out[o.model];
-                rollout_.on_load_done(o.sampler, {{o.model, o.version}});
-                table_.set_observed_version(o.sampler, o.model, o.version);
+            for (const auto& order : rollout_.take_due_orders(table_)) {
+                rollout_.on_order_accepted(order);
+                ++loads[order.model];
+                rollout_.on_load_done(order.sampler,
+                                      {{order.model, order.version}});
+                table_.set_observed_version(order.sampler, order.model,
+                                            order.version);
             }
         }
-        return out;
+        return loads;
     }
 
-    std::set<std::string> accept_due() {
-        std::set<std::string> out;
-        for (const auto& o : rollout_.take_due_orders(table_)) {
-            rollout_.on_order_accepted(o);
-            out.insert(o.sampler.str());
+    /// Accepts the due orders and returns their servers.
+    std::set<std::string> accept_due_orders() {
+        std::set<std::string> servers;
+        for (const auto& order : rollout_.take_due_orders(table_)) {
+            rollout_.on_order_accepted(order);
+            servers.insert(order.sampler.str());
         }
-        return out;
+        return servers;
     }
 
-    void done(const std::string& id, std::int64_t version) {
+    void finish_load(const std::string& id, std::int64_t version) {
         rollout_.on_load_done(sampler_id(id), {{"m", version}});
         table_.set_observed_version(sampler_id(id), "m", version);
     }
@@ -71,40 +76,42 @@
 };
 
 TEST_F(weight_rollout_test, two_of_nine_load_at_a_time) {
-    add(9);
+    add_servers(9);
     rollout_.announce_version("m", 2);
-    EXPECT_EQ(accept_due().size(), 2U);
-    EXPECT_TRUE(accept_due().empty());
+    EXPECT_EQ(accept_due_orders().size(), 2U);
+    EXPECT_TRUE(accept_due_orders().empty());
 }
 
-TEST_F(weight_rollout_test, a_trainer_that_is_late_does_not_take_all_loads) {
-    // One trainer is some steps behind the other, so that its versions have
-    // lower numbers on every server. Went by the number, all servers would
-    // load its weights first, and the other trainer's next step would find no
-    // server at all.
-    add_shared(12, 3, 8);
-    rollout_.announce_version("late", 4);
-    rollout_.announce_version("prompt", 9);
-    const auto loads = loads_of(4);
-    EXPECT_EQ(loads.at("late"), loads.at("prompt"));
+TEST_F(weight_rollout_test,
+       a_trainer_with_lower_versions_does_not_take_all_loads) {
+    // The versions of one trainer have lower numbers on every server because it
+    // is some steps behind the other. If models were ordered by version number,
+    // all servers would load its weights first, and the other trainer's next
+    // step would find no server.
+    add_shared_servers(12, 3, 8);
+    rollout_.announce_version("behind", 4);
+    rollout_.announce_version("current", 9);
+    const auto loads = count_loads(4);
+    EXPECT_EQ(loads.at("behind"), loads.at("current"));
 }
 
-TEST_F(weight_rollout_test, servers_that_still_serve_a_step_load_last) {
-    // Half of the servers have the weights of the step under way. Were these
-    // loaded first, the step's items would find them closed while the others
-    // stand idle.
-    add(4);
+TEST_F(weight_rollout_test, servers_that_serve_the_current_step_load_last) {
+    // Half of the servers have the weights of the current step. If these loaded
+    // first, the step's items would find them loading while the others are
+    // idle.
+    add_servers(4);
     for (const char* id : {"s10", "s11"}) {
         table_.set_observed_version(sampler_id(id), "m", 2);
     }
     rollout_.announce_version("m", 3);
-    EXPECT_EQ(accept_due(), (std::set<std::string>{"s12", "s13"}));
+    EXPECT_EQ(accept_due_orders(), (std::set<std::string>{"s12", "s13"}));
 }
 
-TEST_F(weight_rollout_test, servers_in_trouble_load_last) {
+TEST_F(weight_rollout_test, slow_and_blocked_servers_load_last) {
     // A third of the servers refuse connections or have become four times
-    // slower. Loaded like the others they count as places that no run takes.
-    add(9);
+    // slower. If they were loaded like the others, they would count as slots
+    // that no run uses.
+    add_servers(9);
     for (int n = 0; n < 9; ++n) {
         const sampler_id id("s" + std::to_string(10 + n));
         for (int event = 0; event < 20; ++event) {
@@ -113,50 +120,50 @@
     }
     table_.block(sampler_id("s11"), 5000);
     rollout_.announce_version("m", 2);
-    EXPECT_EQ(accept_due(), (std::set<std::string>{"s12", "s13"}));
+    EXPECT_EQ(accept_due_orders(), (std::set<std::string>{"s12", "s13"}));
 }
 
-TEST_F(weight_rollout_test, more_of_a_large_fleet_load_at_a_time) {
-    add(44);
+TEST_F(weight_rollout_test, more_servers_of_a_large_fleet_load_at_a_time) {
+    add_servers(44);
     rollout_.announce_version("m", 2);
-    EXPECT_EQ(accept_due().size(), 9U);
+    EXPECT_EQ(accept_due_orders().size(), 9U);
 }
 
-// A server reports the end of a load a quarter of its time later. If nothing
-// began meanwhile, steps would have a fifth fewer servers with their weights.
-TEST_F(weight_rollout_test, loads_past_their_time_do_not_hold_up_all_others) {
-    add(44);
+// A server reports the end of a load a quarter of its duration late. If no load
+// started meanwhile, steps would have a fifth fewer servers with their weights.
+TEST_F(weight_rollout_test, overdue_loads_do_not_block_all_others) {
+    add_servers(44);
     rollout_.announce_version("m", 2);
-    EXPECT_EQ(accept_due().size(), 9U);
+    EXPECT_EQ(accept_due_orders().size(), 9U);
     time_->advance(1000);
-    EXPECT_EQ(accept_due().size(), 3U);
-    EXPECT_TRUE(accept_due().empty());
+    EXPECT_EQ(accept_due_orders().size(), 3U);
+    EXPECT_TRUE(accept_due_orders().empty());
 }
 
-TEST_F(weight_rollout_test, all_get_the_version_and_those_behind_come_first) {
-    add(5);
+TEST_F(weight_rollout_test, each_server_loads_the_version_once) {
+    add_servers(5);
     rollout_.announce_version("m", 2);
-    std::set<std::string> seen;
+    std::set<std::string> loaded;
     for (int round = 0; round < 3; ++round) {
-        for (const auto& id : accept_due()) {
-            EXPECT_TRUE(seen.insert(id).second);
-            done(id, 2);
+        for (const auto& id : accept_due_orders()) {
+            EXPECT_TRUE(loaded.insert(id).second);
+            finish_load(id, 2);
         }
         time_->advance(1000);
     }
-    EXPECT_EQ(seen.size(), 5U);
-    EXPECT_TRUE(accept_due().empty());
+    EXPECT_EQ(loaded.size(), 5U);
+    EXPECT_TRUE(accept_due_orders().empty());
 }
 
-TEST_F(weight_rollout_test, slow_loads_are_not_joined_by_ever_more) {
-    // Loads take several seconds, as when the weight store is slow. If each
+TEST_F(weight_rollout_test, slow_loads_do_not_accumulate) {
+    // Loads take several seconds because the weight store is slow. If each
     // counted as done after its usual time, all servers would soon load at
-    // once, and a step would find no place at all.
-    add(12);
+    // once, and a step would find no slot.
+    add_servers(12);
     rollout_.announce_version("m", 2);
     std::set<std::string> loading;
     for (int n = 0; n < 5; ++n) {
-        for (const auto& id : accept_due()) {
+        for (const auto& id : accept_due_orders()) {
             loading.insert(id);
         }
         time_->advance(1000);
@@ -165,18 +172,18 @@
     EXPECT_LE(loading.size(), 3U);
 }
 
-TEST_F(weight_rollout_test, a_server_that_never_reports_holds_up_nobody) {
-    add(9);
+TEST_F(weight_rollout_test, a_load_that_is_never_reported_times_out) {
+    add_servers(9);
     rollout_.announce_version("m", 2);
-    const auto first = accept_due();
+    const auto first = accept_due_orders();
     time_->advance(6001);
-    EXPECT_FALSE(accept_due().empty());
+    EXPECT_FALSE(accept_due_orders().empty());
 }
 
-TEST_F(weight_rollout_test, asks_whether_a_load_has_ended) {
-    add(3);
+TEST_F(weight_rollout_test, checks_whether_a_load_has_ended) {
+    add_servers(3);
     rollout_.announce_version("m", 2);
-    accept_due();
+    accept_due_orders();
     EXPECT_TRUE(rollout_.take_due_checks().empty());
     time_->advance(950);
     EXPECT_EQ(rollout_.take_due_checks().size(), 2U);
@@ -185,46 +192,49 @@
     EXPECT_EQ(rollout_.take_due_checks().size(), 2U);
 }
 
-// The store is away for six seconds, and no server is asked for its load
-// meanwhile. Taken for loads of six seconds, these made the next ones be asked
-// for only after five: for half a minute each step waited for weights that had
-// long been there.
-TEST_F(weight_rollout_test, loads_that_nobody_could_ask_for_do_not_seem_long) {
-    add(40);
+// The store is unreachable for six seconds, and no server is asked about its
+// load meanwhile. If these counted as loads of six seconds, the next ones would
+// be checked only after five, and for half a minute each step would wait for
+// weights that are already loaded.
+TEST_F(weight_rollout_test,
+       loads_that_could_not_be_checked_do_not_count_as_long) {
+    add_servers(40);
     rollout_.announce_version("m", 2);
-    const auto before = accept_due();
+    const auto loading = accept_due_orders();
     time_->advance(700);
     rollout_.take_due_checks();
     time_->advance(6000);
     rollout_.take_due_checks();
-    for (const auto& id : before) {
-        done(id, 2);
+    for (const auto& id : loading) {
+        finish_load(id, 2);
     }
-    ASSERT_FALSE(accept_due().empty());
+    ASSERT_FALSE(accept_due_orders().empty());
     time_->advance(1200);
     EXPECT_FALSE(rollout_.take_due_checks().empty());
 }
 
-// Loads were slow for a while and are fast again. Each is found at its end soon
-// enough for that to show.
-TEST_F(weight_rollout_test, loads_that_are_fast_again_are_seen_to_be) {
+// Guards against an estimate that stays high: loads were slow for a while and
+// are fast again, and their ends must be noticed early enough to show it.
+TEST_F(weight_rollout_test, the_estimate_shrinks_when_loads_are_fast_again) {
     constexpr base::millis load_ms = 900;
     constexpr base::millis slow_ms = 5000;
-    add(40);
+    add_servers(40);
     std::int64_t version = 1;
-    const auto play = [&](base::millis lasts, base::millis length) {
+    const auto run_loads = [&](base::millis duration_ms,
+                               base::millis period_ms) {
         std::map<std::string, base::millis> loads;
         int ended = 0;
-        for (base::millis at = 0; at < length; at += 50) {
-            if (at % 4000 == 0) {
+        for (base::millis elapsed_ms = 0; elapsed_ms < period_ms;
+             elapsed_ms += 50) {
+            if (elapsed_ms % 4000 == 0) {
                 rollout_.announce_version("m", ++version);
             }
-            for (const auto& id : accept_due()) {
-                loads[id] = clock_.now() + lasts;
+            for (const auto& id : accept_due_orders()) {
+                loads[id] = clock_.now() + duration_ms;
             }
             for (const auto& id : rollout_.take_due_checks()) {
                 if (clock_.now() >= loads[id.str()]) {
-                    done(id.str(), version);
+                    finish_load(id.str(), version);
                     ++ended;
                 }
             }
@@ -232,96 +242,98 @@
         }
         return ended;
     };
-    play(slow_ms, 40000);
-    play(load_ms, 12000);
-    // Eight at a time, of which each takes a second, for ten seconds.
-    EXPECT_GE(play(load_ms, 10000), 80);
+    run_loads(slow_ms, 40000);
+    run_loads(load_ms, 12000);
+    // Eight loads at a time, each taking a second, for ten seconds.
+    EXPECT_GE(run_loads(load_ms, 10000), 80);
 }
 
-// Guards against loads that are given up early once they take longer.
-TEST_F(weight_rollout_test, loads_that_become_long_are_seen_to_be) {
+// Guards against loads that time out early once loads take longer.
+TEST_F(weight_rollout_test, the_estimate_grows_when_loads_become_long) {
     constexpr base::millis short_ms = 50;
     constexpr base::millis long_ms = 1000;
-    add(40);
+    add_servers(40);
     std::int64_t version = 1;
     for (int n = 0; n < 30; ++n) {
         rollout_.announce_version("m", ++version);
-        const auto ids = accept_due();
+        const auto ids = accept_due_orders();
         time_->advance(short_ms);
         for (const auto& id : ids) {
-            done(id, version);
+            finish_load(id, version);
         }
     }
-    base::millis first_question = 0;
+    base::millis first_check_ms = 0;
     for (int n = 0; n < 8; ++n) {
         rollout_.announce_version("m", ++version);
-        const auto ids = accept_due();
-        first_question = 0;
-        for (base::millis at = 0; at < long_ms; at += 50) {
+        const auto ids = accept_due_orders();
+        first_check_ms = 0;
+        for (base::millis elapsed_ms = 0; elapsed_ms < long_ms;
+             elapsed_ms += 50) {
             time_->advance(50);
-            if (!rollout_.take_due_checks().empty() && first_question == 0) {
-                first_question = at + 50;
+            if (!rollout_.take_due_checks().empty() && first_check_ms == 0) {
+                first_check_ms = elapsed_ms + 50;
             }
         }
         time_->advance(10);
         for (const auto& id : ids) {
-            done(id, version);
+            finish_load(id, version);
         }
     }
-    // Half of what a load is expected to take.
-    EXPECT_GT(first_question, 400);
+    // Half of the expected time of a load.
+    EXPECT_GT(first_check_ms, 400);
 }
 
-// Guards against loads that are replaced before anybody uses them.
-TEST_F(weight_rollout_test, only_so_many_servers_load_as_steps_need) {
+// Guards against loads of versions that are replaced before they are used.
+TEST_F(weight_rollout_test, only_as_many_servers_load_as_steps_need) {
     constexpr int servers = 200;
     constexpr int needed = 20;
     constexpr int slots = 12;
     constexpr base::millis load_ms = 900;
-    add(servers);
+    add_servers(servers);
     rollout_.announce_version("m", 2);
     rollout_.set_wanted_slots("m", needed * slots);
-    const auto load_for = [&](base::millis length) {
-        for (base::millis at = 0; at < length; at += load_ms) {
-            const auto ids = accept_due();
+    const auto run_loads_for = [&](base::millis period_ms) {
+        for (base::millis elapsed_ms = 0; elapsed_ms < period_ms;
+             elapsed_ms += load_ms) {
+            const auto ids = accept_due_orders();
             time_->advance(load_ms);
             for (const auto& id : ids) {
-                done(id, 2);
+                finish_load(id, 2);
             }
         }
     };
-    const auto loaded = [&] {
+    const auto count_loaded = [&] {
         return std::count_if(
             table_.rows().begin(), table_.rows().end(),
             [](const auto& row) { return row.second.version_of("m") == 2; });
     };
-    load_for(9000);
-    EXPECT_EQ(loaded(), needed);
-    // Weights that stand reach all servers within 22 s.
-    load_for(13000);
-    EXPECT_EQ(loaded(), servers);
+    run_loads_for(9000);
+    EXPECT_EQ(count_loaded(), needed);
+    // A stable version reaches all servers within 22 s.
+    run_loads_for(13000);
+    EXPECT_EQ(count_loaded(), servers);
 }
 
-// The servers that have a model's weights are full with the runs of others.
-TEST_F(weight_rollout_test, places_that_others_have_taken_do_not_count) {
+// The servers with a model's weights are full with runs of other models.
+TEST_F(weight_rollout_test, slots_taken_by_runs_of_other_models_do_not_count) {
     constexpr int slots = 12;
-    add(40);
+    add_servers(40);
     rollout_.announce_version("m", 2);
     rollout_.set_wanted_slots("m", 2 * slots);
-    const auto first = accept_due();
+    const auto first = accept_due_orders();
     EXPECT_EQ(first.size(), 2U);
     time_->advance(900);
     for (const auto& id : first) {
-        done(id, 2);
+        finish_load(id, 2);
         for (int n = 0; n < slots; ++n) {
             table_.on_request_started(sampler_id(id));
         }
     }
-    EXPECT_EQ(accept_due().size(), 2U);
+    EXPECT_EQ(accept_due_orders().size(), 2U);
 }
 
-TEST_F(weight_rollout_test, an_order_that_was_not_taken_is_sent_again_later) {
-    add(1);
+TEST_F(weight_rollout_test, a_rejected_order_is_sent_again_later) {
+    add_servers(1);
     rollout_.announce_version("m", 2);
     const auto orders = rollout_.take_due_orders(table_);
     ASSERT_EQ(orders.size(), 1U);
