--- a/packages/policy/include/hibiscus/policy/admission.hpp
+++ b/packages/policy/include/hibiscus/policy/admission.hpp
@@ -8,18 +8,18 @@
 
 namespace hibiscus::policy {
 
-/// Estimates how long the calls of a service take, as TCP does for its
-/// retransmissions: a smoothed mean and a smoothed deviation.
+/// Estimates the latency of a service's calls by a smoothed mean and a smoothed
+/// deviation, as TCP does for its retransmission timeout.
 class latency_estimate {
 public:
-    /// Notes the time that one call took.
-    void add_sample(base::millis took);
+    /// Adds the latency of one call, in ms.
+    void add_sample(base::millis latency_ms);
 
-    /// Returns the smoothed mean, or 0 before the first call.
+    /// Returns the smoothed mean in ms, or 0 before the first call.
     base::millis mean() const { return static_cast<base::millis>(mean_); }
 
-    /// Returns the time after which a call that has no answer is more likely
-    /// lost than slow.
+    /// Returns the time in ms after which a call without a response is more
+    /// likely lost than slow.
     base::millis timeout() const;
 
 private:
@@ -28,13 +28,13 @@
     bool has_samples_ = false;
 };
 
-/// Measures how many requests a service completes, over the last two seconds.
+/// Measures the rate at which a service completes requests, over the last two
+/// seconds.
 class throughput_meter {
 public:
-    /// Notes a completed request.
     void record_completion(base::millis now);
 
-    /// Returns the requests completed for each millisecond.
+    /// Returns the number of completed requests per millisecond.
     double rate_per_ms(base::millis now) const;
 
 private:
@@ -47,48 +47,50 @@
     std::array<bucket, bucket_count> buckets_{};
 };
 
-/// What is known when a request finds every instance at its limit.
+/// The state in which a request finds every instance at its limit.
 struct admission_query {
-    /// The requests that wait before it.
+    /// Requests queued ahead of it.
     std::size_t queued = 0;
-    /// What drain_meter says.
+    /// The rate returned by throughput_meter.
     double throughput_per_ms = 0.0;
-    /// How long a call takes once it has left.
+    /// Mean latency of a call once it is sent, in ms.
     base::millis mean_latency = 0;
-    /// How long the caller still waits.
+    /// Time until the caller's deadline, in ms.
     base::millis time_to_deadline = 0;
 };
 
-/// Whether a request may wait.
+/// The decision whether a request may be queued.
 struct admission_decision {
     bool admitted = false;
-    /// The wait before the request would leave, in ms. A caller who is refused
-    /// should come back after it.
+    /// Expected time until the request would be sent, in ms. A rejected caller
+    /// should retry after it.
     base::millis wait = 0;
 };
 
-/// Decides whether a request may wait: only if it would leave early enough to
-/// be answered within its deadline. One that would be given up on later only
-/// lengthens the wait of the others, and its caller learns it too late.
+/// Decides whether a request may be queued: only if it would be sent early
+/// enough to get its response before its deadline. A request that would time
+/// out later only lengthens the wait of others, and its caller would learn of
+/// the failure too late.
 admission_decision admit(const admission_query& query);
 
-/// Bounds the requests of one kind that are in work, for the control thread.
-/// Not safe for use by several threads at once.
+/// Bounds the concurrent requests of one kind for the control thread. Not
+/// thread-safe.
 class concurrency_limit {
 public:
-    /// Constructs a limit of `most` requests at a time.
-    explicit concurrency_limit(std::size_t most) : max_in_flight_(most) {}
+    /// Constructs a limit of `max_in_flight` concurrent requests.
+    explicit concurrency_limit(std::size_t max_in_flight)
+        : max_in_flight_(max_in_flight) {}
 
-    /// Returns true, and counts one in, if there is room.
+    /// Counts a request as in flight and returns true, unless the limit is
+    /// reached.
     bool try_acquire();
 
-    /// Counts one out.
+    /// Counts the end of a request.
     void release(base::millis now);
 
-    /// Returns how long one who was refused should stay away, in ms.
+    /// Returns the time after which a rejected caller should retry, in ms.
     base::millis retry_after(base::millis now) const;
 
-    /// Returns the requests in work.
     std::size_t in_flight() const { return in_flight_; }
 
 private:
--- a/packages/policy/include/hibiscus/policy/fair_share.hpp
+++ b/packages/policy/include/hibiscus/policy/fair_share.hpp
@@ -8,36 +8,41 @@
 
 namespace hibiscus::policy {
 
-/// What a trainer has of a pool.
+/// A trainer's use of a pool.
 struct pool_usage {
     base::trainer_id trainer;
-    /// The trainer's weight times its owner's.
+    /// The weight of the trainer times the weight of its owner.
     double weight = 1.0;
-    /// Streams that engines of the pool have admitted for it.
+    /// Streams of the trainer that engines of the pool have admitted.
     int admitted_streams = 0;
 };
 
-/// Returns the weight of `trainer` against the others of its pool.
+/// Returns the weight of `trainer` times the weight of its owner. It decides
+/// the trainer's share of the pool.
 double effective_weight(const document::document& document,
                         const document::trainer& trainer);
 
-/// How many of a pool's streams are a trainer's.
+/// The shares of a trainer in a pool, in streams.
 struct fair_shares {
-    /// Its share among all trainers that the document names for the pool.
+    /// Its share among all trainers that the document lists for the pool.
     double guaranteed = 0;
-    /// Its share among those that use the pool now; never less.
+    /// Its share among the trainers that use the pool now; never less than the
+    /// guaranteed one.
     double active = 0;
 };
 
-/// Returns the shares of `trainer` in a pool that takes `capacity` streams.
-fair_shares compute_shares(const std::vector<pool_usage>& uses,
+/// Returns the shares of `trainer` in a pool that takes `capacity` streams, or
+/// zeros if it has no weight in `usages`.
+fair_shares compute_shares(const std::vector<pool_usage>& usages,
                            const base::trainer_id& trainer, int capacity);
 
-/// Returns how many streams an engine with `slots` slots and room for `queue`
-/// more takes of a trainer that has `admitted` of the pool's streams. Queues
-/// are for trainers below their shares. One above it still gets every slot
-/// that nobody else uses, and one above its guaranteed share leaves a place
-/// in each queue, so that a trainer that comes late finds room and counts.
+/// Returns the number of streams below which an engine admits one more stream
+/// of a trainer that has `admitted` of the pool's streams. The engine has
+/// `slots` slots and a queue for `queue` more streams. Queues are for trainers
+/// below their shares. A trainer above its share still gets every slot that
+/// nobody else uses. A trainer above its guaranteed share leaves one position
+/// of each queue free, so that a trainer that starts later finds room and
+/// counts as active.
 int stream_limit(int admitted, const fair_shares& shares, int slots, int queue);
 
 } // namespace hibiscus::policy
--- a/packages/policy/include/hibiscus/policy/placement.hpp
+++ b/packages/policy/include/hibiscus/policy/placement.hpp
@@ -11,44 +11,46 @@
 
 namespace hibiscus::policy {
 
-/// Prefers the engine with the fewest streams for its slots.
+/// Chooses the engine with the fewest streams for its capacity.
 struct least_admitted {};
 
-/// Draws two engines and takes the one with fewer streams for its slots.
+/// Draws two engines at random and chooses the one with fewer streams for its
+/// capacity.
 struct power_of_two {};
 
-/// Takes the engine that the prompt's hash prefers, so that a group shares
-/// its prefix cache, unless it is `slack` streams fuller than the emptiest.
+/// Chooses the engine preferred by the prompt's hash, so that the samples of a
+/// group share its prefix cache, unless it has over `max_load_gap` streams more
+/// than the least loaded engine.
 struct prefix_affinity {
     int max_load_gap = 2;
 };
 
-/// Takes the engines in turn.
+/// Chooses the engines in turn.
 struct round_robin {
     std::size_t next = 0;
 };
 
-/// Takes any engine.
+/// Chooses any engine at random.
 struct random_choice {};
 
-/// A way to choose an engine.
+/// A policy for choosing an engine for a stream.
 using placement_policy =
     std::variant<least_admitted, power_of_two, prefix_affinity, round_robin,
                  random_choice>;
 
-/// Returns the policy that the document calls `kind`.
+/// Returns the policy for a kind set in the document.
 placement_policy make_placement_policy(document::placement_kind kind);
 
 /// An engine that may be chosen.
 struct engine_candidate {
     base::engine_id engine;
     int streams = 0;
-    /// Streams that the engine takes, running and queued.
+    /// Maximum number of streams, running and queued.
     int capacity = 1;
 };
 
-/// Returns the one of `candidates` that `policy` chooses, or null if all are
-/// full. A full engine is never chosen.
+/// Returns the candidate that `policy` chooses, or null if all are full. A full
+/// engine is never chosen.
 const engine_candidate*
 choose_engine(placement_policy& policy,
               const std::vector<engine_candidate>& candidates,
--- a/packages/policy/include/hibiscus/policy/routing.hpp
+++ b/packages/policy/include/hibiscus/policy/routing.hpp
@@ -18,34 +18,35 @@
     base::zone_id zone;
 };
 
-/// What became of a request to an instance.
+/// The outcome of an attempt at an instance.
 enum class attempt_outcome {
-    answered,    ///< It answered.
-    rejected,    ///< It said that it has too much to do.
-    no_response, ///< No answer came.
-    cancelled    ///< Nobody waits for the answer any more.
+    answered,    ///< The instance responded.
+    rejected,    ///< The instance is overloaded.
+    no_response, ///< No response arrived.
+    cancelled    ///< The caller no longer waits.
 };
 
-/// Routes idempotent requests over the instances of services, by the better
-/// of two drawn at random, judged by this node's own requests in flight.
-/// Not safe for use by several threads at once.
+/// Routes idempotent requests to the instances of services: of two drawn at
+/// random it uses the one with fewer requests of this node in flight. Not
+/// thread-safe.
 class service_router {
 public:
-    /// Constructs a router with a seeded source of chance.
+    /// Constructs a router that seeds its random numbers with `seed`.
     explicit service_router(std::uint64_t seed);
 
-    /// Returns the index of the instance to use and counts the request as in
-    /// flight, or nothing if each has `max_in_flight` or there are none.
-    /// An instance in `avoid` is used only when there is no other.
+    /// Chooses an instance, counts the request as in flight there and returns
+    /// the instance's index. Returns nothing if there are no instances or all
+    /// have `max_in_flight` requests. An instance with the id `avoid` is used
+    /// only if no other is available.
     std::optional<std::size_t>
     begin_request(const std::vector<instance_candidate>& instances,
                   int max_in_flight, const std::string& avoid,
                   base::millis now);
 
-    /// Counts the end of a request to the instance `id`. One that could not
-    /// be reached is avoided for a while; one that refuses gets fewer requests
-    /// at a time, and slowly more again while it answers.
-    void end_request(const std::string& id, attempt_outcome how,
+    /// Counts the end of a request to the instance `id`. An instance that does
+    /// not respond is ejected for a while. One that rejects requests gets fewer
+    /// at a time; the limit slowly grows again while it responds.
+    void end_request(const std::string& id, attempt_outcome outcome,
                      base::millis now);
 
     /// Returns the requests in flight to the instance `id`.
@@ -56,8 +57,8 @@
         int in_flight = 0;
         int consecutive_failures = 0;
         base::millis ejected_until = 0;
-        /// Requests that the instance takes at a time, as learned from its
-        /// refusals; 0 before the first.
+        /// Concurrent requests that the instance takes, as learned from its
+        /// rejections; 0 before the first rejection.
         double learned_limit = 0.0;
         base::millis limit_lowered_at = 0;
     };
@@ -78,17 +79,16 @@
 /// not hit by a multiple of its load.
 class retry_budget {
 public:
-    /// Constructs a budget that allows `ratio` retries for each request, and
-    /// `reserve` more after a quiet time.
+    /// Constructs a full budget of `reserve` retries, to which each request
+    /// adds `ratio`.
     retry_budget(double ratio, double reserve);
 
-    /// Notes a request.
+    /// Adds the share of one request to the budget, up to the reserve.
     void deposit();
 
-    /// Returns true, and takes one retry from the budget, if it allows one.
+    /// Takes one retry from the budget; returns false if it has none.
     bool withdraw();
 
-    /// Changes the ratio.
     void set_ratio(double ratio) { ratio_ = ratio; }
 
 private:
--- a/packages/policy/include/hibiscus/policy/start_version.hpp
+++ b/packages/policy/include/hibiscus/policy/start_version.hpp
@@ -8,33 +8,33 @@
 
 namespace hibiscus::policy {
 
-/// Begins samples at every version inside the staleness bound.
+/// Starts samples at any version within the staleness bound.
 struct within_bound {};
 
-/// Counts on one more publish before the delivery, so that a sample that
-/// begins now is still inside the bound then.
+/// Expects one more publish before the delivery, so that a sample that starts
+/// now is still within the bound then.
 struct expect_publish {
-    /// A version that no engine serves after so long is not waited for.
+    /// Time in ms for which a new version is waited for until engines serve it.
     base::millis max_swap_wait = 2000;
 };
 
-/// Which versions a sample may begin with.
+/// A policy for the versions that a sample may start with.
 using start_version_policy = std::variant<within_bound, expect_publish>;
 
-/// What is known of a trainer's versions.
+/// The state of a trainer's versions.
 struct version_state {
     wire::weight_version newest_version = 0;
-    /// How long the newest has been known.
+    /// Time since the newest version became known, in ms.
     base::millis newest_version_age = 0;
     int staleness_bound = 1;
 };
 
-/// Returns the policy that the document calls `kind`.
+/// Returns the policy for a kind set in the document.
 start_version_policy
 make_start_version_policy(document::start_version_kind kind);
 
-/// Returns the oldest version that a sample may begin with; at least 1, since
-/// an engine that serves no version of the trainer cannot run it.
+/// Returns the oldest version that a sample may start with; at least 1, since
+/// an engine that serves no version of the trainer can't run it.
 wire::weight_version oldest_start_version(const start_version_policy& policy,
                                           const version_state& state);
 
--- a/packages/policy/include/hibiscus/policy/swap_plan.hpp
+++ b/packages/policy/include/hibiscus/policy/swap_plan.hpp
@@ -14,22 +14,23 @@
     int streams = 0;
 };
 
-/// How a version is rolled out in a pool.
+/// Parameters of the rollout of a version in a pool.
 struct swap_plan {
-    /// The engines of the pool that can be reached.
+    /// Number of reachable engines of the pool.
     std::size_t reachable_engines = 0;
-    /// The share of them that may swap at a time.
+    /// Share of these engines that may swap at a time.
     double max_swap_share = 1.0;
-    /// How long the version is known.
+    /// Time since the version became known, in ms.
     base::millis version_age = 0;
-    /// After each time of this length one more share may swap, whatever became
-    /// of the engines before.
+    /// After each interval, in ms, another share of the engines may swap, even
+    /// if earlier swaps have failed.
     base::millis wave_interval = 6000;
 };
 
-/// Returns true if it is the turn of `engine`, one of `behind`: the least
-/// loaded swap first. Each home decides for its own engines; their views of
-/// the loads differ a little, so the share is held approximately.
+/// Returns true if `engine` may swap now. Of the engines in `behind`, the least
+/// loaded swap first; an engine that is not among them may always swap. Each
+/// home node decides for its own engines. Their views of the loads differ
+/// slightly, so the share is held approximately.
 bool is_swap_turn(const swap_plan& plan,
                   const std::vector<swap_candidate>& behind,
                   const base::engine_id& engine);
--- a/packages/policy/include/hibiscus/policy/usage.hpp
+++ b/packages/policy/include/hibiscus/policy/usage.hpp
@@ -8,43 +8,42 @@
 
 namespace hibiscus::policy {
 
-/// What an engine does at a time.
+/// The slots and streams of an engine at one moment.
 struct engine_usage {
     base::engine_id engine;
-    /// Who pays for the engine.
+    /// The owner who pays for the engine.
     base::owner_id owner;
     int slots = 0;
     /// Running streams, by the owner of their trainer.
     std::map<base::owner_id, int> running;
-    /// Streams that wait at the engine, by the owner of their trainer.
+    /// Streams queued at the engine, by the owner of their trainer.
     std::map<base::owner_id, int> queued;
 };
 
-/// What an owner has used, in slot milliseconds.
+/// The slot time of an owner, in slot milliseconds.
 struct owner_usage {
-    /// Slots that ran the owner's streams.
+    /// Time of slots that ran the owner's streams.
     double used_ms = 0;
-    /// Slots of the owner's engines that ran nothing.
+    /// Time of idle slots of the owner's engines.
     double idle_ms = 0;
-    /// The part of idle_ms during which streams waited at another engine of
-    /// this node: work that could have run there.
+    /// The part of idle_ms during which streams were queued at another engine
+    /// of this node and could have run here.
     double idle_while_queued_ms = 0;
-    /// Time that the owner's streams waited at engines.
+    /// Time that the owner's streams were queued at engines.
     double queued_ms = 0;
 };
 
-/// Adds up the slot time of engines by owner. Kept in memory only: a node that
-/// restarts begins at zero.
+/// Accumulates the slot time of engines by owner. The totals are kept in memory
+/// only and start at zero when a node restarts.
 class usage_meter {
 public:
-    /// Adds the time since the last call, as if engines had done all the while
-    /// what they do now. A gap of more than `longest` ms is not charged,
-    /// because nobody saw it.
+    /// Adds the time since the last call, assuming that the engines did the
+    /// same throughout as they do now. An interval of more than `max_interval`
+    /// ms is not charged, because nothing was observed during it.
     void add_interval(base::millis now,
                       const std::vector<engine_usage>& engines,
-                      base::millis longest = 1000);
+                      base::millis max_interval = 1000);
 
-    /// Returns the usage of each owner.
     const std::map<base::owner_id, owner_usage>& owners() const {
         return owners_;
     }
--- a/packages/policy/src/admission.cpp
+++ b/packages/policy/src/admission.cpp
@@ -10,29 +10,30 @@
 constexpr double mean_gain = 0.125;
 constexpr double deviation_gain = 0.25;
 constexpr double timeout_deviations = 4.0;
-/// Below this a scheduler's hiccup looks like a lost connection.
+/// With a shorter timeout, a scheduling delay would look like a lost
+/// connection.
 constexpr base::millis min_timeout_ms = 100;
 constexpr base::millis initial_timeout_ms = 500;
 constexpr base::millis bucket_ms = 100;
-/// What a refused caller is told when nothing has drained lately.
+/// The wait assumed if no request has completed recently.
 constexpr base::millis default_wait_ms = 1000;
 constexpr base::millis min_wait_ms = 20;
 constexpr base::millis max_wait_ms = 10000;
 
-/// Returns the time in which `ahead` requests drain.
-base::millis estimate_wait(double ahead, double per_ms) {
-    if (per_ms <= 0.0) {
+/// Returns the time in which `requests` requests complete, in ms.
+base::millis estimate_wait(double requests, double rate_per_ms) {
+    if (rate_per_ms <= 0.0) {
         return default_wait_ms;
     }
-    const double wait = std::ceil(ahead / per_ms);
+    const double wait = std::ceil(requests / rate_per_ms);
     return static_cast<base::millis>(
         std::min(wait, static_cast<double>(max_wait_ms)));
 }
 
 } // namespace
 
-void latency_estimate::add_sample(base::millis took) {
-    const auto sample = static_cast<double>(took);
+void latency_estimate::add_sample(base::millis latency_ms) {
+    const auto sample = static_cast<double>(latency_ms);
     if (!has_samples_) {
         has_samples_ = true;
         mean_ = sample;
@@ -47,8 +48,8 @@
     if (!has_samples_) {
         return initial_timeout_ms;
     }
-    const double patience = 2 * mean_ + timeout_deviations * deviation_;
-    return std::max(min_timeout_ms, static_cast<base::millis>(patience));
+    const double timeout = 2 * mean_ + timeout_deviations * deviation_;
+    return std::max(min_timeout_ms, static_cast<base::millis>(timeout));
 }
 
 void throughput_meter::record_completion(base::millis now) {
@@ -76,10 +77,11 @@
 }
 
 admission_decision admit(const admission_query& query) {
-    const auto ahead = static_cast<double>(query.queued) + 1.0;
-    const auto wait = estimate_wait(ahead, query.throughput_per_ms);
-    const bool in_time = wait + query.mean_latency < query.time_to_deadline;
-    return {in_time, std::max(min_wait_ms, wait)};
+    const auto requests = static_cast<double>(query.queued) + 1.0;
+    const auto wait = estimate_wait(requests, query.throughput_per_ms);
+    const bool meets_deadline =
+        wait + query.mean_latency < query.time_to_deadline;
+    return {meets_deadline, std::max(min_wait_ms, wait)};
 }
 
 bool concurrency_limit::try_acquire() {
@@ -96,10 +98,11 @@
 }
 
 base::millis concurrency_limit::retry_after(base::millis now) const {
-    // Half of those in work gone leaves room for the many who come back.
-    const auto ahead = static_cast<double>(in_flight_) / 2.0;
+    // Once half of the requests in flight have completed, there is room for the
+    // many callers that retry.
+    const auto requests = static_cast<double>(in_flight_) / 2.0;
     return std::max(min_wait_ms,
-                    estimate_wait(ahead, throughput_.rate_per_ms(now)));
+                    estimate_wait(requests, throughput_.rate_per_ms(now)));
 }
 
 } // namespace hibiscus::policy
--- a/packages/policy/src/placement.cpp
+++ b/packages/policy/src/placement.cpp
@@ -17,20 +17,20 @@
            static_cast<std::int64_t>(b->streams) * a->capacity;
 }
 
-const engine_candidate* random_engine(const candidate_list& open,
+const engine_candidate* random_engine(const candidate_list& available,
                                       std::mt19937_64& random) {
-    std::uniform_int_distribution<std::size_t> index(0, open.size() - 1);
-    return open[index(random)];
+    std::uniform_int_distribution<std::size_t> index(0, available.size() - 1);
+    return available[index(random)];
 }
 
-const engine_candidate* preferred_engine(const candidate_list& open,
+const engine_candidate* preferred_engine(const candidate_list& available,
                                          const std::string& prompt) {
     const auto seed = base::stable_hash(prompt);
     const auto score = [&](const engine_candidate* c) {
         return base::stable_hash(c->engine.str(), seed);
     };
     return *std::max_element(
-        open.begin(), open.end(),
+        available.begin(), available.end(),
         [&](const engine_candidate* a, const engine_candidate* b) {
             return score(a) < score(b);
         });
@@ -54,38 +54,43 @@
     return least_admitted{};
 }
 
-const engine_candidate* choose_engine(placement_policy& policy,
-                                      const std::vector<engine_candidate>& all,
-                                      const std::string& prompt,
-                                      std::mt19937_64& random) {
-    candidate_list open;
-    for (const auto& c : all) {
+const engine_candidate*
+choose_engine(placement_policy& policy,
+              const std::vector<engine_candidate>& candidates,
+              const std::string& prompt, std::mt19937_64& random) {
+    candidate_list available;
+    for (const auto& c : candidates) {
         if (c.streams < c.capacity) {
-            open.push_back(&c);
+            available.push_back(&c);
         }
     }
-    if (open.empty()) {
+    if (available.empty()) {
         return nullptr;
     }
-    const auto emptiest = [&] {
-        return *std::min_element(open.begin(), open.end(), is_less_loaded);
+    const auto least_loaded_engine = [&] {
+        return *std::min_element(available.begin(), available.end(),
+                                 is_less_loaded);
     };
     return std::visit(
         base::overloaded{
-            [&](least_admitted&) { return emptiest(); },
+            [&](least_admitted&) { return least_loaded_engine(); },
             [&](power_of_two&) {
-                const auto* a = random_engine(open, random);
-                const auto* b = random_engine(open, random);
+                const auto* a = random_engine(available, random);
+                const auto* b = random_engine(available, random);
                 return is_less_loaded(b, a) ? b : a;
             },
             [&](prefix_affinity& p) {
-                const auto* home = preferred_engine(open, prompt);
-                const auto* least = emptiest();
-                return home->streams - least->streams > p.max_load_gap ? least
-                                                                       : home;
+                const auto* preferred = preferred_engine(available, prompt);
+                const auto* least_loaded = least_loaded_engine();
+                return preferred->streams - least_loaded->streams >
+                               p.max_load_gap
+                           ? least_loaded
+                           : preferred;
+            },
+            [&](round_robin& p) {
+                return available[p.next++ % available.size()];
             },
-            [&](round_robin& p) { return open[p.next++ % open.size()]; },
-            [&](random_choice&) { return random_engine(open, random); }},
+            [&](random_choice&) { return random_engine(available, random); }},
         policy);
 }
 
--- a/packages/policy/src/routing.cpp
+++ b/packages/policy/src/routing.cpp
@@ -9,7 +9,8 @@
 constexpr int failures_until_ejected = 2;
 constexpr base::millis ejection_ms = 1000;
 constexpr double limit_decrease_factor = 0.8;
-/// Refusals of requests that left together count as one.
+/// Minimum time between two decreases, in ms: rejections of requests that were
+/// sent together count once.
 constexpr base::millis limit_decrease_interval_ms = 100;
 
 } // namespace
@@ -19,55 +20,59 @@
 std::vector<std::size_t> service_router::available_instances(
     const std::vector<instance_candidate>& instances, int max_in_flight,
     const std::string& avoid, base::millis now) {
-    std::vector<std::size_t> open;
+    std::vector<std::size_t> available;
     std::vector<std::size_t> ejected;
     for (std::size_t i = 0; i < instances.size(); ++i) {
         const auto& row = instances_[instances[i].id];
         if (is_full(row, max_in_flight) || instances[i].id == avoid) {
             continue;
         }
-        (row.ejected_until > now ? ejected : open).push_back(i);
+        (row.ejected_until > now ? ejected : available).push_back(i);
     }
-    // When most instances look unhealthy the fault is more likely on this
-    // side, and the few others would be overrun. So half stay in use.
-    const std::size_t fewest = (instances.size() + 1) / 2;
-    while (open.size() < fewest && !ejected.empty()) {
-        open.push_back(ejected.back());
+    // If most instances look unhealthy, the fault is more likely on this node's
+    // side, and the few others would be overloaded. At least half of them
+    // therefore stay in use.
+    const std::size_t min_available = (instances.size() + 1) / 2;
+    while (available.size() < min_available && !ejected.empty()) {
+        available.push_back(ejected.back());
         ejected.pop_back();
     }
-    if (open.empty() && !avoid.empty()) {
+    if (available.empty() && !avoid.empty()) {
         return available_instances(instances, max_in_flight, "", now);
     }
-    return open;
+    return available;
 }
 
 std::optional<std::size_t>
 service_router::begin_request(const std::vector<instance_candidate>& instances,
                               int max_in_flight, const std::string& avoid,
                               base::millis now) {
-    const auto open = available_instances(instances, max_in_flight, avoid, now);
-    if (open.empty()) {
+    const auto available =
+        available_instances(instances, max_in_flight, avoid, now);
+    if (available.empty()) {
         return std::nullopt;
     }
-    std::uniform_int_distribution<std::size_t> index(0, open.size() - 1);
-    const auto a = open[index(random_)];
-    const auto b = open[index(random_)];
-    const bool b_emptier =
+    std::uniform_int_distribution<std::size_t> index(0, available.size() - 1);
+    const auto a = available[index(random_)];
+    const auto b = available[index(random_)];
+    const bool b_less_loaded =
         in_flight(instances[b].id) < in_flight(instances[a].id);
-    const auto chosen = b_emptier ? b : a;
+    const auto chosen = b_less_loaded ? b : a;
     ++instances_[instances[chosen].id].in_flight;
     return chosen;
 }
 
 bool service_router::is_full(const instance_state& row, int max_in_flight) {
-    const bool over =
+    const bool exceeds_limit =
         row.learned_limit > 0.0 && row.in_flight + 1 > row.learned_limit;
-    return row.in_flight >= max_in_flight || (over && row.in_flight > 0);
+    return row.in_flight >= max_in_flight ||
+           (exceeds_limit && row.in_flight > 0);
 }
 
-/// An instance is shared with other nodes, whose load this one does not see;
-/// without this, what is over its capacity would be sent and refused again
-/// and again, and spend the time of both.
+/// Lowers the limit of an instance that rejected a request. The instance is
+/// shared with other nodes, whose load this node does not see. Without the
+/// limit, the requests above its capacity would be sent and rejected again and
+/// again, which costs both sides time.
 void service_router::lower_limit(instance_state& row, base::millis now) {
     if (row.learned_limit > 0.0 &&
         now - row.limit_lowered_at < limit_decrease_interval_ms) {
@@ -78,11 +83,11 @@
         std::max(1.0, (row.in_flight + 1) * limit_decrease_factor);
 }
 
-void service_router::end_request(const std::string& id, attempt_outcome how,
+void service_router::end_request(const std::string& id, attempt_outcome outcome,
                                  base::millis now) {
     auto& row = instances_[id];
     row.in_flight = std::max(0, row.in_flight - 1);
-    switch (how) {
+    switch (outcome) {
     case attempt_outcome::answered:
         row.learned_limit +=
             row.learned_limit > 0.0 ? 1.0 / row.learned_limit : 0.0;
@@ -104,8 +109,8 @@
 }
 
 int service_router::in_flight(const std::string& id) const {
-    const auto at = instances_.find(id);
-    return at == instances_.end() ? 0 : at->second.in_flight;
+    const auto row = instances_.find(id);
+    return row == instances_.end() ? 0 : row->second.in_flight;
 }
 
 retry_budget::retry_budget(double ratio, double reserve)
--- a/packages/policy/src/start_version.cpp
+++ b/packages/policy/src/start_version.cpp
@@ -24,11 +24,11 @@
         base::overloaded{[&](const within_bound&) { return in_bound; },
                          [&](const expect_publish& p) {
                              // A trainer opens its next step before it trains
-                             // and publishes. A sample that begins at the
-                             // oldest version of the bound is outside of it by
-                             // then and is generated again. With a bound of 0
-                             // no version could last, so the newest has to do;
-                             // and when swaps fail for long, older samples are
+                             // and publishes. By then a sample that starts at
+                             // the oldest version within the bound is stale and
+                             // is generated again. With a bound of 0 every
+                             // version becomes stale, so the newest one is
+                             // used. If swaps fail for long, older samples are
                              // better than none.
                              return state.newest_version_age > p.max_swap_wait
                                         ? in_bound
--- a/packages/policy/src/swap_plan.cpp
+++ b/packages/policy/src/swap_plan.cpp
@@ -15,16 +15,17 @@
     if (own == behind.end()) {
         return true;
     }
-    const auto before = std::count_if(
+    const auto engines_before = std::count_if(
         behind.begin(), behind.end(), [&](const swap_candidate& c) {
             return std::make_pair(c.streams, c.engine) <
                    std::make_pair(own->streams, own->engine);
         });
-    const auto at_a_time =
+    const auto wave_size =
         std::max(1.0, std::ceil(static_cast<double>(plan.reachable_engines) *
                                 plan.max_swap_share));
     const base::millis waves = 1 + plan.version_age / plan.wave_interval;
-    return static_cast<double>(before) < at_a_time * static_cast<double>(waves);
+    return static_cast<double>(engines_before) <
+           wave_size * static_cast<double>(waves);
 }
 
 } // namespace hibiscus::policy
--- a/packages/policy/src/usage.cpp
+++ b/packages/policy/src/usage.cpp
@@ -18,11 +18,11 @@
 
 void usage_meter::add_interval(base::millis now,
                                const std::vector<engine_usage>& engines,
-                               base::millis longest) {
-    const auto passed = now - last_added_at_;
+                               base::millis max_interval) {
+    const auto elapsed = now - last_added_at_;
     const bool first = last_added_at_ == 0;
     last_added_at_ = now;
-    if (first || passed <= 0 || passed > longest) {
+    if (first || elapsed <= 0 || elapsed > max_interval) {
         return;
     }
     int queued = 0;
@@ -30,7 +30,7 @@
         queued += total_streams(engine.queued);
     }
     for (const auto& engine : engines) {
-        charge(static_cast<double>(passed), engine,
+        charge(static_cast<double>(elapsed), engine,
                queued - total_streams(engine.queued));
     }
 }
--- a/packages/policy/test/admission_test.cpp
+++ b/packages/policy/test/admission_test.cpp
@@ -5,7 +5,7 @@
 namespace hibiscus::policy {
 namespace {
 
-TEST(latency_estimate_test, patience_is_above_the_mean_of_steady_calls) {
+TEST(latency_estimate_test, timeout_is_above_the_mean_of_steady_calls) {
     latency_estimate estimate;
     for (int i = 0; i < 100; ++i) {
         estimate.add_sample(400);
@@ -15,7 +15,7 @@
     EXPECT_LT(estimate.timeout(), 1000);
 }
 
-TEST(latency_estimate_test, patience_grows_with_the_deviation) {
+TEST(latency_estimate_test, timeout_grows_with_the_deviation) {
     latency_estimate steady;
     latency_estimate uneven;
     for (int i = 0; i < 100; ++i) {
@@ -25,7 +25,7 @@
     EXPECT_GT(uneven.timeout(), steady.timeout());
 }
 
-TEST(latency_estimate_test, patience_has_a_floor) {
+TEST(latency_estimate_test, timeout_has_a_minimum) {
     latency_estimate estimate;
     estimate.add_sample(0);
     EXPECT_EQ(estimate.timeout(), 100);
@@ -39,34 +39,35 @@
     EXPECT_NEAR(meter.rate_per_ms(10000), 0.1, 0.01);
 }
 
-TEST(throughput_meter_test, forgets_what_is_long_ago) {
+TEST(throughput_meter_test, forgets_old_completions) {
     throughput_meter meter;
     meter.record_completion(100);
     EXPECT_EQ(meter.rate_per_ms(10000), 0.0);
 }
 
-TEST(admission_test, waits_when_the_queue_drains_in_time) {
-    const auto a = admit({9, 0.1, 50, 500});
-    EXPECT_TRUE(a.admitted);
-    EXPECT_EQ(a.wait, 100);
+TEST(admission_test, admits_a_request_if_the_queue_drains_in_time) {
+    const auto decision = admit({9, 0.1, 50, 500});
+    EXPECT_TRUE(decision.admitted);
+    EXPECT_EQ(decision.wait, 100);
 }
 
-// The queue is so long that the caller would have gone by the time that the
-// request could leave. It is told so now, with the time to come back.
-TEST(admission_test, refuses_what_would_come_too_late) {
-    const auto a = admit({99, 0.1, 50, 500});
-    EXPECT_FALSE(a.admitted);
-    EXPECT_EQ(a.wait, 1000);
+// The queue is so long that the request would be sent only after the caller's
+// deadline. The caller is rejected at once and gets the time after which to
+// retry.
+TEST(admission_test, rejects_a_request_that_would_miss_its_deadline) {
+    const auto decision = admit({99, 0.1, 50, 500});
+    EXPECT_FALSE(decision.admitted);
+    EXPECT_EQ(decision.wait, 1000);
 }
 
-// All instances hang: nothing drains, and nobody knows for how long.
-TEST(admission_test, a_service_that_does_not_drain_makes_no_promise) {
-    const auto a = admit({0, 0.0, 50, 500});
-    EXPECT_FALSE(a.admitted);
-    EXPECT_EQ(a.wait, 1000);
+// All instances hang: no request completes, and the wait can't be estimated.
+TEST(admission_test, rejects_a_request_if_the_queue_does_not_drain) {
+    const auto decision = admit({0, 0.0, 50, 500});
+    EXPECT_FALSE(decision.admitted);
+    EXPECT_EQ(decision.wait, 1000);
 }
 
-TEST(concurrency_limit_test, refuses_above_the_limit_until_one_leaves) {
+TEST(concurrency_limit_test, rejects_requests_at_the_limit_until_one_ends) {
     concurrency_limit limit(2);
     EXPECT_TRUE(limit.try_acquire());
     EXPECT_TRUE(limit.try_acquire());
@@ -76,7 +77,8 @@
     EXPECT_EQ(limit.in_flight(), 2U);
 }
 
-TEST(concurrency_limit_test, says_when_half_of_the_work_is_gone) {
+TEST(concurrency_limit_test,
+     retry_after_is_the_time_until_half_of_the_requests_end) {
     concurrency_limit limit(100);
     for (int i = 0; i < 100; ++i) {
         ASSERT_TRUE(limit.try_acquire());
--- a/packages/policy/test/routing_test.cpp
+++ b/packages/policy/test/routing_test.cpp
@@ -8,11 +8,12 @@
 /// Two instances of one service.
 class routing_test : public ::testing::Test {
 protected:
-    /// Begins a request and returns the chosen instance's id, or "".
-    std::string begin(int max_in_flight, const std::string& avoid = "") {
-        const auto at =
+    /// Begins a request and returns the id of the chosen instance, or "".
+    std::string begin_request(int max_in_flight,
+                              const std::string& avoid = "") {
+        const auto index =
             router_.begin_request(instances_, max_in_flight, avoid, now_);
-        return at ? instances_[*at].id : "";
+        return index ? instances_[*index].id : "";
     }
 
     service_router router_{7};
@@ -22,39 +23,40 @@
 };
 
 TEST_F(routing_test, stops_at_the_limit_of_each_instance) {
-    EXPECT_NE(begin(1), "");
-    EXPECT_NE(begin(1), "");
-    EXPECT_EQ(begin(1), "");
+    EXPECT_NE(begin_request(1), "");
+    EXPECT_NE(begin_request(1), "");
+    EXPECT_EQ(begin_request(1), "");
 }
 
 TEST_F(routing_test, avoids_the_instance_of_the_last_attempt) {
     for (int i = 0; i < 20; ++i) {
-        EXPECT_EQ(begin(100, "a"), "b");
+        EXPECT_EQ(begin_request(100, "a"), "b");
     }
 }
 
-// One of two instances stops answering. Its callers would each wait for a
-// connection that never comes, so it gets no requests for a while.
-TEST_F(routing_test, an_unreachable_instance_is_left_out) {
+// One of two instances stops responding. Each request sent there would wait for
+// a connection until it times out, so the instance gets no requests for a
+// while.
+TEST_F(routing_test, an_unreachable_instance_is_ejected) {
     router_.end_request("a", attempt_outcome::no_response, now_);
     router_.end_request("a", attempt_outcome::no_response, now_);
     for (int i = 0; i < 20; ++i) {
-        EXPECT_EQ(begin(100), "b");
+        EXPECT_EQ(begin_request(100), "b");
     }
 }
 
-// An instance serves several nodes and refuses what is over its capacity.
-// A node that went on to send up to its own limit would have most of its
-// requests refused.
-TEST_F(routing_test, an_instance_that_refuses_gets_fewer_at_a_time) {
+// An instance serves several nodes and rejects requests above its capacity. A
+// node that kept sending up to its own limit would have most of its requests
+// rejected.
+TEST_F(routing_test, an_instance_that_rejects_requests_gets_fewer_at_a_time) {
     for (int i = 0; i < 10; ++i) {
-        EXPECT_EQ(begin(100, "b"), "a");
+        EXPECT_EQ(begin_request(100, "b"), "a");
     }
     router_.end_request("a", attempt_outcome::rejected, now_);
-    EXPECT_EQ(begin(100, "b"), "b");
+    EXPECT_EQ(begin_request(100, "b"), "b");
     router_.end_request("a", attempt_outcome::answered, now_);
     router_.end_request("a", attempt_outcome::answered, now_);
-    EXPECT_EQ(begin(100, "b"), "a");
+    EXPECT_EQ(begin_request(100, "b"), "a");
 }
 
 TEST(retry_budget_test, allows_a_share_of_the_requests) {
--- a/packages/policy/test/simulated_engine.hpp
+++ b/packages/policy/test/simulated_engine.hpp
@@ -11,10 +11,10 @@
 
 namespace hibiscus::policy {
 
-/// Time that the test moves, and what is to happen at which time.
+/// A scheduler in virtual time, which advances only when the test runs it.
 class virtual_scheduler {
 public:
-    /// Returns the present time in ms.
+    /// Returns the current virtual time in ms.
     base::millis now() const { return now_; }
 
     /// Calls `event` after `delay` ms.
@@ -23,7 +23,7 @@
                          std::move(event));
     }
 
-    /// Lets all happen that is due until `end`.
+    /// Runs all events due up to `end` and advances the time to it.
     void run_until(base::millis end) {
         while (!pending_.empty() && pending_.begin()->first <= end) {
             now_ = pending_.begin()->first;
@@ -39,8 +39,9 @@
     std::multimap<base::millis, std::function<void()>> pending_;
 };
 
-/// A model engine: a batch of streams by priority, orders with or without a
-/// check of their numbers. It remembers the text of each run that ended.
+/// A simulated engine: it runs a batch of streams by priority and carries out
+/// orders, with or without checking their fencing tokens. It remembers the text
+/// of each run that ended.
 class simulated_engine {
 public:
     static constexpr base::millis chunk_ms = 50;
@@ -57,12 +58,12 @@
         highest_order_ = {0, 0};
     }
 
-    /// Starts a stream or raises the priority of a known one.
+    /// Starts a stream, or raises the priority of a known one.
     void start(const wire::stream_start& start) {
-        const auto [at, fresh] = streams_.try_emplace(start.stream);
-        auto& row = at->second;
+        const auto [entry, inserted] = streams_.try_emplace(start.stream);
+        auto& row = entry->second;
         row.start.priority = std::max(row.start.priority, start.priority);
-        if (!fresh) {
+        if (!inserted) {
             return;
         }
         row.start = start;
@@ -77,38 +78,38 @@
 
     /// Produces one chunk of each running stream.
     void step() {
-        std::vector<stream_row*> order;
+        std::vector<stream_row*> batch;
         for (auto& [id, row] : streams_) {
             if (row.chunks.size() < row.length) {
-                order.push_back(&row);
+                batch.push_back(&row);
             }
         }
         std::stable_sort(
-            order.begin(), order.end(),
+            batch.begin(), batch.end(),
             [](const stream_row* a, const stream_row* b) {
                 return std::make_tuple(a->chunks.empty(), -a->start.priority) <
                        std::make_tuple(b->chunks.empty(), -b->start.priority);
             });
-        for (std::size_t i = 0; i < std::min(slots, order.size()); ++i) {
-            produce_chunk(*order[i]);
+        for (std::size_t i = 0; i < std::min(slots, batch.size()); ++i) {
+            produce_chunk(*batch[i]);
         }
     }
 
     wire::engine_poll_response poll(const wire::engine_poll& poll) const {
-        wire::engine_poll_response news;
+        wire::engine_poll_response response;
         for (const auto& cursor : poll.streams) {
-            const auto at = streams_.find(cursor.stream);
-            if (at == streams_.end()) {
-                news.streams.push_back(
+            const auto entry = streams_.find(cursor.stream);
+            if (entry == streams_.end()) {
+                response.streams.push_back(
                     {cursor.stream, wire::stream_state::missing, {}});
                 continue;
             }
-            const auto& row = at->second;
+            const auto& row = entry->second;
             const auto from =
                 std::min<std::size_t>(cursor.from, row.chunks.size());
             const bool done = row.chunks.size() >= row.length;
             if (done || row.chunks.size() > from) {
-                news.streams.push_back(
+                response.streams.push_back(
                     {cursor.stream,
                      done ? wire::stream_state::done
                           : wire::stream_state::running,
@@ -117,39 +118,42 @@
             }
         }
         for (const auto& [trainer, version] : serving_) {
-            news.serving.push_back({trainer, version});
+            response.serving.push_back({trainer, version});
         }
-        return news;
+        return response;
     }
 
-    wire::order_result order(const wire::version_order& order, bool fails) {
+    wire::order_result order(const wire::version_order& order, bool must_fail) {
         const auto number =
             std::make_pair(order.number.epoch, order.number.sequence);
         if (checks_fencing_ && number < highest_order_) {
             return wire::order_result::fenced;
         }
         highest_order_ = std::max(highest_order_, number);
-        if (fails) {
+        if (must_fail) {
             return wire::order_result::failed;
         }
-        // Now and then an engine says that a swap was done and it was not.
+        // One in 13 orders is reported as done although no swap happened.
         if (++order_count_ % 13 != 0) {
             serving_[order.trainer] = order.version;
         }
         return wire::order_result::done;
     }
 
-    /// Returns true if `s` is the whole text of a run that ended.
-    bool has_produced(const wire::sample& s) const {
-        const auto at =
-            ended_runs_.find(s.chunks.empty() ? "" : s.chunks[0].text);
-        if (at == ended_runs_.end() || at->second.size() != s.chunks.size()) {
+    /// Returns true if `sample` is the whole text of a run that ended.
+    bool has_produced(const wire::sample& sample) const {
+        const auto run = ended_runs_.find(
+            sample.chunks.empty() ? "" : sample.chunks[0].text);
+        if (run == ended_runs_.end() ||
+            run->second.size() != sample.chunks.size()) {
             return false;
         }
-        for (std::size_t i = 0; i < s.chunks.size(); ++i) {
-            const auto& a = at->second[i];
-            const auto& b = s.chunks[i];
-            if (a.seq != b.seq || a.version != b.version || a.text != b.text) {
+        for (std::size_t i = 0; i < sample.chunks.size(); ++i) {
+            const auto& expected = run->second[i];
+            const auto& actual = sample.chunks[i];
+            if (expected.seq != actual.seq ||
+                expected.version != actual.version ||
+                expected.text != actual.text) {
                 return false;
             }
         }
--- a/packages/policy/test/simulated_node.hpp
+++ b/packages/policy/test/simulated_node.hpp
@@ -26,10 +26,11 @@
 constexpr base::millis call_margin_ms = 500;
 constexpr base::millis http_timeout_ms = 1000;
 
-// Several nodes' homes of steps and engines, without sockets and under a time
-// that the test moves. They exchange the real messages in their encoding.
+// Simulates the home nodes of steps and engines, without sockets and in virtual
+// time. The nodes exchange real messages in their wire encoding.
 
-/// What lies between the nodes and around them.
+/// The network, the engines, the registry and the log that the simulated nodes
+/// share.
 class simulated_environment {
 public:
     explicit simulated_environment(std::uint64_t seed) : random(seed) {
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Returns how long a message takes now, or nothing if it is lost.
+    /// Draws the delay of a message in ms, or nothing if it is lost.
     std::optional<base::millis> draw_message_delay() {
         if (!faulty) {
             return 1 + static_cast<base::millis>(random() % 5);
@@ -52,7 +53,7 @@
                          : 1 + static_cast<base::millis>(random() % 40);
     }
 
-    /// Returns true if a message is to arrive twice.
+    /// Returns true if the next message is to be delivered twice.
     bool should_duplicate() { return faulty && random() % 20 == 0; }
 
     simulated_engine& engine(const base::engine_id& id) {
@@ -60,7 +61,7 @@
                              [&](const auto& e) { return e.id() == id; });
     }
 
-    /// Returns the list of instances as it is now.
+    /// Returns the current list of instances.
     wire::instance_list make_instance_list() const {
         wire::instance_list page;
         for (const auto& e : engines) {
@@ -80,31 +81,32 @@
     bool faulty = true;
     std::uint64_t loss_percent = 2;
     std::vector<simulated_engine> engines;
-    /// Pairs of names between which nothing passes.
+    /// Blocked links, as pairs of the names of sender and receiver.
     std::set<std::pair<std::string, std::string>> blocked_links;
     std::int64_t log_end = 0;
 };
 
-/// The part of a node that has to do with samples, on messages of the test.
+/// The part of a node that handles samples, connected to simulated messages.
 class simulated_node {
 public:
     using pull_done = std::function<void(wire::pull_response)>;
     using send_function =
         std::function<void(const base::node_id&, wire::peer_message)>;
 
-    /// Defers an event of a node; it is dropped with the node's process.
+    /// Schedules an event of the node after a delay; it is dropped if the
+    /// node's process ends before.
     using defer_function =
         std::function<void(base::millis, std::function<void()>)>;
 
-    simulated_node(simulated_environment& around, int number,
+    simulated_node(simulated_environment& environment, int number,
                    std::uint64_t incarnation, send_function send,
-                   defer_function later)
-        : environment_(around), self_("n" + std::to_string(number)),
+                   defer_function defer)
+        : environment_(environment), self_("n" + std::to_string(number)),
           incarnation_(incarnation), send_(std::move(send)),
-          defer_(std::move(later)), members_(self_, member_timeout_ms),
+          defer_(std::move(defer)), members_(self_, member_timeout_ms),
           reachability_(10000),
           step_coordinator_(
-              self_, make_step_times(),
+              self_, make_step_options(),
               [this](const auto& q) { return choose_placement(q); },
               [](const base::trainer_id&) {
                   return std::make_optional(staleness_bound);
@@ -124,7 +126,7 @@
 
     const base::node_id& id() const { return self_; }
 
-    /// What a node does each tick.
+    /// Does the node's periodic work; called once per tick.
     void tick() {
         const auto now = environment_.scheduler.now();
         if (now - last_heartbeat_at_ >= heartbeat_ms) {
@@ -148,28 +150,29 @@
         poll_engines(now);
     }
 
-    /// A trainer's pull reaches this node.
+    /// Handles a pull that a trainer sent to this node.
     void pull(const wire::pull_step& message, const pull_done& done) {
         const auto home = members_.home_of("trainer/" + message.trainer.str());
         if (home == self_) {
             pull_locally(message, done);
             return;
         }
-        const auto until = environment_.scheduler.now() +
-                           message.request.wait_ms + call_margin_ms;
+        const auto deadline = environment_.scheduler.now() +
+                              message.request.wait_ms + call_margin_ms;
         const auto trainer = message.trainer;
-        call(home, message, until,
-             [this, trainer, done](const wire::reply_body* body) {
-                 if (body != nullptr) {
-                     auto answer = std::get<wire::pull_response>(*body);
+        call(home, message, deadline,
+             [this, trainer, done](const wire::reply_body* response_body) {
+                 if (response_body != nullptr) {
+                     auto response =
+                         std::get<wire::pull_response>(*response_body);
                      cluster::drop_stale_samples(
-                         answer, versions_.newest(trainer), staleness_bound);
-                     done(std::move(answer));
+                         response, versions_.newest(trainer), staleness_bound);
+                     done(std::move(response));
                  }
              });
     }
 
-    /// A trainer opens a step here.
+    /// Handles the opening of a step that a trainer sent to this node.
     void open(const wire::open_step& message) {
         const auto home = members_.home_of("trainer/" + message.trainer.str());
         if (home == self_) {
@@ -181,19 +184,20 @@
         }
     }
 
-    /// A trainer publishes a version here; `done` when no pull of before can
-    /// deliver what is older than the bound.
+    /// Handles a version that a trainer published to this node. Calls `done`
+    /// once no earlier pull can deliver a sample older than the staleness
+    /// bound.
     void publish(const wire::learn_version& message,
                  const std::function<void()>& done) {
         record_version(message.trainer, message.version);
-        auto left = std::make_shared<int>(node_count - 1);
-        const auto until =
+        auto pending = std::make_shared<int>(node_count - 1);
+        const auto deadline =
             environment_.scheduler.now() + pull_wait_ms + call_margin_ms;
         for (int i = 0; i < node_count; ++i) {
             const base::node_id node("n" + std::to_string(i));
             if (node != self_) {
-                call(node, message, until, [left, done](const auto*) {
-                    if (--*left == 0) {
+                call(node, message, deadline, [pending, done](const auto*) {
+                    if (--*pending == 0) {
                         done();
                     }
                 });
@@ -201,7 +205,7 @@
         }
     }
 
-    /// A message of a peer arrives.
+    /// Handles a message from a peer.
     void receive(const wire::peer_message& message) {
         std::visit([this](const auto& m) { handle(m); }, message);
         apply_effects();
@@ -210,16 +214,16 @@
 private:
     using reply_done = std::function<void(const wire::reply_body*)>;
 
-    static cluster::step_options make_step_times() {
-        cluster::step_options t;
-        t.adoption_delay = 300;
-        return t;
+    static cluster::step_options make_step_options() {
+        cluster::step_options options;
+        options.adoption_delay = 300;
+        return options;
     }
 
     void handle(const wire::heartbeat& m) {
         members_.record_heartbeat(environment_.scheduler.now(), m);
-        for (const auto& d : m.engines) {
-            table_.update_status(environment_.scheduler.now(), d);
+        for (const auto& status : m.engines) {
+            table_.update_status(environment_.scheduler.now(), status);
         }
         for (const auto& v : m.versions) {
             record_version(v.trainer, v.version);
@@ -236,30 +240,32 @@
         const auto reply = [this, to, id](wire::reply_body body) {
             send_(to, wire::reply{id, std::move(body)});
         };
-        if (const auto* p = std::get_if<wire::pull_step>(&m.body)) {
-            pull_locally(*p, reply);
-        } else if (const auto* o = std::get_if<wire::open_step>(&m.body)) {
-            versions_.update(environment_.scheduler.now(), o->trainer,
-                             o->request.version);
-            reply(
-                step_coordinator_.open_step(environment_.scheduler.now(), *o));
-        } else if (const auto* v = std::get_if<wire::learn_version>(&m.body)) {
-            record_version(v->trainer, v->version);
+        if (const auto* pull = std::get_if<wire::pull_step>(&m.body)) {
+            pull_locally(*pull, reply);
+        } else if (const auto* open = std::get_if<wire::open_step>(&m.body)) {
+            versions_.update(environment_.scheduler.now(), open->trainer,
+                             open->request.version);
+            reply(step_coordinator_.open_step(environment_.scheduler.now(),
+                                              *open));
+        } else if (const auto* learn =
+                       std::get_if<wire::learn_version>(&m.body)) {
+            record_version(learn->trainer, learn->version);
             reply(wire::version_response{});
-        } else if (const auto* s = std::get_if<wire::place_sample>(&m.body)) {
+        } else if (const auto* place =
+                       std::get_if<wire::place_sample>(&m.body)) {
             reply(engine_coordinator_.admit_stream(environment_.scheduler.now(),
-                                                   *s));
+                                                   *place));
         }
     }
 
     void handle(const wire::reply& m) {
-        const auto at = pending_calls_.find(m.id);
-        if (at == pending_calls_.end() ||
-            environment_.scheduler.now() > at->second.first) {
+        const auto call = pending_calls_.find(m.id);
+        if (call == pending_calls_.end() ||
+            environment_.scheduler.now() > call->second.first) {
             return;
         }
-        const auto done = std::move(at->second.second);
-        pending_calls_.erase(at);
+        const auto done = std::move(call->second.second);
+        pending_calls_.erase(call);
         done(&m.body);
     }
 
@@ -276,48 +282,49 @@
     void handle(const wire::document_request& /*m*/) {}
     void handle(const wire::document_offer& /*m*/) {}
 
-    void call(const base::node_id& to, wire::call_body body, base::millis until,
-              reply_done done) {
+    void call(const base::node_id& to, wire::call_body body,
+              base::millis deadline, reply_done done) {
         const auto id = incarnation_ * 1000000 + ++last_call_;
-        pending_calls_.emplace(id, std::make_pair(until, std::move(done)));
-        send_(to, wire::call{id, self_, until - environment_.scheduler.now(),
+        pending_calls_.emplace(id, std::make_pair(deadline, std::move(done)));
+        send_(to, wire::call{id, self_, deadline - environment_.scheduler.now(),
                              std::move(body)});
     }
 
     void expire_calls(base::millis now) {
-        std::vector<reply_done> ended;
-        for (auto at = pending_calls_.begin(); at != pending_calls_.end();) {
-            if (now >= at->second.first) {
-                ended.push_back(std::move(at->second.second));
-                at = pending_calls_.erase(at);
+        std::vector<reply_done> expired;
+        for (auto call = pending_calls_.begin();
+             call != pending_calls_.end();) {
+            if (now >= call->second.first) {
+                expired.push_back(std::move(call->second.second));
+                call = pending_calls_.erase(call);
             } else {
-                ++at;
+                ++call;
             }
         }
-        for (const auto& done : ended) {
+        for (const auto& done : expired) {
             done(nullptr);
         }
     }
 
     void send_heartbeats(base::millis now) {
         last_heartbeat_at_ = now;
-        wire::heartbeat beat;
-        beat.node = self_;
-        beat.incarnation = incarnation_;
-        beat.state = wire::node_state::ready;
-        beat.versions = versions_.all();
-        beat.engines = engine_coordinator_.engine_statuses(now);
-        handle(beat);
+        wire::heartbeat heartbeat;
+        heartbeat.node = self_;
+        heartbeat.incarnation = incarnation_;
+        heartbeat.state = wire::node_state::ready;
+        heartbeat.versions = versions_.all();
+        heartbeat.engines = engine_coordinator_.engine_statuses(now);
+        handle(heartbeat);
         for (int i = 0; i < node_count; ++i) {
             const base::node_id node("n" + std::to_string(i));
             if (node != self_) {
-                send_(node, beat);
+                send_(node, heartbeat);
             }
         }
     }
 
     void assign_engines() {
-        std::map<base::engine_id, cluster::engine_traits> ours;
+        std::map<base::engine_id, cluster::engine_traits> own_engines;
         std::map<base::engine_id, base::node_id> homes;
         std::set<base::engine_id> moved;
         for (const auto& [id, row] : table_.all()) {
@@ -336,17 +343,18 @@
                     environment_.engine(id).checks_fencing();
                 traits.trainers = {base::trainer_id("t0"),
                                    base::trainer_id("t1")};
-                ours.emplace(id, traits);
+                own_engines.emplace(id, traits);
             }
         }
         homes_ = std::move(homes);
         const auto now = environment_.scheduler.now();
-        engine_coordinator_.assign_engines(now, ours);
+        engine_coordinator_.assign_engines(now, own_engines);
         step_coordinator_.request_streams_again(
-            now, [&](const auto& e) { return moved.count(e) > 0; });
-        step_coordinator_.release_trainers([this](const base::trainer_id& t) {
-            return members_.is_home("trainer/" + t.str());
-        });
+            now, [&](const auto& engine) { return moved.count(engine) > 0; });
+        step_coordinator_.release_trainers(
+            [this](const base::trainer_id& trainer) {
+                return members_.is_home("trainer/" + trainer.str());
+            });
     }
 
     void record_version(const base::trainer_id& t, wire::weight_version v) {
@@ -375,23 +383,23 @@
         if (m.forwarded) {
             return;
         }
-        std::map<base::node_id, wire::sample_report> others;
-        for (const auto& one : m.streams) {
-            const auto name = cluster::parse_stream_id(one.stream);
+        std::map<base::node_id, wire::sample_report> forwards;
+        for (const auto& stream : m.streams) {
+            const auto stream_name = cluster::parse_stream_id(stream.stream);
             const auto home =
-                members_.home_of("trainer/" + name->trainer.str());
+                members_.home_of("trainer/" + stream_name->trainer.str());
             if (!home.empty() && home != self_) {
-                others[home].streams.push_back(one);
+                forwards[home].streams.push_back(stream);
             }
         }
-        for (auto& [home, report] : others) {
+        for (auto& [home, report] : forwards) {
             report.from = m.from;
             report.forwarded = true;
             send_(home, std::move(report));
         }
     }
 
-    /// Hands a message to this node or another.
+    /// Sends a message to another node, or handles it if `to` is this node.
     void send_or_handle(const base::node_id& to,
                         const wire::peer_message& message) {
         if (to == self_) {
@@ -403,17 +411,17 @@
 
     std::optional<cluster::placement>
     choose_placement(const cluster::placement_query& query) {
-        std::vector<engine_candidate> open;
+        std::vector<engine_candidate> candidates;
         const auto oldest = std::max<wire::weight_version>(
             1, versions_.newest(query.trainer) - staleness_bound);
         for (const auto* row :
              table_.placement_candidates(base::pool_id("pool"))) {
             if (served_version(*row, query.trainer) >= oldest) {
-                open.push_back({row->id, row->estimated_load(), 6});
+                candidates.push_back({row->id, row->estimated_load(), 6});
             }
         }
         const auto* chosen =
-            policy::choose_engine(policy_, open, *query.prompt, random_);
+            policy::choose_engine(policy_, candidates, *query.prompt, random_);
         if (chosen == nullptr) {
             return std::nullopt;
         }
@@ -462,21 +470,23 @@
         const auto home = reachability_.home_of(e.engine, members_);
         const wire::place_sample message{e.engine, self_, e.start};
         const auto stream = e.start.stream;
-        const auto placed = [this, stream](const wire::place_response& a) {
-            if (a.result == wire::outcome::not_run) {
-                step_coordinator_.on_placement_refused(
-                    environment_.scheduler.now(), stream, a.retry_after_ms);
-            }
-        };
+        const auto on_response =
+            [this, stream](const wire::place_response& response) {
+                if (response.result == wire::outcome::not_run) {
+                    step_coordinator_.on_placement_refused(
+                        environment_.scheduler.now(), stream,
+                        response.retry_after_ms);
+                }
+            };
         if (home == self_) {
-            placed(engine_coordinator_.admit_stream(
+            on_response(engine_coordinator_.admit_stream(
                 environment_.scheduler.now(), message));
             return;
         }
         call(home, message, environment_.scheduler.now() + 1000,
-             [placed](const wire::reply_body* body) {
+             [on_response](const wire::reply_body* body) {
                  if (body != nullptr) {
-                     placed(std::get<wire::place_response>(*body));
+                     on_response(std::get<wire::place_response>(*body));
                  }
              });
     }
@@ -487,43 +497,45 @@
     }
 
     void apply(const cluster::send_pull_response& e) {
-        const auto at = waiting_pulls_.find(e.waiter);
-        const auto done = std::move(at->second);
-        waiting_pulls_.erase(at);
+        const auto waiting = waiting_pulls_.find(e.waiter);
+        const auto done = std::move(waiting->second);
+        waiting_pulls_.erase(waiting);
         done(e.response);
     }
 
-    /// Sends `request` to an engine and its answer to `done`: false if none
-    /// came within the time of an HTTP call.
+    /// Runs `request` at an engine and calls `done` when the response arrives:
+    /// with false if none arrives within the HTTP timeout.
     template <class R>
     void call_engine(const base::engine_id& id, R request,
                      std::function<void(bool)> done) {
-        const auto there = environment_.draw_message_delay();
-        const auto back = environment_.draw_message_delay();
-        const bool open =
+        const auto request_delay = environment_.draw_message_delay();
+        const auto response_delay = environment_.draw_message_delay();
+        const bool is_connected =
             environment_.blocked_links.count({self_.str(), id.str()}) == 0;
-        if (!there || !open) {
+        if (!request_delay || !is_connected) {
             defer_(http_timeout_ms, [done] { done(false); });
             return;
         }
-        environment_.scheduler.run_after(*there, [&environment = environment_,
-                                                  id, request, done, back,
-                                                  later = defer_]() {
-            auto& engine = environment.engine(id);
-            const bool up = engine.is_up;
-            if (up) {
-                request(engine);
-            }
-            const bool lost = !up || !back || *back > http_timeout_ms;
-            later(lost ? http_timeout_ms : *back,
-                  [done, lost] { done(!lost); });
-        });
+        environment_.scheduler.run_after(
+            *request_delay, [&environment = environment_, id, request, done,
+                             response_delay, defer = defer_]() {
+                auto& engine = environment.engine(id);
+                const bool is_up = engine.is_up;
+                if (is_up) {
+                    request(engine);
+                }
+                const bool is_lost = !is_up || !response_delay ||
+                                     *response_delay > http_timeout_ms;
+                defer(is_lost ? http_timeout_ms : *response_delay,
+                      [done, is_lost] { done(!is_lost); });
+            });
     }
 
     void apply(const cluster::start_at_engine& e) {
         const auto start = e.start;
         call_engine(
-            e.engine, [start](simulated_engine& m) { m.start(start); },
+            e.engine,
+            [start](simulated_engine& engine) { engine.start(start); },
             [this, id = e.engine, stream = start.stream](bool ok) {
                 engine_coordinator_.on_start_result(id, stream, ok);
             });
@@ -531,21 +543,22 @@
 
     void apply(const cluster::stop_at_engine& e) {
         call_engine(
-            e.engine, [s = e.stream](simulated_engine& m) { m.stop(s); },
+            e.engine,
+            [s = e.stream](simulated_engine& engine) { engine.stop(s); },
             [](bool) {});
     }
 
     void apply(const cluster::send_order& e) {
-        auto verdict = std::make_shared<wire::order_result>();
+        auto result = std::make_shared<wire::order_result>();
         call_engine(
             e.engine,
-            [order = e.order, verdict](simulated_engine& m) {
-                *verdict = m.order(order, m.swaps_fail);
+            [order = e.order, result](simulated_engine& engine) {
+                *result = engine.order(order, engine.swaps_fail);
             },
-            [this, id = e.engine, verdict](bool ok) {
+            [this, id = e.engine, result](bool ok) {
                 engine_coordinator_.on_order_result(
                     environment_.scheduler.now(), id,
-                    ok ? std::make_optional(*verdict) : std::nullopt);
+                    ok ? std::make_optional(*result) : std::nullopt);
             });
     }
 
@@ -578,16 +591,18 @@
                 continue;
             }
             polled_at_[id] = now;
-            auto news = std::make_shared<wire::engine_poll_response>();
+            auto response = std::make_shared<wire::engine_poll_response>();
             call_engine(
                 id,
                 [poll = engine_coordinator_.next_poll(id),
-                 news](simulated_engine& m) { *news = m.poll(poll); },
-                [this, engine = id, news](bool ok) {
+                 response](simulated_engine& target) {
+                    *response = target.poll(poll);
+                },
+                [this, engine = id, response](bool ok) {
                     polls_in_flight_.erase(engine);
                     if (ok) {
                         engine_coordinator_.on_poll_response(
-                            environment_.scheduler.now(), engine, *news);
+                            environment_.scheduler.now(), engine, *response);
                     } else {
                         engine_coordinator_.on_poll_failed(engine);
                     }
--- a/packages/policy/test/simulated_trainer.hpp
+++ b/packages/policy/test/simulated_trainer.hpp
@@ -1,16 +1,16 @@
 #pragma once
 
-#include "sample_node.hpp"
+#include "simulated_node.hpp"
 
 #include <sstream>
 
 namespace hibiscus::policy {
 
-/// The processes of the nodes: they may crash, stand still and wake.
+/// The processes of the nodes, which may crash, pause and resume.
 class simulated_processes {
 public:
-    explicit simulated_processes(simulated_environment& around)
-        : environment_(around), rows_(node_count) {
+    explicit simulated_processes(simulated_environment& environment)
+        : environment_(environment), rows_(node_count) {
         for (int i = 0; i < node_count; ++i) {
             start(i);
         }
@@ -19,7 +19,7 @@
     /// Returns the node, or null while its process is down.
     simulated_node* node(int number) { return rows_[index(number)].node.get(); }
 
-    /// Ends a process; it comes back after `ms`.
+    /// Crashes a process, which restarts after `ms`.
     void crash(int number, base::millis ms) {
         auto& row = rows_[index(number)];
         if (row.node != nullptr) {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Lets a process stand still for `ms`.
+    /// Pauses a process for `ms`.
     void pause(int number, base::millis ms) {
         auto& row = rows_[index(number)];
         if (row.node == nullptr || row.paused) {
@@ -43,7 +43,8 @@
             ms, [this, number, i = row.incarnation] { resume(number, i); });
     }
 
-    /// Lets an event happen in a process after `delay`, unless it ends before.
+    /// Runs an event in a process after `delay` ms, unless the process ends
+    /// before.
     void run_at_node(int number, base::millis delay,
                      std::function<void()> event) {
         const auto incarnation = rows_[index(number)].incarnation;
@@ -84,7 +85,7 @@
             },
             [this, number, incarnation](base::millis delay,
                                         std::function<void()> event) {
-                // The answer to a question of the process before.
+                // Drops an event scheduled by a process that has ended.
                 if (rows_[index(number)].incarnation == incarnation) {
                     run_at_node(number, delay, std::move(event));
                 }
@@ -102,12 +103,13 @@
         if (row.node == nullptr || row.incarnation != incarnation) {
             return;
         }
-        // What has come meanwhile lies in several sockets.
+        // Events that arrived during the pause came over several sockets, so
+        // their order is random.
         row.paused = false;
-        auto held = std::move(row.deferred_events);
+        auto deferred = std::move(row.deferred_events);
         row.deferred_events.clear();
-        std::shuffle(held.begin(), held.end(), environment_.random);
-        for (const auto& event : held) {
+        std::shuffle(deferred.begin(), deferred.end(), environment_.random);
+        for (const auto& event : deferred) {
             event();
         }
     }
@@ -135,27 +137,27 @@
     std::vector<process_row> rows_;
 };
 
-/// A trainer that works through its steps and judges each sample it takes.
+/// A trainer that works through its steps and checks each sample that it gets.
 class simulated_trainer {
 public:
     static constexpr wire::step_number steps = 5;
     static constexpr std::uint32_t samples = 12;
 
-    simulated_trainer(simulated_environment& around, simulated_processes& nodes,
-                      int number)
-        : environment_(around), processes_(nodes),
+    simulated_trainer(simulated_environment& environment,
+                      simulated_processes& nodes, int number)
+        : environment_(environment), processes_(nodes),
           name_("t" + std::to_string(number)) {
         publish();
         pull();
     }
 
-    /// Returns what went wrong, or "".
+    /// Returns the first violation, or "".
     const std::string& violation() const { return violation_; }
 
-    /// Returns true if all steps are whole.
+    /// Returns true if all steps are complete.
     bool is_finished() const { return step_ > steps; }
 
-    /// Returns what it waits for.
+    /// Returns a description of what the trainer waits for.
     std::string describe_state() const {
         std::ostringstream out;
         out << name_.str() << " step " << step_ << " has " << received_.size()
@@ -163,14 +165,15 @@
         return out.str();
     }
 
-    /// Puts new weights into the store and tells an entry, until it is
-    /// acknowledged.
+    /// Publishes a new version and announces it to random nodes until one
+    /// acknowledges it.
     void publish() {
         ++version_;
         announce_version();
     }
 
-    /// Loses what it has of the present step, as a restarted process would.
+    /// Loses the received samples of the current step, as a restarted process
+    /// would.
     void restart() {
         received_.clear();
         ++last_pull_;
@@ -199,14 +202,15 @@
                                          [this] { announce_version(); });
     }
 
-    /// Pulls once, and again when the answer has come or its time is over.
+    /// Pulls once. Pulls again when the response has arrived or the pull has
+    /// timed out.
     void pull() {
         if (is_finished()) {
             return;
         }
-        const auto number = ++last_pull_;
+        const auto pull_number = ++last_pull_;
         wire::pull_step message{name_, step_, {}};
-        message.request.pull = number;
+        message.request.pull = pull_number;
         message.request.version = version_;
         message.request.wait_ms = pull_wait_ms;
         for (const auto slot : received_) {
@@ -217,50 +221,51 @@
         if (delay) {
             processes_.run_at_node(entry, *delay, [this, entry, message] {
                 processes_.node(entry)->pull(
-                    message, [this, message](auto answer) {
-                        on_response_sent(message.request, std::move(answer));
+                    message, [this, message](auto response) {
+                        on_response_sent(message.request, std::move(response));
                     });
             });
         }
         environment_.scheduler.run_after(pull_wait_ms + 2 * call_margin_ms,
-                                         [this, number] {
-                                             if (number == last_pull_) {
+                                         [this, pull_number] {
+                                             if (pull_number == last_pull_) {
                                                  pull();
                                              }
                                          });
     }
 
-    /// An answer leaves its entry.
+    /// Called when the entry node sends a response.
     void on_response_sent(const wire::pull_request& request,
-                          wire::pull_response answer) {
-        const auto fresh = std::max(request.version, acknowledged_);
-        for (const auto& s : answer.samples) {
-            for (const auto& c : s.chunks) {
-                if (c.version < fresh - staleness_bound) {
-                    record_fault("a stale sample left an entry", s);
+                          wire::pull_response response) {
+        const auto newest_known = std::max(request.version, acknowledged_);
+        for (const auto& sample : response.samples) {
+            for (const auto& chunk : sample.chunks) {
+                if (chunk.version < newest_known - staleness_bound) {
+                    record_violation("a stale sample left an entry node",
+                                     sample);
                 }
             }
         }
         if (const auto delay = environment_.draw_message_delay()) {
-            environment_.scheduler.run_after(*delay,
-                                             [this, a = std::move(answer)] {
-                                                 if (a.pull == last_pull_) {
-                                                     on_response(a);
-                                                 }
-                                             });
+            environment_.scheduler.run_after(
+                *delay, [this, sent = std::move(response)] {
+                    if (sent.pull == last_pull_) {
+                        on_response(sent);
+                    }
+                });
         }
     }
 
-    void on_response(const wire::pull_response& answer) {
-        if (answer.why == wire::reason::unknown_step) {
+    void on_response(const wire::pull_response& response) {
+        if (response.why == wire::reason::unknown_step) {
             open_step();
         }
-        for (const auto& s : answer.samples) {
-            if (!received_.insert(s.slot).second) {
-                record_fault("a slot came twice", s);
+        for (const auto& sample : response.samples) {
+            if (!received_.insert(sample.slot).second) {
+                record_violation("a slot was delivered twice", sample);
             }
-            if (!environment_.engine(s.engine).has_produced(s)) {
-                record_fault("no engine produced this text", s);
+            if (!environment_.engine(sample.engine).has_produced(sample)) {
+                record_violation("no engine produced this text", sample);
             }
         }
         if (received_.size() == samples) {
@@ -270,14 +275,15 @@
         }
         ++last_pull_;
         const auto pause =
-            answer.result == wire::outcome::completed
+            response.result == wire::outcome::completed
                 ? 0
-                : std::max<base::millis>(20, answer.retry_after_ms);
-        environment_.scheduler.run_after(pause, [this, p = last_pull_] {
-            if (p == last_pull_) {
-                pull();
-            }
-        });
+                : std::max<base::millis>(20, response.retry_after_ms);
+        environment_.scheduler.run_after(pause,
+                                         [this, pull_number = last_pull_] {
+                                             if (pull_number == last_pull_) {
+                                                 pull();
+                                             }
+                                         });
     }
 
     void open_step() {
@@ -295,15 +301,16 @@
         }
     }
 
-    void record_fault(const std::string& what, const wire::sample& s) {
+    void record_violation(const std::string& violation,
+                          const wire::sample& sample) {
         std::ostringstream out;
-        out << what << " at " << environment_.scheduler.now() << ": "
-            << name_.str() << " step " << step_ << " slot " << s.slot
-            << " attempt " << s.attempt << " of " << s.engine.str()
+        out << violation << " at " << environment_.scheduler.now() << ": "
+            << name_.str() << " step " << step_ << " slot " << sample.slot
+            << " attempt " << sample.attempt << " of " << sample.engine.str()
             << ", version " << version_ << ", acknowledged " << acknowledged_
             << ":";
-        for (const auto& c : s.chunks) {
-            out << " " << c.text << "@" << c.version;
+        for (const auto& chunk : sample.chunks) {
+            out << " " << chunk.text << "@" << chunk.version;
         }
         if (violation_.empty()) {
             violation_ = out.str();
--- a/packages/policy/test/swap_plan_test.cpp
+++ b/packages/policy/test/swap_plan_test.cpp
@@ -5,9 +5,9 @@
 namespace hibiscus::policy {
 namespace {
 
-/// Returns the engines of `behind` whose turn it is.
-std::size_t turns(const swap_plan& plan,
-                  const std::vector<swap_candidate>& behind) {
+/// Returns how many engines in `behind` may swap now.
+std::size_t count_turns(const swap_plan& plan,
+                        const std::vector<swap_candidate>& behind) {
     std::size_t count = 0;
     for (const auto& c : behind) {
         count += is_swap_turn(plan, behind, c.engine) ? 1 : 0;
@@ -15,7 +15,7 @@
     return count;
 }
 
-/// Returns ten engines whose loads grow with their numbers.
+/// Returns ten engines whose loads increase with their numbers.
 std::vector<swap_candidate> ten_engines() {
     std::vector<swap_candidate> engines;
     engines.reserve(10);
@@ -28,21 +28,21 @@
 TEST(swap_plan_test, a_share_of_the_least_loaded_engines_swaps_first) {
     const swap_plan plan{10, 0.34, 0, 6000};
     const auto engines = ten_engines();
-    EXPECT_EQ(turns(plan, engines), 4U);
+    EXPECT_EQ(count_turns(plan, engines), 4U);
     EXPECT_TRUE(is_swap_turn(plan, engines, base::engine_id("e3")));
     EXPECT_FALSE(is_swap_turn(plan, engines, base::engine_id("e4")));
 }
 
-// The first engines fail to swap again and again. The others must not wait for
-// them for ever, or the whole pool falls out of the staleness bound.
-TEST(swap_plan_test, engines_that_do_not_swap_hold_up_nobody_for_long) {
+// The first engines fail to swap again and again. If the others waited for them
+// forever, the whole pool would exceed the staleness bound.
+TEST(swap_plan_test, failing_swaps_do_not_block_other_engines_for_long) {
     const auto engines = ten_engines();
-    EXPECT_EQ(turns({10, 0.34, 6000, 6000}, engines), 8U);
-    EXPECT_EQ(turns({10, 0.34, 12000, 6000}, engines), 10U);
+    EXPECT_EQ(count_turns({10, 0.34, 6000, 6000}, engines), 8U);
+    EXPECT_EQ(count_turns({10, 0.34, 12000, 6000}, engines), 10U);
 }
 
 TEST(swap_plan_test, a_small_share_still_lets_one_engine_swap) {
-    EXPECT_EQ(turns({10, 0.01, 0, 6000}, ten_engines()), 1U);
+    EXPECT_EQ(count_turns({10, 0.01, 0, 6000}, ten_engines()), 1U);
 }
 
 } // namespace
