--- a/packages/policy/include/hibiscus/policy/admission.hpp
+++ b/packages/policy/include/hibiscus/policy/admission.hpp
@@ -9,7 +9,8 @@
 namespace hibiscus::policy {
 
 /// Estimates the latency of a service's calls by a smoothed mean and a smoothed
-/// deviation, as TCP does for its retransmission timeout.
+/// deviation, as TCP does for its retransmission timeout, but allows for twice
+/// the mean.
 class latency_estimate {
 public:
     /// Adds the latency of one call, in ms.
@@ -39,7 +40,7 @@
 
 private:
     struct bucket {
-        std::int64_t number = -1;
+        std::int64_t index = -1;
         int count = 0;
     };
 
@@ -47,9 +48,10 @@
     std::array<bucket, bucket_count> buckets_{};
 };
 
-/// The state in which a request finds every instance at its limit.
+/// Input of admit(): the queue and the load when all instances are at their
+/// limits.
 struct admission_query {
-    /// Requests queued ahead of it.
+    /// Requests queued ahead of this one.
     std::size_t queued = 0;
     /// The rate returned by throughput_meter.
     double throughput_per_ms = 0.0;
@@ -59,7 +61,7 @@
     base::millis time_to_deadline = 0;
 };
 
-/// The decision whether a request may be queued.
+/// Output of admit().
 struct admission_decision {
     bool admitted = false;
     /// Expected time until the request would be sent, in ms. A rejected caller
@@ -73,11 +75,10 @@
 /// the failure too late.
 admission_decision admit(const admission_query& query);
 
-/// Bounds the concurrent requests of one kind for the control thread. Not
-/// thread-safe.
+/// Bounds the concurrent requests of one kind. Not thread-safe; used by the
+/// control thread.
 class concurrency_limit {
 public:
-    /// Constructs a limit of `max_in_flight` concurrent requests.
     explicit concurrency_limit(std::size_t max_in_flight)
         : max_in_flight_(max_in_flight) {}
 
@@ -85,7 +86,7 @@
     /// reached.
     bool try_acquire();
 
-    /// Counts the end of a request.
+    /// Counts a request as ended.
     void release(base::millis now);
 
     /// Returns the time after which a rejected caller should retry, in ms.
--- a/packages/policy/include/hibiscus/policy/fair_share.hpp
+++ b/packages/policy/include/hibiscus/policy/fair_share.hpp
@@ -24,7 +24,8 @@
 
 /// The shares of a trainer in a pool, in streams.
 struct fair_shares {
-    /// Its share among all trainers that the document lists for the pool.
+    /// Its share among all trainers that the configuration document lists for
+    /// the pool.
     double guaranteed = 0;
     /// Its share among the trainers that use the pool now; never less than the
     /// guaranteed one.
@@ -36,13 +37,13 @@
 fair_shares compute_shares(const std::vector<pool_usage>& usages,
                            const base::trainer_id& trainer, int capacity);
 
-/// Returns the number of streams below which an engine admits one more stream
-/// of a trainer that has `admitted` of the pool's streams. The engine has
-/// `slots` slots and a queue for `queue` more streams. Queues are for trainers
-/// below their shares. A trainer above its share still gets every slot that
-/// nobody else uses. A trainer above its guaranteed share leaves one position
-/// of each queue free, so that a trainer that starts later finds room and
-/// counts as active.
+/// Returns the limit of an engine's streams, running and queued, for one more
+/// stream of a trainer: the engine admits it while it has fewer. The trainer
+/// already has `admitted` streams in the pool; the engine has `slots` slots and
+/// a queue for `queue` streams. Queues are for trainers below their shares. A
+/// trainer above its share still gets every slot that nobody else uses. A
+/// trainer above its guaranteed share leaves one position of each queue free,
+/// so that a trainer that starts later finds room and counts as active.
 int stream_limit(int admitted, const fair_shares& shares, int slots, int queue);
 
 } // namespace hibiscus::policy
--- a/packages/policy/include/hibiscus/policy/placement.hpp
+++ b/packages/policy/include/hibiscus/policy/placement.hpp
@@ -11,16 +11,16 @@
 
 namespace hibiscus::policy {
 
-/// Chooses the engine with the fewest streams for its capacity.
+/// Chooses the engine with the lowest ratio of streams to capacity.
 struct least_admitted {};
 
-/// Draws two engines at random and chooses the one with fewer streams for its
-/// capacity.
+/// Draws two engines at random and chooses the one with the lower ratio of
+/// streams to capacity.
 struct power_of_two {};
 
-/// Chooses the engine preferred by the prompt's hash, so that the samples of a
-/// group share its prefix cache, unless it has over `max_load_gap` streams more
-/// than the least loaded engine.
+/// Chooses an engine by rendezvous hashing of the prompt, so that the samples
+/// of a group share its prefix cache, unless it has over `max_load_gap` streams
+/// more than the least loaded engine.
 struct prefix_affinity {
     int max_load_gap = 2;
 };
@@ -38,7 +38,7 @@
     std::variant<least_admitted, power_of_two, prefix_affinity, round_robin,
                  random_choice>;
 
-/// Returns the policy for a kind set in the document.
+/// Returns the policy for a kind set in the configuration document.
 placement_policy make_placement_policy(document::placement_kind kind);
 
 /// An engine that may be chosen.
--- a/packages/policy/include/hibiscus/policy/routing.hpp
+++ b/packages/policy/include/hibiscus/policy/routing.hpp
@@ -36,11 +36,11 @@
 
     /// Chooses an instance, counts the request as in flight there and returns
     /// the instance's index. Returns nothing if there are no instances or all
-    /// have `max_in_flight` requests. An instance with the id `avoid` is used
-    /// only if no other is available.
+    /// have `max_in_flight` requests. The instance with the id `avoided_id` is
+    /// used only if no other is available.
     std::optional<std::size_t>
     begin_request(const std::vector<instance_candidate>& instances,
-                  int max_in_flight, const std::string& avoid,
+                  int max_in_flight, const std::string& avoided_id,
                   base::millis now);
 
     /// Counts the end of a request to the instance `id`. An instance that does
@@ -63,12 +63,12 @@
         base::millis limit_lowered_at = 0;
     };
 
-    static bool is_full(const instance_state& row, int max_in_flight);
-    static void lower_limit(instance_state& row, base::millis now);
+    static bool is_full(const instance_state& state, int max_in_flight);
+    static void lower_limit(instance_state& state, base::millis now);
 
     std::vector<std::size_t>
     available_instances(const std::vector<instance_candidate>& instances,
-                        int max_in_flight, const std::string& avoid,
+                        int max_in_flight, const std::string& avoided_id,
                         base::millis now);
 
     std::map<std::string, instance_state> instances_;
--- a/packages/policy/include/hibiscus/policy/start_version.hpp
+++ b/packages/policy/include/hibiscus/policy/start_version.hpp
@@ -11,10 +11,10 @@
 /// Starts samples at any version within the staleness bound.
 struct within_bound {};
 
-/// Expects one more publish before the delivery, so that a sample that starts
-/// now is still within the bound then.
+/// Assumes that one more version is published before the sample is delivered,
+/// so that a sample that starts now is still within the bound then.
 struct expect_publish {
-    /// Time in ms for which a new version is waited for until engines serve it.
+    /// Maximum time in ms to wait for engines to serve a new version.
     base::millis max_swap_wait = 2000;
 };
 
@@ -29,7 +29,7 @@
     int staleness_bound = 1;
 };
 
-/// Returns the policy for a kind set in the document.
+/// Returns the policy for a kind set in the configuration document.
 start_version_policy
 make_start_version_policy(document::start_version_kind kind);
 
--- a/packages/policy/include/hibiscus/policy/swap_plan.hpp
+++ b/packages/policy/include/hibiscus/policy/swap_plan.hpp
@@ -14,7 +14,8 @@
     int streams = 0;
 };
 
-/// Parameters of the rollout of a version in a pool.
+/// Parameters and state of the rollout of a version in a pool. To swap is to
+/// put a new version into service at an engine.
 struct swap_plan {
     /// Number of reachable engines of the pool.
     std::size_t reachable_engines = 0;
@@ -27,12 +28,12 @@
     base::millis wave_interval = 6000;
 };
 
-/// Returns true if `engine` may swap now. Of the engines in `behind`, the least
-/// loaded swap first; an engine that is not among them may always swap. Each
-/// home node decides for its own engines. Their views of the loads differ
-/// slightly, so the share is held approximately.
+/// Returns true if `engine` may swap now. Of the engines in `outdated_engines`,
+/// the least loaded swap first; an engine that is not among them may always
+/// swap. Each home node decides for its own engines. Their views of the loads
+/// differ slightly, so max_swap_share is kept only approximately.
 bool is_swap_turn(const swap_plan& plan,
-                  const std::vector<swap_candidate>& behind,
+                  const std::vector<swap_candidate>& outdated_engines,
                   const base::engine_id& engine);
 
 } // namespace hibiscus::policy
--- a/packages/policy/include/hibiscus/policy/usage.hpp
+++ b/packages/policy/include/hibiscus/policy/usage.hpp
@@ -27,7 +27,7 @@
     /// Time of idle slots of the owner's engines.
     double idle_ms = 0;
     /// The part of idle_ms during which streams were queued at another engine
-    /// of this node and could have run here.
+    /// whose home is this node and could have run here.
     double idle_while_queued_ms = 0;
     /// Time that the owner's streams were queued at engines.
     double queued_ms = 0;
@@ -37,12 +37,12 @@
 /// only and start at zero when a node restarts.
 class usage_meter {
 public:
-    /// Adds the time since the last call, assuming that the engines did the
-    /// same throughout as they do now. An interval of more than `max_interval`
-    /// ms is not charged, because nothing was observed during it.
+    /// Adds the time since the last call, assuming that the usage did not
+    /// change during it. An interval of more than `max_interval_ms` is not
+    /// charged, because nothing was observed during it.
     void add_interval(base::millis now,
                       const std::vector<engine_usage>& engines,
-                      base::millis max_interval = 1000);
+                      base::millis max_interval_ms = 1000);
 
     const std::map<base::owner_id, owner_usage>& owners() const {
         return owners_;
--- a/packages/policy/src/admission.cpp
+++ b/packages/policy/src/admission.cpp
@@ -53,23 +53,23 @@
 }
 
 void throughput_meter::record_completion(base::millis now) {
-    const auto number = now / bucket_ms;
-    auto& b = buckets_[static_cast<std::size_t>(number) % bucket_count];
-    if (b.number != number) {
-        b = {number, 0};
+    const auto index = now / bucket_ms;
+    auto& b = buckets_[static_cast<std::size_t>(index) % bucket_count];
+    if (b.index != index) {
+        b = {index, 0};
     }
     ++b.count;
 }
 
 double throughput_meter::rate_per_ms(base::millis now) const {
     const auto newest = now / bucket_ms;
-    const auto span = static_cast<std::int64_t>(bucket_count);
+    const auto window_buckets = static_cast<std::int64_t>(bucket_count);
     std::int64_t oldest = newest;
     int count = 0;
     for (const auto& b : buckets_) {
-        if (b.number > newest - span && b.number <= newest) {
+        if (b.index > newest - window_buckets && b.index <= newest) {
             count += b.count;
-            oldest = std::min(oldest, b.number);
+            oldest = std::min(oldest, b.index);
         }
     }
     const auto ms = std::max(bucket_ms, now - oldest * bucket_ms);
--- a/packages/policy/src/placement.cpp
+++ b/packages/policy/src/placement.cpp
@@ -11,18 +11,19 @@
 
 using candidate_list = std::vector<const engine_candidate*>;
 
-/// Returns true if `a` has fewer streams for its capacity than `b`.
+/// Returns true if `a` has a lower ratio of streams to capacity than `b`.
 bool is_less_loaded(const engine_candidate* a, const engine_candidate* b) {
     return static_cast<std::int64_t>(a->streams) * b->capacity <
            static_cast<std::int64_t>(b->streams) * a->capacity;
 }
 
-const engine_candidate* random_engine(const candidate_list& available,
-                                      std::mt19937_64& random) {
+const engine_candidate* choose_random_engine(const candidate_list& available,
+                                             std::mt19937_64& random) {
     std::uniform_int_distribution<std::size_t> index(0, available.size() - 1);
     return available[index(random)];
 }
 
+/// Returns the engine with the highest rendezvous hash for the prompt.
 const engine_candidate* preferred_engine(const candidate_list& available,
                                          const std::string& prompt) {
     const auto seed = base::stable_hash(prompt);
@@ -75,8 +76,8 @@
         base::overloaded{
             [&](least_admitted&) { return least_loaded_engine(); },
             [&](power_of_two&) {
-                const auto* a = random_engine(available, random);
-                const auto* b = random_engine(available, random);
+                const auto* a = choose_random_engine(available, random);
+                const auto* b = choose_random_engine(available, random);
                 return is_less_loaded(b, a) ? b : a;
             },
             [&](prefix_affinity& p) {
@@ -90,7 +91,9 @@
             [&](round_robin& p) {
                 return available[p.next++ % available.size()];
             },
-            [&](random_choice&) { return random_engine(available, random); }},
+            [&](random_choice&) {
+                return choose_random_engine(available, random);
+            }},
         policy);
 }
 
--- a/packages/policy/src/routing.cpp
+++ b/packages/policy/src/routing.cpp
@@ -19,25 +19,25 @@
 
 std::vector<std::size_t> service_router::available_instances(
     const std::vector<instance_candidate>& instances, int max_in_flight,
-    const std::string& avoid, base::millis now) {
+    const std::string& avoided_id, base::millis now) {
     std::vector<std::size_t> available;
     std::vector<std::size_t> ejected;
     for (std::size_t i = 0; i < instances.size(); ++i) {
-        const auto& row = instances_[instances[i].id];
-        if (is_full(row, max_in_flight) || instances[i].id == avoid) {
+        const auto& state = instances_[instances[i].id];
+        if (is_full(state, max_in_flight) || instances[i].id == avoided_id) {
             continue;
         }
-        (row.ejected_until > now ? ejected : available).push_back(i);
+        (state.ejected_until > now ? ejected : available).push_back(i);
     }
     // If most instances look unhealthy, the fault is more likely on this node's
-    // side, and the few others would be overloaded. At least half of them
-    // therefore stay in use.
+    // side, and the few others would be overloaded. At least half of all
+    // instances therefore stay in use.
     const std::size_t min_available = (instances.size() + 1) / 2;
     while (available.size() < min_available && !ejected.empty()) {
         available.push_back(ejected.back());
         ejected.pop_back();
     }
-    if (available.empty() && !avoid.empty()) {
+    if (available.empty() && !avoided_id.empty()) {
         return available_instances(instances, max_in_flight, "", now);
     }
     return available;
@@ -45,10 +45,10 @@
 
 std::optional<std::size_t>
 service_router::begin_request(const std::vector<instance_candidate>& instances,
-                              int max_in_flight, const std::string& avoid,
+                              int max_in_flight, const std::string& avoided_id,
                               base::millis now) {
     const auto available =
-        available_instances(instances, max_in_flight, avoid, now);
+        available_instances(instances, max_in_flight, avoided_id, now);
     if (available.empty()) {
         return std::nullopt;
     }
@@ -62,55 +62,55 @@
     return chosen;
 }
 
-bool service_router::is_full(const instance_state& row, int max_in_flight) {
+bool service_router::is_full(const instance_state& state, int max_in_flight) {
     const bool exceeds_limit =
-        row.learned_limit > 0.0 && row.in_flight + 1 > row.learned_limit;
-    return row.in_flight >= max_in_flight ||
-           (exceeds_limit && row.in_flight > 0);
+        state.learned_limit > 0.0 && state.in_flight + 1 > state.learned_limit;
+    return state.in_flight >= max_in_flight ||
+           (exceeds_limit && state.in_flight > 0);
 }
 
 /// Lowers the limit of an instance that rejected a request. The instance is
 /// shared with other nodes, whose load this node does not see. Without the
 /// limit, the requests above its capacity would be sent and rejected again and
 /// again, which costs both sides time.
-void service_router::lower_limit(instance_state& row, base::millis now) {
-    if (row.learned_limit > 0.0 &&
-        now - row.limit_lowered_at < limit_decrease_interval_ms) {
+void service_router::lower_limit(instance_state& state, base::millis now) {
+    if (state.learned_limit > 0.0 &&
+        now - state.limit_lowered_at < limit_decrease_interval_ms) {
         return;
     }
-    row.limit_lowered_at = now;
-    row.learned_limit =
-        std::max(1.0, (row.in_flight + 1) * limit_decrease_factor);
+    state.limit_lowered_at = now;
+    state.learned_limit =
+        std::max(1.0, (state.in_flight + 1) * limit_decrease_factor);
 }
 
 void service_router::end_request(const std::string& id, attempt_outcome outcome,
                                  base::millis now) {
-    auto& row = instances_[id];
-    row.in_flight = std::max(0, row.in_flight - 1);
+    auto& state = instances_[id];
+    state.in_flight = std::max(0, state.in_flight - 1);
     switch (outcome) {
     case attempt_outcome::answered:
-        row.learned_limit +=
-            row.learned_limit > 0.0 ? 1.0 / row.learned_limit : 0.0;
-        row.consecutive_failures = 0;
+        state.learned_limit +=
+            state.learned_limit > 0.0 ? 1.0 / state.learned_limit : 0.0;
+        state.consecutive_failures = 0;
         break;
     case attempt_outcome::rejected:
-        lower_limit(row, now);
-        row.consecutive_failures = 0;
+        lower_limit(state, now);
+        state.consecutive_failures = 0;
         break;
     case attempt_outcome::no_response:
-        ++row.consecutive_failures;
+        ++state.consecutive_failures;
         break;
     case attempt_outcome::cancelled:
         break;
     }
-    if (row.consecutive_failures >= failures_until_ejected) {
-        row.ejected_until = now + ejection_ms;
+    if (state.consecutive_failures >= failures_until_ejected) {
+        state.ejected_until = now + ejection_ms;
     }
 }
 
 int service_router::in_flight(const std::string& id) const {
-    const auto row = instances_.find(id);
-    return row == instances_.end() ? 0 : row->second.in_flight;
+    const auto state = instances_.find(id);
+    return state == instances_.end() ? 0 : state->second.in_flight;
 }
 
 retry_budget::retry_budget(double ratio, double reserve)
--- a/packages/policy/src/start_version.cpp
+++ b/packages/policy/src/start_version.cpp
@@ -19,9 +19,9 @@
 
 wire::weight_version oldest_start_version(const start_version_policy& policy,
                                           const version_state& state) {
-    const auto in_bound = state.newest_version - state.staleness_bound;
+    const auto oldest_in_bound = state.newest_version - state.staleness_bound;
     const auto oldest = std::visit(
-        base::overloaded{[&](const within_bound&) { return in_bound; },
+        base::overloaded{[&](const within_bound&) { return oldest_in_bound; },
                          [&](const expect_publish& p) {
                              // A trainer opens its next step before it trains
                              // and publishes. By then a sample that starts at
@@ -31,8 +31,8 @@
                              // used. If swaps fail for long, older samples are
                              // better than none.
                              return state.newest_version_age > p.max_swap_wait
-                                        ? in_bound
-                                        : std::min(in_bound + 1,
+                                        ? oldest_in_bound
+                                        : std::min(oldest_in_bound + 1,
                                                    state.newest_version);
                          }},
         policy);
--- a/packages/policy/src/swap_plan.cpp
+++ b/packages/policy/src/swap_plan.cpp
@@ -7,19 +7,20 @@
 namespace hibiscus::policy {
 
 bool is_swap_turn(const swap_plan& plan,
-                  const std::vector<swap_candidate>& behind,
+                  const std::vector<swap_candidate>& outdated_engines,
                   const base::engine_id& engine) {
     const auto own = std::find_if(
-        behind.begin(), behind.end(),
+        outdated_engines.begin(), outdated_engines.end(),
         [&](const swap_candidate& c) { return c.engine == engine; });
-    if (own == behind.end()) {
+    if (own == outdated_engines.end()) {
         return true;
     }
-    const auto engines_before = std::count_if(
-        behind.begin(), behind.end(), [&](const swap_candidate& c) {
-            return std::make_pair(c.streams, c.engine) <
-                   std::make_pair(own->streams, own->engine);
-        });
+    const auto engines_before =
+        std::count_if(outdated_engines.begin(), outdated_engines.end(),
+                      [&](const swap_candidate& c) {
+                          return std::make_pair(c.streams, c.engine) <
+                                 std::make_pair(own->streams, own->engine);
+                      });
     const auto wave_size =
         std::max(1.0, std::ceil(static_cast<double>(plan.reachable_engines) *
                                 plan.max_swap_share));
--- a/packages/policy/src/usage.cpp
+++ b/packages/policy/src/usage.cpp
@@ -18,11 +18,11 @@
 
 void usage_meter::add_interval(base::millis now,
                                const std::vector<engine_usage>& engines,
-                               base::millis max_interval) {
+                               base::millis max_interval_ms) {
     const auto elapsed = now - last_added_at_;
     const bool first = last_added_at_ == 0;
     last_added_at_ = now;
-    if (first || elapsed <= 0 || elapsed > max_interval) {
+    if (first || elapsed <= 0 || elapsed > max_interval_ms) {
         return;
     }
     int queued = 0;
--- a/packages/policy/test/fair_share_test.cpp
+++ b/packages/policy/test/fair_share_test.cpp
@@ -8,20 +8,23 @@
 namespace hibiscus::policy {
 namespace {
 
-const base::trainer_id heavy("heavy");
-const base::trainer_id light("light");
+const base::trainer_id first_trainer("first");
+const base::trainer_id second_trainer("second");
 
 TEST(fair_share_test, weights_divide_a_contended_pool) {
-    const std::vector<pool_usage> usages{{heavy, 3.0, 10}, {light, 1.0, 10}};
-    EXPECT_DOUBLE_EQ(compute_shares(usages, heavy, 80).active, 60.0);
-    EXPECT_DOUBLE_EQ(compute_shares(usages, light, 80).active, 20.0);
+    const std::vector<pool_usage> usages{{first_trainer, 3.0, 10},
+                                         {second_trainer, 1.0, 10}};
+    EXPECT_DOUBLE_EQ(compute_shares(usages, first_trainer, 80).active, 60.0);
+    EXPECT_DOUBLE_EQ(compute_shares(usages, second_trainer, 80).active, 20.0);
 }
 
 TEST(fair_share_test, unused_shares_go_to_active_trainers) {
-    const std::vector<pool_usage> usages{{heavy, 1.0, 10}, {light, 1.0, 0}};
-    EXPECT_DOUBLE_EQ(compute_shares(usages, heavy, 80).active, 80.0);
-    EXPECT_DOUBLE_EQ(compute_shares(usages, heavy, 80).guaranteed, 40.0);
-    EXPECT_DOUBLE_EQ(compute_shares(usages, light, 80).active, 40.0);
+    const std::vector<pool_usage> usages{{first_trainer, 1.0, 10},
+                                         {second_trainer, 1.0, 0}};
+    EXPECT_DOUBLE_EQ(compute_shares(usages, first_trainer, 80).active, 80.0);
+    EXPECT_DOUBLE_EQ(compute_shares(usages, first_trainer, 80).guaranteed,
+                     40.0);
+    EXPECT_DOUBLE_EQ(compute_shares(usages, second_trainer, 80).active, 40.0);
 }
 
 TEST(fair_share_test, an_owners_weight_multiplies_the_weight_of_its_trainers) {
@@ -49,8 +52,9 @@
         return sum;
     };
     const auto try_admit = [&](std::size_t trainer) {
-        const std::vector<pool_usage> usages{{heavy, 1.0, total_streams(0)},
-                                             {light, 1.0, total_streams(1)}};
+        const std::vector<pool_usage> usages{
+            {first_trainer, 1.0, total_streams(0)},
+            {second_trainer, 1.0, total_streams(1)}};
         const auto shares = compute_shares(usages, usages[trainer].trainer,
                                            engines * (slots + queue));
         for (auto& engine : streams) {
--- a/packages/policy/test/routing_test.cpp
+++ b/packages/policy/test/routing_test.cpp
@@ -10,9 +10,9 @@
 protected:
     /// Begins a request and returns the id of the chosen instance, or "".
     std::string begin_request(int max_in_flight,
-                              const std::string& avoid = "") {
+                              const std::string& avoided_id = "") {
         const auto index =
-            router_.begin_request(instances_, max_in_flight, avoid, now_);
+            router_.begin_request(instances_, max_in_flight, avoided_id, now_);
         return index ? instances_[*index].id : "";
     }
 
--- a/packages/policy/test/samples_fuzz_test.cpp
+++ b/packages/policy/test/samples_fuzz_test.cpp
@@ -53,7 +53,7 @@
 public:
     explicit samples_simulation(std::uint64_t seed)
         : environment_(seed), nodes_(environment_) {
-        step_engines();
+        run_engines();
         trainers_.push_back(
             std::make_unique<simulated_trainer>(environment_, nodes_, 0));
         trainers_.push_back(
@@ -97,14 +97,14 @@
         return trainers_[0]->violation() + trainers_[1]->violation();
     }
 
-    void step_engines() {
+    void run_engines() {
         for (auto& engine : environment_.engines) {
             if (engine.is_up) {
-                engine.step();
+                engine.generate_chunks();
             }
         }
         environment_.scheduler.run_after(simulated_engine::chunk_ms,
-                                         [this] { step_engines(); });
+                                         [this] { run_engines(); });
     }
 
     void block_link(const std::string& from, const std::string& to,
@@ -193,10 +193,10 @@
 
 // Nodes crash, pause and lose their connections to each other and to engines.
 // Engines crash, leave and fail to swap while weights change. In all cases, a
-// trainer must get each slot once, within the staleness bound, with text and
-// versions that an engine produced. Each step must complete once the faults
+// trainer must get each sample slot once, within the staleness bound, with text
+// and versions that an engine produced. Each step must complete once the faults
 // end.
-TEST(samples_fuzz_test, samples_are_genuine_fresh_and_delivered_once) {
+TEST(samples_fuzz_test, samples_are_unaltered_not_stale_and_delivered_once) {
     const auto first_seed = env_number("HIBISCUS_FUZZ_SEED", 1);
     const auto seconds = env_number("HIBISCUS_FUZZ_SECONDS", 0);
     const std::uint64_t min_seeds = 60;
@@ -205,7 +205,7 @@
     for (auto seed = first_seed;
          seed < first_seed + min_seeds || clock.now() < end; ++seed) {
         const auto violation = run_seed(seed);
-        ASSERT_EQ(violation, "") << "reproduce with SEED=" << seed;
+        ASSERT_EQ(violation, "") << "reproduce with make fuzz SEED=" << seed;
     }
 }
 
--- a/packages/policy/test/simulated_engine.hpp
+++ b/packages/policy/test/simulated_engine.hpp
@@ -50,7 +50,7 @@
     simulated_engine(base::engine_id id, bool checks_fencing)
         : id_(std::move(id)), checks_fencing_(checks_fencing) {}
 
-    /// Loses all streams and weights and stops answering.
+    /// Loses all streams and weights and stops responding.
     void crash() {
         is_up = false;
         streams_.clear();
@@ -77,7 +77,7 @@
     void stop(const base::stream_id& stream) { streams_.erase(stream); }
 
     /// Produces one chunk of each running stream.
-    void step() {
+    void generate_chunks() {
         std::vector<stream_row*> batch;
         for (auto& [id, row] : streams_) {
             if (row.chunks.size() < row.length) {
@@ -91,7 +91,7 @@
                        std::make_tuple(b->chunks.empty(), -b->start.priority);
             });
         for (std::size_t i = 0; i < std::min(slots, batch.size()); ++i) {
-            produce_chunk(*batch[i]);
+            generate_chunk(*batch[i]);
         }
     }
 
@@ -123,7 +123,8 @@
         return response;
     }
 
-    wire::order_result order(const wire::version_order& order, bool must_fail) {
+    wire::order_result carry_out_order(const wire::version_order& order,
+                                       bool must_fail) {
         const auto number =
             std::make_pair(order.number.epoch, order.number.sequence);
         if (checks_fencing_ && number < highest_order_) {
@@ -175,7 +176,7 @@
         std::vector<wire::chunk> chunks;
     };
 
-    void produce_chunk(stream_row& row) {
+    void generate_chunk(stream_row& row) {
         const auto version = serving_[row.start.trainer];
         const auto seq = static_cast<std::uint32_t>(row.chunks.size());
         row.chunks.push_back({seq, version,
--- a/packages/policy/test/simulated_node.hpp
+++ b/packages/policy/test/simulated_node.hpp
@@ -23,12 +23,10 @@
 constexpr base::millis heartbeat_ms = 250;
 constexpr base::millis member_timeout_ms = 1500;
 constexpr base::millis pull_wait_ms = 1000;
+/// Added to the wait of a pull for the timeout of the call that forwards it.
 constexpr base::millis call_margin_ms = 500;
 constexpr base::millis http_timeout_ms = 1000;
 
-// Simulates the home nodes of steps and engines, without sockets and in virtual
-// time. The nodes exchange real messages in their wire encoding.
-
 /// The network, the engines, the registry and the log that the simulated nodes
 /// share.
 class simulated_environment {
@@ -63,7 +61,7 @@
 
     /// Returns the current list of instances.
     wire::instance_list make_instance_list() const {
-        wire::instance_list page;
+        wire::instance_list list;
         for (const auto& e : engines) {
             wire::instance row;
             row.id = e.id().str();
@@ -71,9 +69,9 @@
             row.state = e.is_leaving ? wire::instance_state::leaving
                                      : wire::instance_state::live;
             row.group = "pool";
-            page.instances.push_back(row);
+            list.instances.push_back(row);
         }
-        return page;
+        return list;
     }
 
     virtual_scheduler scheduler;
@@ -86,7 +84,9 @@
     std::int64_t log_end = 0;
 };
 
-/// The part of a node that handles samples, connected to simulated messages.
+/// The part of a node that handles samples, as the home node of steps and
+/// engines. It runs without sockets and in virtual time, and exchanges real
+/// messages in their wire encoding.
 class simulated_node {
 public:
     using pull_done = std::function<void(wire::pull_response)>;
@@ -94,7 +94,7 @@
         std::function<void(const base::node_id&, wire::peer_message)>;
 
     /// Schedules an event of the node after a delay; it is dropped if the
-    /// node's process ends before.
+    /// node's process ends before then.
     using defer_function =
         std::function<void(base::millis, std::function<void()>)>;
 
@@ -152,15 +152,16 @@
 
     /// Handles a pull that a trainer sent to this node.
     void pull(const wire::pull_step& message, const pull_done& done) {
-        const auto home = members_.home_of("trainer/" + message.trainer.str());
-        if (home == self_) {
+        const auto home_node =
+            members_.home_of("trainer/" + message.trainer.str());
+        if (home_node == self_) {
             pull_locally(message, done);
             return;
         }
         const auto deadline = environment_.scheduler.now() +
                               message.request.wait_ms + call_margin_ms;
         const auto trainer = message.trainer;
-        call(home, message, deadline,
+        call(home_node, message, deadline,
              [this, trainer, done](const wire::reply_body* response_body) {
                  if (response_body != nullptr) {
                      auto response =
@@ -174,12 +175,13 @@
 
     /// Handles the opening of a step that a trainer sent to this node.
     void open(const wire::open_step& message) {
-        const auto home = members_.home_of("trainer/" + message.trainer.str());
-        if (home == self_) {
+        const auto home_node =
+            members_.home_of("trainer/" + message.trainer.str());
+        if (home_node == self_) {
             step_coordinator_.open_step(environment_.scheduler.now(), message);
             apply_effects();
         } else {
-            call(home, message, environment_.scheduler.now() + 1000,
+            call(home_node, message, environment_.scheduler.now() + 1000,
                  [](const auto*) {});
         }
     }
@@ -247,9 +249,9 @@
                              open->request.version);
             reply(step_coordinator_.open_step(environment_.scheduler.now(),
                                               *open));
-        } else if (const auto* learn =
+        } else if (const auto* version_message =
                        std::get_if<wire::learn_version>(&m.body)) {
-            record_version(learn->trainer, learn->version);
+            record_version(version_message->trainer, version_message->version);
             reply(wire::version_response{});
         } else if (const auto* place =
                        std::get_if<wire::place_sample>(&m.body)) {
@@ -328,13 +330,13 @@
         std::map<base::engine_id, base::node_id> homes;
         std::set<base::engine_id> moved;
         for (const auto& [id, row] : table_.all()) {
-            const auto home = reachability_.home_of(id, members_);
+            const auto home_node = reachability_.home_of(id, members_);
             const auto known = homes_.find(id);
-            if (known != homes_.end() && known->second != home) {
+            if (known != homes_.end() && known->second != home_node) {
                 moved.insert(id);
             }
-            homes.emplace(id, home);
-            if (home == self_) {
+            homes.emplace(id, home_node);
+            if (home_node == self_) {
                 cluster::engine_traits traits;
                 traits.slots = simulated_engine::slots;
                 traits.queue_limit = 3;
@@ -386,16 +388,16 @@
         std::map<base::node_id, wire::sample_report> forwards;
         for (const auto& stream : m.streams) {
             const auto stream_name = cluster::parse_stream_id(stream.stream);
-            const auto home =
+            const auto home_node =
                 members_.home_of("trainer/" + stream_name->trainer.str());
-            if (!home.empty() && home != self_) {
-                forwards[home].streams.push_back(stream);
+            if (!home_node.empty() && home_node != self_) {
+                forwards[home_node].streams.push_back(stream);
             }
         }
-        for (auto& [home, report] : forwards) {
+        for (auto& [home_node, report] : forwards) {
             report.from = m.from;
             report.forwarded = true;
-            send_(home, std::move(report));
+            send_(home_node, std::move(report));
         }
     }
 
@@ -467,7 +469,7 @@
     }
 
     void apply(const cluster::place_stream& e) {
-        const auto home = reachability_.home_of(e.engine, members_);
+        const auto home_node = reachability_.home_of(e.engine, members_);
         const wire::place_sample message{e.engine, self_, e.start};
         const auto stream = e.start.stream;
         const auto on_response =
@@ -478,12 +480,12 @@
                         response.retry_after_ms);
                 }
             };
-        if (home == self_) {
+        if (home_node == self_) {
             on_response(engine_coordinator_.admit_stream(
                 environment_.scheduler.now(), message));
             return;
         }
-        call(home, message, environment_.scheduler.now() + 1000,
+        call(home_node, message, environment_.scheduler.now() + 1000,
              [on_response](const wire::reply_body* body) {
                  if (body != nullptr) {
                      on_response(std::get<wire::place_response>(*body));
@@ -553,7 +555,7 @@
         call_engine(
             e.engine,
             [order = e.order, result](simulated_engine& engine) {
-                *result = engine.order(order, engine.swaps_fail);
+                *result = engine.carry_out_order(order, engine.swaps_fail);
             },
             [this, id = e.engine, result](bool ok) {
                 engine_coordinator_.on_order_result(
--- a/packages/policy/test/simulated_trainer.hpp
+++ b/packages/policy/test/simulated_trainer.hpp
@@ -44,7 +44,7 @@
     }
 
     /// Runs an event in a process after `delay` ms, unless the process ends
-    /// before.
+    /// before then.
     void run_at_node(int number, base::millis delay,
                      std::function<void()> event) {
         const auto incarnation = rows_[index(number)].incarnation;
@@ -140,8 +140,8 @@
 /// A trainer that works through its steps and checks each sample that it gets.
 class simulated_trainer {
 public:
-    static constexpr wire::step_number steps = 5;
-    static constexpr std::uint32_t samples = 12;
+    static constexpr wire::step_number step_count = 5;
+    static constexpr std::uint32_t samples_per_step = 12;
 
     simulated_trainer(simulated_environment& environment,
                       simulated_processes& nodes, int number)
@@ -155,13 +155,13 @@
     const std::string& violation() const { return violation_; }
 
     /// Returns true if all steps are complete.
-    bool is_finished() const { return step_ > steps; }
+    bool is_finished() const { return step_ > step_count; }
 
-    /// Returns a description of what the trainer waits for.
+    /// Returns the trainer's progress, for failure messages.
     std::string describe_state() const {
         std::ostringstream out;
         out << name_.str() << " step " << step_ << " has " << received_.size()
-            << " of " << samples << ", version " << version_;
+            << " of " << samples_per_step << ", version " << version_;
         return out.str();
     }
 
@@ -176,7 +176,7 @@
     /// would.
     void restart() {
         received_.clear();
-        ++last_pull_;
+        ++last_pull_number_;
         pull();
     }
 
@@ -202,13 +202,13 @@
                                          [this] { announce_version(); });
     }
 
-    /// Pulls once. Pulls again when the response has arrived or the pull has
-    /// timed out.
+    /// Sends a pull, and another one when the response has arrived or the pull
+    /// has timed out.
     void pull() {
         if (is_finished()) {
             return;
         }
-        const auto pull_number = ++last_pull_;
+        const auto pull_number = ++last_pull_number_;
         wire::pull_step message{name_, step_, {}};
         message.request.pull = pull_number;
         message.request.version = version_;
@@ -226,12 +226,12 @@
                     });
             });
         }
-        environment_.scheduler.run_after(pull_wait_ms + 2 * call_margin_ms,
-                                         [this, pull_number] {
-                                             if (pull_number == last_pull_) {
-                                                 pull();
-                                             }
-                                         });
+        environment_.scheduler.run_after(
+            pull_wait_ms + 2 * call_margin_ms, [this, pull_number] {
+                if (pull_number == last_pull_number_) {
+                    pull();
+                }
+            });
     }
 
     /// Called when the entry node sends a response.
@@ -248,9 +248,9 @@
         }
         if (const auto delay = environment_.draw_message_delay()) {
             environment_.scheduler.run_after(
-                *delay, [this, sent = std::move(response)] {
-                    if (sent.pull == last_pull_) {
-                        on_response(sent);
+                *delay, [this, delivered_response = std::move(response)] {
+                    if (delivered_response.pull == last_pull_number_) {
+                        on_response(delivered_response);
                     }
                 });
         }
@@ -262,28 +262,28 @@
         }
         for (const auto& sample : response.samples) {
             if (!received_.insert(sample.slot).second) {
-                record_violation("a slot was delivered twice", sample);
+                record_violation("a sample slot was delivered twice", sample);
             }
             if (!environment_.engine(sample.engine).has_produced(sample)) {
                 record_violation("no engine produced this text", sample);
             }
         }
-        if (received_.size() == samples) {
+        if (received_.size() == samples_per_step) {
             received_.clear();
             ++step_;
             publish();
         }
-        ++last_pull_;
+        ++last_pull_number_;
         const auto pause =
             response.result == wire::outcome::completed
                 ? 0
                 : std::max<base::millis>(20, response.retry_after_ms);
-        environment_.scheduler.run_after(pause,
-                                         [this, pull_number = last_pull_] {
-                                             if (pull_number == last_pull_) {
-                                                 pull();
-                                             }
-                                         });
+        environment_.scheduler.run_after(
+            pause, [this, pull_number = last_pull_number_] {
+                if (pull_number == last_pull_number_) {
+                    pull();
+                }
+            });
     }
 
     void open_step() {
@@ -293,8 +293,8 @@
                 name_,
                 step_,
                 {version_,
-                 {{"a" + name_.str(), samples / 2, 10},
-                  {"b" + name_.str(), samples / 2, 10}}}};
+                 {{"a" + name_.str(), samples_per_step / 2, 10},
+                  {"b" + name_.str(), samples_per_step / 2, 10}}}};
             processes_.run_at_node(entry, *delay, [this, entry, message] {
                 processes_.node(entry)->open(message);
             });
@@ -323,7 +323,7 @@
     wire::weight_version version_ = 0;
     wire::weight_version acknowledged_ = 0;
     wire::step_number step_ = 1;
-    std::int64_t last_pull_ = 0;
+    std::int64_t last_pull_number_ = 0;
     std::set<wire::slot_index> received_;
     std::string violation_;
 };
--- a/packages/policy/test/swap_plan_test.cpp
+++ b/packages/policy/test/swap_plan_test.cpp
@@ -5,12 +5,12 @@
 namespace hibiscus::policy {
 namespace {
 
-/// Returns how many engines in `behind` may swap now.
+/// Returns how many engines in `outdated_engines` may swap now.
 std::size_t count_turns(const swap_plan& plan,
-                        const std::vector<swap_candidate>& behind) {
+                        const std::vector<swap_candidate>& outdated_engines) {
     std::size_t count = 0;
-    for (const auto& c : behind) {
-        count += is_swap_turn(plan, behind, c.engine) ? 1 : 0;
+    for (const auto& c : outdated_engines) {
+        count += is_swap_turn(plan, outdated_engines, c.engine) ? 1 : 0;
     }
     return count;
 }
