--- a/packages/policy/test/simulated_trainer.hpp
+++ b/packages/policy/test/simulated_trainer.hpp
@@ -1,16 +1,16 @@
 #pragma once
 
-#include "sample_node.hpp"
+#include "simulated_node.hpp"
 
 #include <sstream>
 
 namespace hibiscus::policy {
 
-/// The processes of the nodes: they may crash, stand still and wake.
+/// The processes of the nodes, which may crash, pause and resume.
 class simulated_processes {
 public:
-    explicit simulated_processes(simulated_environment& around)
-        : environment_(around), rows_(node_count) {
+    explicit simulated_processes(simulated_environment& environment)
+        : environment_(environment), rows_(node_count) {
         for (int i = 0; i < node_count; ++i) {
             start(i);
         }
@@ -19,7 +19,7 @@
     /// Returns the node, or null while its process is down.
     simulated_node* node(int number) { return rows_[index(number)].node.get(); }
 
-    /// Ends a process; it comes back after `ms`.
+    /// Crashes a process, which restarts after `ms`.
     void crash(int number, base::millis ms) {
         auto& row = rows_[index(number)];
         if (row.node != nullptr) {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Lets a process stand still for `ms`.
+    /// Pauses a process for `ms`.
     void pause(int number, base::millis ms) {
         auto& row = rows_[index(number)];
         if (row.node == nullptr || row.paused) {
@@ -43,7 +43,8 @@
             ms, [this, number, i = row.incarnation] { resume(number, i); });
     }
 
-    /// Lets an event happen in a process after `delay`, unless it ends before.
+    /// Runs an event in a process after `delay` ms, unless the process ends
+    /// before then.
     void run_at_node(int number, base::millis delay,
                      std::function<void()> event) {
         const auto incarnation = rows_[index(number)].incarnation;
@@ -84,7 +85,7 @@
             },
             [this, number, incarnation](base::millis delay,
                                         std::function<void()> event) {
-                // The answer to a question of the process before.
+                // Drops an event scheduled by a process that has ended.
                 if (rows_[index(number)].incarnation == incarnation) {
                     run_at_node(number, delay, std::move(event));
                 }
@@ -102,12 +103,13 @@
         if (row.node == nullptr || row.incarnation != incarnation) {
             return;
         }
-        // What has come meanwhile lies in several sockets.
+        // Events that arrived during the pause came over several sockets, so
+        // their order is random.
         row.paused = false;
-        auto held = std::move(row.deferred_events);
+        auto deferred = std::move(row.deferred_events);
         row.deferred_events.clear();
-        std::shuffle(held.begin(), held.end(), environment_.random);
-        for (const auto& event : held) {
+        std::shuffle(deferred.begin(), deferred.end(), environment_.random);
+        for (const auto& event : deferred) {
             event();
         }
     }
@@ -135,45 +137,46 @@
     std::vector<process_row> rows_;
 };
 
-/// A trainer that works through its steps and judges each sample it takes.
+/// A trainer that works through its steps and checks each sample that it gets.
 class simulated_trainer {
 public:
-    static constexpr wire::step_number steps = 5;
-    static constexpr std::uint32_t samples = 12;
+    static constexpr wire::step_number step_count = 5;
+    static constexpr std::uint32_t samples_per_step = 12;
 
-    simulated_trainer(simulated_environment& around, simulated_processes& nodes,
-                      int number)
-        : environment_(around), processes_(nodes),
+    simulated_trainer(simulated_environment& environment,
+                      simulated_processes& nodes, int number)
+        : environment_(environment), processes_(nodes),
           name_("t" + std::to_string(number)) {
         publish();
         pull();
     }
 
-    /// Returns what went wrong, or "".
+    /// Returns the first violation, or "".
     const std::string& violation() const { return violation_; }
 
-    /// Returns true if all steps are whole.
-    bool is_finished() const { return step_ > steps; }
+    /// Returns true if all steps are complete.
+    bool is_finished() const { return step_ > step_count; }
 
-    /// Returns what it waits for.
+    /// Returns the trainer's progress, for failure messages.
     std::string describe_state() const {
         std::ostringstream out;
         out << name_.str() << " step " << step_ << " has " << received_.size()
-            << " of " << samples << ", version " << version_;
+            << " of " << samples_per_step << ", version " << version_;
         return out.str();
     }
 
-    /// Puts new weights into the store and tells an entry, until it is
-    /// acknowledged.
+    /// Publishes a new version and announces it to random nodes until one
+    /// acknowledges it.
     void publish() {
         ++version_;
         announce_version();
     }
 
-    /// Loses what it has of the present step, as a restarted process would.
+    /// Loses the received samples of the current step, as a restarted process
+    /// would.
     void restart() {
         received_.clear();
-        ++last_pull_;
+        ++last_pull_number_;
         pull();
     }
 
@@ -199,14 +202,15 @@
                                          [this] { announce_version(); });
     }
 
-    /// Pulls once, and again when the answer has come or its time is over.
+    /// Sends a pull, and another one when the response has arrived or the pull
+    /// has timed out.
     void pull() {
         if (is_finished()) {
             return;
         }
-        const auto number = ++last_pull_;
+        const auto pull_number = ++last_pull_number_;
         wire::pull_step message{name_, step_, {}};
-        message.request.pull = number;
+        message.request.pull = pull_number;
         message.request.version = version_;
         message.request.wait_ms = pull_wait_ms;
         for (const auto slot : received_) {
@@ -217,67 +221,69 @@
         if (delay) {
             processes_.run_at_node(entry, *delay, [this, entry, message] {
                 processes_.node(entry)->pull(
-                    message, [this, message](auto answer) {
-                        on_response_sent(message.request, std::move(answer));
+                    message, [this, message](auto response) {
+                        on_response_sent(message.request, std::move(response));
                     });
             });
         }
-        environment_.scheduler.run_after(pull_wait_ms + 2 * call_margin_ms,
-                                         [this, number] {
-                                             if (number == last_pull_) {
-                                                 pull();
-                                             }
-                                         });
+        environment_.scheduler.run_after(
+            pull_wait_ms + 2 * call_margin_ms, [this, pull_number] {
+                if (pull_number == last_pull_number_) {
+                    pull();
+                }
+            });
     }
 
-    /// An answer leaves its entry.
+    /// Called when the entry node sends a response.
     void on_response_sent(const wire::pull_request& request,
-                          wire::pull_response answer) {
-        const auto fresh = std::max(request.version, acknowledged_);
-        for (const auto& s : answer.samples) {
-            for (const auto& c : s.chunks) {
-                if (c.version < fresh - staleness_bound) {
-                    record_fault("a stale sample left an entry", s);
+                          wire::pull_response response) {
+        const auto newest_known = std::max(request.version, acknowledged_);
+        for (const auto& sample : response.samples) {
+            for (const auto& chunk : sample.chunks) {
+                if (chunk.version < newest_known - staleness_bound) {
+                    record_violation("a stale sample left an entry node",
+                                     sample);
                 }
             }
         }
         if (const auto delay = environment_.draw_message_delay()) {
-            environment_.scheduler.run_after(*delay,
-                                             [this, a = std::move(answer)] {
-                                                 if (a.pull == last_pull_) {
-                                                     on_response(a);
-                                                 }
-                                             });
+            environment_.scheduler.run_after(
+                *delay, [this, delivered_response = std::move(response)] {
+                    if (delivered_response.pull == last_pull_number_) {
+                        on_response(delivered_response);
+                    }
+                });
         }
     }
 
-    void on_response(const wire::pull_response& answer) {
-        if (answer.why == wire::reason::unknown_step) {
+    void on_response(const wire::pull_response& response) {
+        if (response.why == wire::reason::unknown_step) {
             open_step();
         }
-        for (const auto& s : answer.samples) {
-            if (!received_.insert(s.slot).second) {
-                record_fault("a slot came twice", s);
+        for (const auto& sample : response.samples) {
+            if (!received_.insert(sample.slot).second) {
+                record_violation("a sample slot was delivered twice", sample);
             }
-            if (!environment_.engine(s.engine).has_produced(s)) {
-                record_fault("no engine produced this text", s);
+            if (!environment_.engine(sample.engine).has_produced(sample)) {
+                record_violation("no engine produced this text", sample);
             }
         }
-        if (received_.size() == samples) {
+        if (received_.size() == samples_per_step) {
             received_.clear();
             ++step_;
             publish();
         }
-        ++last_pull_;
+        ++last_pull_number_;
         const auto pause =
-            answer.result == wire::outcome::completed
+            response.result == wire::outcome::completed
                 ? 0
-                : std::max<base::millis>(20, answer.retry_after_ms);
-        environment_.scheduler.run_after(pause, [this, p = last_pull_] {
-            if (p == last_pull_) {
-                pull();
-            }
-        });
+                : std::max<base::millis>(20, response.retry_after_ms);
+        environment_.scheduler.run_after(
+            pause, [this, pull_number = last_pull_number_] {
+                if (pull_number == last_pull_number_) {
+                    pull();
+                }
+            });
     }
 
     void open_step() {
@@ -287,23 +293,24 @@
                 name_,
                 step_,
                 {version_,
-                 {{"a" + name_.str(), samples / 2, 10},
-                  {"b" + name_.str(), samples / 2, 10}}}};
+                 {{"a" + name_.str(), samples_per_step / 2, 10},
+                  {"b" + name_.str(), samples_per_step / 2, 10}}}};
             processes_.run_at_node(entry, *delay, [this, entry, message] {
                 processes_.node(entry)->open(message);
             });
         }
     }
 
-    void record_fault(const std::string& what, const wire::sample& s) {
+    void record_violation(const std::string& violation,
+                          const wire::sample& sample) {
         std::ostringstream out;
-        out << what << " at " << environment_.scheduler.now() << ": "
-            << name_.str() << " step " << step_ << " slot " << s.slot
-            << " attempt " << s.attempt << " of " << s.engine.str()
+        out << violation << " at " << environment_.scheduler.now() << ": "
+            << name_.str() << " step " << step_ << " slot " << sample.slot
+            << " attempt " << sample.attempt << " of " << sample.engine.str()
             << ", version " << version_ << ", acknowledged " << acknowledged_
             << ":";
-        for (const auto& c : s.chunks) {
-            out << " " << c.text << "@" << c.version;
+        for (const auto& chunk : sample.chunks) {
+            out << " " << chunk.text << "@" << chunk.version;
         }
         if (violation_.empty()) {
             violation_ = out.str();
@@ -316,7 +323,7 @@
     wire::weight_version version_ = 0;
     wire::weight_version acknowledged_ = 0;
     wire::step_number step_ = 1;
-    std::int64_t last_pull_ = 0;
+    std::int64_t last_pull_number_ = 0;
     std::set<wire::slot_index> received_;
     std::string violation_;
 };
