--- a/packages/cluster/include/hibiscus/cluster/claim_coordinator.hpp
+++ b/packages/cluster/include/hibiscus/cluster/claim_coordinator.hpp
@@ -9,111 +9,117 @@
 
 namespace hibiscus::cluster {
 
-/// Names a caller that waits for an answer.
+/// Identifies a caller that waits for a response.
 using claim_waiter_id = std::uint64_t;
 
-/// The number of one shard of keys.
 using shard_number = std::uint32_t;
 
 /// Returns the shard that `key` belongs to.
 shard_number shard_of(const base::request_id& key, shard_number shards);
 
-/// Append a record to a shard's stream. The same id is used for each try.
+/// Appends a record to a shard's stream. Every retry uses the same id.
 struct append_claims {
     shard_number shard = 0;
     base::append_id id;
     wire::claim_record record;
 };
 
-/// Send a request to its service: its claim is the first and stands.
+/// Sends a request to its service. Its claim was read back and is valid.
 struct dispatch_request {
     wire::service_request request;
     /// By the monotonic clock.
     base::millis deadline = 0;
 };
 
-/// Answer a caller.
+/// Sends the response to a caller.
 struct send_response {
     claim_waiter_id waiter = 0;
     wire::service_response response;
 };
 
-/// What a claim_home wants done.
+/// An action that a claim_coordinator requests from its driver.
 using claim_effect =
     std::variant<append_claims, dispatch_request, send_response>;
 
-/// Times that steer a claim_home, in ms.
+/// Settings of a claim_coordinator. Times are in ms.
 struct claim_options {
-    /// The least time between two appends of claims to one shard.
+    /// Minimum time between two appends to the same shard.
     base::millis append_interval = 10;
-    /// The most items of one append.
     std::size_t max_items_per_append = 1024;
-    /// How long a refused caller waits.
+    /// How long a rejected caller is asked to wait before its next attempt.
     base::millis retry_after = 200;
-    /// How far a caller's clock may be ahead.
+    /// How far the clock of a caller may be ahead of this node's clock.
     base::millis max_clock_skew = 5000;
-    /// How long claims are kept, by the time of day.
+    /// How long claims are relied on. A request that was created earlier than
+    /// this, by the time of day, is not executed. Claims are dropped after
+    /// twice this time.
     base::millis claim_retention = 600000;
-    /// How long past its deadline a caller waits for a request that runs; the
-    /// dispatch ends at the deadline itself and tells more.
+    /// How long a caller waits beyond its deadline for a request that was
+    /// dispatched. The dispatch itself ends at the deadline, and its outcome is
+    /// more precise than a timeout.
     base::millis response_grace = 250;
-    /// Records of a shard without a snapshot, before retention is known.
+    /// Minimum number of records between two snapshots while the log has not
+    /// dropped any records yet.
     wire::log_offset snapshot_interval_records = 256;
-    /// Time without a snapshot, for a log that drops records by their age.
+    /// Maximum time between two snapshots, for a log that drops records by age.
     base::millis max_snapshot_age = 300000;
 };
 
-/// How an append ended.
+/// The outcome of an append.
 enum class append_outcome {
-    appended, ///< It is in the log.
-    refused,  ///< It is not, and will not be.
-    unknown   ///< It may be.
+    appended, ///< The record is in the log.
+    refused,  ///< The record is not in the log and will not be.
+    unknown   ///< The record may be in the log.
 };
 
-/// Runs the non-idempotent requests of the shards whose home this node is:
-/// claims each key in the log, and dispatches a request only after it has
-/// read back that its claim is the first.
+/// Runs the non-idempotent requests of the shards for which this node is the
+/// home node. Claims each key in the log, and dispatches a request only after
+/// its own claim was read back as the first valid one.
 class claim_coordinator {
 public:
-    /// Constructs a home without shards.
+    /// Constructs a coordinator without shards. `incarnation` identifies the
+    /// process among those that ran under the same node id.
     claim_coordinator(base::node_id self, std::uint64_t incarnation,
-                      claim_options times);
+                      claim_options options);
 
-    /// Changes how long claims are kept, in ms.
-    void set_claim_retention(base::millis keep) {
-        options_.claim_retention = keep;
+    /// Sets `claim_options::claim_retention`.
+    void set_claim_retention(base::millis retention) {
+        options_.claim_retention = retention;
     }
 
-    /// Sets the shards that this node is home for. A new one begins with an
-    /// epoch record; an old one refuses what has not been claimed.
+    /// Sets the shards for which this node is the home node. For each new shard
+    /// an epoch record is appended. For a shard that moved away, the requests
+    /// that have not been dispatched are rejected.
     void assign_shards(const std::set<shard_number>& shards);
 
-    /// Takes a caller's request. The answer comes through an effect.
-    /// `now` is monotonic, `wall` the time of day.
+    /// Accepts a request of a caller; the response follows as a `send_response`
+    /// effect. `now` is monotonic time, `wall` the time of day.
     void submit(base::millis now, base::millis wall, claim_waiter_id waiter,
                 shard_number shard, const wire::service_request& request);
 
-    /// Notes what the log keeps of a shard's stream. Called before the records
-    /// of the same page are read.
+    /// Sets the range of offsets that the log holds for a shard's stream. Must
+    /// be called before the records of the same read are applied.
     void on_stream_bounds(base::millis now, base::millis wall,
                           shard_number shard, wire::log_offset first,
                           wire::log_offset end);
 
-    /// Takes over records of a shard's stream, in the order of offsets.
+    /// Applies a record of a shard's stream. Must be called in the order of
+    /// offsets.
     void apply_record(base::millis now, shard_number shard,
                       wire::log_offset offset,
                       const wire::claim_record& record);
 
-    /// Notes how the append of `id` to `shard` ended. A refused or unknown
-    /// one is tried again not before `retry_at`.
+    /// Records the outcome of the append of `id`. An append that was refused or
+    /// whose outcome is unknown is not retried before `retry_at`.
     void on_append_result(shard_number shard, const base::append_id& id,
                           append_outcome outcome, base::millis retry_at);
 
-    /// Notes how a dispatched request ended.
+    /// Records the outcome of a dispatched request.
     void on_service_response(shard_number shard,
-                             const wire::service_response& answer);
+                             const wire::service_response& response);
 
-    /// Sends due appends, answers callers whose deadlines have passed.
+    /// Sends the appends that are due and responds to callers whose deadlines
+    /// have passed.
     void tick(base::millis now, base::millis wall);
 
     /// Returns the shards whose streams must be read, each with the offset to
@@ -121,17 +127,19 @@
     std::vector<std::pair<shard_number, wire::log_offset>>
     shards_to_read() const;
 
-    /// Returns the number of requests between submission and answer, and of
-    /// records that still have to reach the log while it takes any.
+    /// Returns the number of requests without a response, plus, for shards
+    /// whose log accepts appends, the number of records and items that have not
+    /// been appended yet.
     std::size_t pending_count() const;
 
-    /// Returns what is to be done, in order, and forgets it.
+    /// Returns the pending effects in order and clears them.
     std::vector<claim_effect> take_effects();
 
 private:
     enum class stage { queued, appending, running };
 
-    /// One caller that waits for a request, by the monotonic clock.
+    /// A caller that waits for the response to a request. The deadline is in
+    /// monotonic time.
     struct waiting_caller {
         claim_waiter_id waiter = 0;
         base::millis deadline = 0;
@@ -140,10 +148,10 @@
     struct pending_request {
         wire::service_request request;
         std::vector<waiting_caller> waiters;
-        /// The latest of the waiters' deadlines.
+        /// The latest deadline of all waiters.
         base::millis deadline = 0;
         stage current_stage = stage::queued;
-        /// The number of the record that carries the claim.
+        /// Sequence number of the record that carries the claim.
         std::uint64_t sequence = 0;
     };
 
@@ -154,23 +162,25 @@
         wire::log_offset held_epoch = -1;
         std::map<base::request_id, pending_request> pending;
         std::vector<wire::claim_item> queued_items;
-        /// Keys whose release is queued, or in the log but not read back.
+        /// Keys whose release is queued or appended but has not been read back.
         std::set<base::request_id> unread_releases;
-        /// Outcomes that are queued, or in the log but not read back.
+        /// Outcomes that are queued or appended but have not been read back.
         std::map<base::request_id, wire::claim_item> unread_outcomes;
         std::optional<append_claims> in_flight;
         bool append_sent = false;
-        /// True if an earlier try of the append in flight may be in the log.
-        bool append_in_doubt = false;
-        /// The last record of this node that is in the log, and that was read.
+        /// True if an earlier attempt of the append in flight may have
+        /// succeeded.
+        bool append_uncertain = false;
+        /// Sequence numbers of this node's last record that was appended, and
+        /// of the last one that was read back.
         std::uint64_t last_appended = 0;
         std::uint64_t last_read_back = 0;
-        /// Records of this node up to this number may be copies of some that
-        /// were lost unread.
+        /// Records of this node up to this sequence number may be duplicates of
+        /// records that the log dropped before they were read.
         std::uint64_t sequence_barrier = 0;
-        /// The lowest offset that the log still has.
+        /// The lowest offset that the log still holds.
         wire::log_offset first_offset = 0;
-        /// Parts of a snapshot that have still to be written.
+        /// Snapshot parts that have not been appended yet.
         std::deque<wire::claim_snapshot> snapshot_parts;
         wire::log_offset snapshot_offset = 0;
         base::millis snapshot_advanced_at = 0;
@@ -180,39 +190,42 @@
         bool log_failing = false;
     };
 
-    bool holds_current_epoch(const shard_state& row) const;
+    bool holds_current_epoch(const shard_state& state) const;
     bool is_own(const wire::claim_record& record) const;
-    static bool is_refusing(const shard_state& row, base::millis now);
+    static bool is_refusing(const shard_state& state, base::millis now);
     std::optional<wire::service_response>
-    logged_response(const shard_state& row, const base::request_id& key) const;
+    logged_response(const shard_state& state,
+                    const base::request_id& key) const;
     std::optional<wire::service_response>
-    known_response(const shard_state& row, const wire::service_request& r,
-                   base::millis now, base::millis wall) const;
+    known_response(const shard_state& state,
+                   const wire::service_request& request, base::millis now,
+                   base::millis wall) const;
     wire::service_response
     make_completed_response(const base::request_id& key,
                             const std::string& body) const;
-    void respond_to_waiters(shard_state& row, const base::request_id& key,
-                            const wire::service_response& answer);
-    void reject_unclaimed(shard_state& row, wire::reason why);
-    void on_epoch_change(base::millis now, shard_state& row,
+    void respond_to_waiters(shard_state& state, const base::request_id& key,
+                            const wire::service_response& response);
+    void reject_unclaimed(shard_state& state, wire::reason reason);
+    void on_epoch_change(base::millis now, shard_state& state,
                          wire::log_offset offset,
                          const wire::claim_record& record);
-    void dispatch_claimed(base::millis now, shard_state& row,
+    void dispatch_claimed(base::millis now, shard_state& state,
                           const base::request_id& key);
-    void on_own_record(shard_state& row, const wire::claim_record& record);
-    void respond_to_rejected_claims(shard_state& row,
+    void on_own_record(shard_state& state, const wire::claim_record& record);
+    void respond_to_rejected_claims(shard_state& state,
                                     const wire::claim_record& record);
-    void queue_release(shard_state& row, const base::request_id& key);
-    void expire_requests(base::millis now, shard_state& row);
-    static void drop_queued_claims(shard_state& row,
+    void queue_release(shard_state& state, const base::request_id& key);
+    void expire_requests(base::millis now, shard_state& state);
+    static void drop_queued_claims(shard_state& state,
                                    const std::set<base::request_id>& keys);
     bool expire_waiters(base::millis now, const base::request_id& key,
-                        pending_request& p);
-    void drop_expired_claims(base::millis wall, shard_state& row);
-    bool is_snapshot_due(base::millis now, const shard_state& row) const;
-    void queue_snapshot(base::millis now, shard_state& row);
-    bool prepare_append(base::millis now, shard_number shard, shard_state& row);
-    void send_append(base::millis now, shard_number shard, shard_state& row);
+                        pending_request& pending);
+    void drop_expired_claims(base::millis wall, shard_state& state);
+    bool is_snapshot_due(base::millis now, const shard_state& state) const;
+    void queue_snapshot(base::millis now, shard_state& state);
+    bool prepare_append(base::millis now, shard_number shard,
+                        shard_state& state);
+    void send_append(base::millis now, shard_number shard, shard_state& state);
 
     base::node_id self_;
     std::uint64_t incarnation_;
--- a/packages/cluster/include/hibiscus/cluster/engine_coordinator.hpp
+++ b/packages/cluster/include/hibiscus/cluster/engine_coordinator.hpp
@@ -10,55 +10,57 @@
 
 namespace hibiscus::cluster {
 
-/// What an engine's home must know of an engine; it comes from the document
-/// and the instance list.
+/// The properties of an engine that its home node needs. They come from the
+/// configuration document and the instance list.
 struct engine_traits {
     int slots = 1;
-    /// Streams admitted beyond the slots.
+    /// Number of streams admitted beyond `slots`.
     int queue_limit = 0;
     bool leaving = false;
-    /// True if the engine refuses an order with an old fencing number.
+    /// True if the engine rejects orders with an outdated fencing token.
     bool checks_fencing = true;
-    /// The longest that an order is on its way, in ms.
+    /// Maximum time that an order may be in flight, in ms.
     base::millis order_lifetime = 5000;
-    /// The trainers that draw from the engine's pool.
+    /// The trainers that use the engine's pool.
     std::vector<base::trainer_id> trainers;
 };
 
-/// A stream at an engine, from its admission to the acknowledged report.
+/// A stream at an engine, from its admission until the trainer's home node
+/// acknowledges its report.
 struct admitted_stream {
     wire::stream_start start;
-    /// The trainer's home, which gets the reports.
+    /// The trainer's home node, which receives the reports.
     base::node_id report_to;
     wire::stream_state state = wire::stream_state::queued;
-    /// True once the engine may have the stream.
+    /// True once the start request has completed, even without a response; from
+    /// then on the engine may have the stream.
     bool started = false;
-    /// How many chunks are known.
+    /// Number of chunks received.
     std::uint32_t produced = 0;
     std::optional<wire::weight_version> oldest_version;
-    /// The whole text, once it is done.
+    /// The complete text of a finished stream.
     std::vector<wire::chunk> chunks;
-    /// When it is reported next.
+    /// When the next report is due.
     base::millis report_at = 0;
-    /// When it was done.
+    /// When the stream finished.
     base::millis done_at = 0;
 };
 
-/// An order to an engine that is on its way, or was carried out and does not
-/// show yet in what the engine says that it serves.
+/// An order that is in flight, or that the engine has executed without
+/// reporting the new version as served yet.
 struct pending_order {
     wire::version_order order;
     base::millis sent_at = 0;
-    /// When the engine said that it was carried out.
+    /// When the engine reported the order as executed.
     std::optional<base::millis> done_at;
 };
 
-/// An engine at its home.
+/// The state of an engine at its home node.
 struct engine_state {
     engine_traits traits;
-    /// When it last answered, or when this node became its home.
+    /// When the engine last responded, or when this node became its home node.
     base::millis responded_at = 0;
-    /// True once it has told this home what it serves.
+    /// True once the engine has reported its served versions to this node.
     bool has_responded = false;
     int failures = 0;
     std::vector<wire::served_version> serving;
@@ -67,159 +69,165 @@
     /// No order is sent before this time.
     base::millis order_not_before = 0;
     int order_failures = 0;
-    /// The epoch under which it may be ordered; 0 without one.
+    /// The epoch of the fencing tokens for this engine; 0 if there is none.
     std::int64_t epoch = 0;
     std::int64_t sequence = 0;
-    /// True while an epoch that will count for it is being appended.
+    /// True while an epoch for this engine is being appended.
     bool epoch_pending = false;
 
-    /// Returns the streams that are not done.
+    /// Returns the number of unfinished streams.
     int admitted_count() const;
 
-    /// Returns the streams that are not done, by trainer.
+    /// Returns the number of unfinished streams of each trainer.
     std::vector<wire::trainer_streams> admitted_by_trainer() const;
 
-    /// Returns the version that the engine serves for `trainer`, or 0.
+    /// Returns the version that the engine serves for `trainer`, or 0 if there
+    /// is none.
     wire::weight_version
     served_version_of(const base::trainer_id& trainer) const;
 };
 
-/// Start a stream at an engine.
+/// Starts a stream at an engine.
 struct start_at_engine {
     base::engine_id engine;
     wire::stream_start start;
 };
 
-/// Stop a stream at an engine.
+/// Stops a stream at an engine.
 struct stop_at_engine {
     base::engine_id engine;
     base::stream_id stream;
 };
 
-/// Send an order to an engine, unless `expires_at` has passed by then.
+/// Sends an order to an engine, unless `expires_at` has passed.
 struct send_order {
     base::engine_id engine;
     wire::version_order order;
     base::millis expires_at = 0;
 };
 
-/// Send a report to a trainer's home.
+/// Sends a report to a trainer's home node.
 struct send_report {
     base::node_id to;
     wire::sample_report report;
 };
 
-/// Append an epoch record for the engines that this node has become home of.
+/// Appends an epoch record for the engines that have no epoch yet.
 struct append_epoch {};
 
-/// What an engine_home wants done.
+/// An action that an engine_coordinator requests from its driver.
 using engine_effect = std::variant<start_at_engine, stop_at_engine, send_order,
                                    send_report, append_epoch>;
 
-/// Times that steer an engine_home, in ms.
+/// Settings of an engine_coordinator, in ms.
 struct engine_options {
-    /// How often running streams are reported.
+    /// Interval between two reports of a running stream.
     base::millis report_interval = 250;
-    /// An engine that has not answered for so long is unhealthy.
+    /// An engine without a response for longer than this is unhealthy.
     base::millis unhealthy_after = 1500;
-    /// Streams of an engine that has not answered for so long are given up.
+    /// The streams of an engine without a response for longer than this are
+    /// reported as missing.
     base::millis dead_after = 3000;
-    /// How long a refused placement waits.
+    /// How long the sender of a refused placement is asked to wait.
     base::millis retry_after = 100;
-    /// The first pause after a failed order; it doubles up to 32 times that.
+    /// Delay after the first failed order. It doubles with each failure, up to
+    /// 32 times this value.
     base::millis order_backoff = 200;
-    /// How long an engine may take to show an order that it carried out.
+    /// How long an engine may take to report the version of an executed order
+    /// as served.
     base::millis order_confirmation_timeout = 2000;
-    /// How long an engine whose turn to swap has not come is not asked about.
+    /// Interval between two checks whether an engine may swap.
     base::millis swap_check_interval = 100;
-    /// How long a finished stream is kept for a trainer's home that does not
-    /// acknowledge it.
+    /// How long a finished stream is kept while its report is not acknowledged.
     base::millis done_retention = 30000;
-    /// A longer time between two ticks means that the process was paused.
+    /// A longer time between two ticks means that this process was paused.
     base::millis pause_threshold = 1000;
 };
 
-/// Returns true if it is an engine's turn to swap to a version.
+/// Returns true if an engine may swap to a version now.
 using may_swap_function = std::function<bool(
     base::millis, const base::engine_id&, const wire::trainer_version&)>;
 
-/// Owns the admission and the orders of the engines whose home this node is.
-/// It knows the streams it has admitted exactly, whatever the lag of the
-/// engines' own reports.
+/// Admits streams to the engines for which this node is the home node, and
+/// orders their version swaps. Counts the admitted streams exactly, regardless
+/// of how late the engines report them.
 class engine_coordinator {
 public:
-    /// Constructs an empty home of the node `self` that asks `may_swap` for
-    /// the turn of each engine; without it all swap at once.
-    engine_coordinator(base::node_id self, engine_options times,
+    /// Constructs the coordinator of the node `self` without engines.
+    /// `may_swap` decides when each engine may swap; without it, all engines
+    /// swap at once.
+    engine_coordinator(base::node_id self, engine_options options,
                        may_swap_function may_swap = {});
 
-    /// Sets the engines that this node is home for. Streams of others are
-    /// left to their new home.
+    /// Sets the engines for which this node is the home node. The streams of
+    /// removed engines are not stopped; they belong to the new home node.
     void
     assign_engines(base::millis now,
                    const std::map<base::engine_id, engine_traits>& engines);
 
-    /// Admits a stream, finds the one of that id, or refuses. A known stream
-    /// that is asked for with a higher priority is started again with it.
+    /// Admits a stream, or refuses it. If a stream with this id is known
+    /// already, it is kept, and started again if the new priority is higher.
     wire::place_response admit_stream(base::millis now,
                                       const wire::place_sample& message);
 
-    /// Stops streams that are no longer wanted, unless another home has asked
-    /// for them since.
+    /// Stops streams that are no longer needed, unless a different home node
+    /// has requested them since.
     void cancel_streams(const wire::cancel_streams& message);
 
-    /// Forgets finished streams whose report has arrived.
+    /// Drops the streams whose final report was received.
     void acknowledge_reports(const wire::sample_ack& message);
 
-    /// Returns the question for the next poll of `engine`.
+    /// Returns the request for the next poll of `engine`.
     wire::engine_poll next_poll(const base::engine_id& engine) const;
 
-    /// Takes over an engine's answer to a poll.
+    /// Processes an engine's response to a poll.
     void on_poll_response(base::millis now, const base::engine_id& engine,
-                          const wire::engine_poll_response& news);
+                          const wire::engine_poll_response& response);
 
-    /// Notes that an engine did not answer.
+    /// Records a failed poll of an engine.
     void on_poll_failed(const base::engine_id& engine);
 
-    /// Notes whether the engine said that it has a stream. If not, it is asked
-    /// with the next poll.
+    /// Records that the request to start a stream has completed. The next poll
+    /// tells whether the engine has the stream, so `started` is not used.
     void on_start_result(const base::engine_id& engine,
                          const base::stream_id& stream, bool started);
 
-    /// Notes an engine's answer to an order, or nothing if none came.
+    /// Records the result of an order; `result` is empty if there was no
+    /// response.
     void on_order_result(base::millis now, const base::engine_id& engine,
-                         std::optional<wire::order_result> verdict);
+                         std::optional<wire::order_result> result);
 
-    /// Notes the epoch under which this node may order its engines.
+    /// Records the epoch for the engines that wait for one.
     void on_epoch_appended(std::int64_t epoch);
 
-    /// Notes that the log did not take the epoch; it is asked for again.
+    /// Records that appending the epoch failed. It is requested again, but not
+    /// before `retry_at`.
     void on_epoch_append_failed(base::millis retry_at);
 
-    /// Sends due reports, and orders where `wanted` is newer than what an
-    /// engine serves.
+    /// Sends the reports that are due, and orders swaps of engines that serve
+    /// an older version than `wanted` lists.
     void tick(base::millis now,
               const std::vector<wire::trainer_version>& wanted);
 
-    /// Returns the load of each engine of this home.
+    /// Returns the status of each engine of this node.
     std::vector<wire::engine_status> engine_statuses(base::millis now) const;
 
-    /// Returns the engines of this home.
+    /// Returns the engines of this node.
     const std::map<base::engine_id, engine_state>& engines() const {
         return engines_;
     }
 
-    /// Returns what is to be done, in order, and forgets it.
+    /// Returns the pending effects in order and clears them.
     std::vector<engine_effect> take_effects();
 
 private:
     bool is_healthy(base::millis now, const engine_state& engine) const;
     void apply_stream_update(base::millis now, engine_state& engine,
-                             const wire::stream_update& news);
+                             const wire::stream_update& update);
     void report_streams(base::millis now, const base::engine_id& id,
                         engine_state& engine);
     void add_report(const base::engine_id& engine, const base::stream_id& id,
-                    const admitted_stream& row);
+                    const admitted_stream& admitted);
     void reset_timeouts_after_pause(base::millis now);
     void request_epoch(base::millis now);
     void order_next_swap(base::millis now, const base::engine_id& id,
--- a/packages/cluster/include/hibiscus/cluster/engine_reachability.hpp
+++ b/packages/cluster/include/hibiscus/cluster/engine_reachability.hpp
@@ -7,31 +7,33 @@
 
 namespace hibiscus::cluster {
 
-/// Knows which nodes cannot speak to which engines. Unreachable is a fact of a
-/// pair: an engine that its home cannot reach goes to the next node in
-/// rendezvous order before it is taken for dead.
+/// Tracks which nodes cannot reach which engines. An engine may be unreachable
+/// from one node only. In that case it moves to the next node in rendezvous
+/// order and is not treated as dead.
 class engine_reachability {
 public:
-    /// Constructs an empty table. What a node says holds for `hold` ms, so
-    /// that it gets its engines back when the way between them is mended.
-    explicit engine_reachability(base::millis hold);
+    /// Constructs an empty table. A report of an unreachable engine expires
+    /// after `report_lifetime` ms, so that the node becomes the engine's home
+    /// node again after a network fault is repaired.
+    explicit engine_reachability(base::millis report_lifetime);
 
-    /// Notes what a node says of the engines whose home it is. Returns true
-    /// if an engine may have another home now.
+    /// Records the statuses that `node` reports for the engines whose home node
+    /// it is. Returns true if the home node of an engine may have changed.
     bool update(base::millis now, const base::node_id& node,
-                const std::vector<wire::engine_status>& digests);
+                const std::vector<wire::engine_status>& statuses);
 
-    /// Forgets what is too old. Returns true if an engine may have another
-    /// home now.
+    /// Removes expired reports. Returns true if the home node of an engine may
+    /// have changed.
     bool remove_expired(base::millis now);
 
-    /// Returns the home of `engine` among `members`, or the empty id.
+    /// Returns the home node of `engine` among `members`, or the empty id if no
+    /// member is ready.
     base::node_id home_of(const base::engine_id& engine,
                           const member_table& members) const;
 
 private:
-    base::millis hold_ms_;
-    /// By engine, the nodes that cannot reach it and until when that counts.
+    base::millis report_lifetime_ms_;
+    /// By engine, the nodes that cannot reach it and when each report expires.
     std::map<base::engine_id, std::map<base::node_id, base::millis>>
         unreachable_from_;
 };
--- a/packages/cluster/include/hibiscus/cluster/member_table.hpp
+++ b/packages/cluster/include/hibiscus/cluster/member_table.hpp
@@ -8,47 +8,50 @@
 
 namespace hibiscus::cluster {
 
-/// Returns the one of `nodes` that rendezvous hashing gives `key` to, or the
-/// empty id if there are none. A node that leaves moves only its own keys.
+/// Returns the node that rendezvous hashing selects for `key`, or the empty id
+/// if `nodes` is empty. When a node leaves, only its own keys move.
 base::node_id choose_by_rendezvous(std::string_view key,
                                    const std::vector<base::node_id>& nodes);
 
-/// A peer as its last heartbeat described it.
+/// A peer as described by its last heartbeat.
 struct member {
     wire::heartbeat heartbeat;
-    /// When the heartbeat came, by the receiver's monotonic clock.
+    /// When the heartbeat was received, by the receiver's monotonic clock.
     base::millis received_at = 0;
 };
 
-/// The entry instances that this one hears, itself included. Views of
-/// different nodes may differ; nothing that must hold rests on them.
+/// The entry instances from which this node receives heartbeats, including
+/// itself. The views of two nodes may differ, so safety must not depend on
+/// them.
 class member_table {
 public:
-    /// Constructs the table of the node `self`. A member whose heartbeats
-    /// stop for `timeout` ms is dropped.
+    /// Constructs the table of the node `self`. A member is removed if no
+    /// heartbeat was received from it for more than `timeout` ms.
     member_table(base::node_id self, base::millis timeout);
 
-    /// Notes a heartbeat, also the node's own. One of an earlier incarnation
-    /// is ignored.
-    void record_heartbeat(base::millis now, const wire::heartbeat& beat);
+    /// Records a heartbeat of a peer or of this node. Ignores heartbeats of
+    /// earlier incarnations.
+    void record_heartbeat(base::millis now, const wire::heartbeat& heartbeat);
 
-    /// Drops the members that have been silent for too long. Returns them.
+    /// Removes the members whose heartbeats have timed out and returns their
+    /// ids. Never removes this node.
     std::vector<base::node_id> remove_expired(base::millis now);
 
-    /// Returns the member `node`, or null if it is not heard.
+    /// Returns the member `node`, or null if it is unknown.
     const member* find(const base::node_id& node) const;
 
-    /// Returns all members that are heard, in the order of their ids.
+    /// Returns all members, ordered by id.
     const std::map<base::node_id, member>& all() const { return members_; }
 
-    /// Returns the node that is home for `key`: one that is ready, or the
-    /// empty id. For a key, ask with a prefix for its kind ("engine/e1").
+    /// Returns the home node of `key` among the ready nodes, or the empty id if
+    /// none is ready. `key` should start with its kind, as in "engine/e1".
     base::node_id home_of(std::string_view key) const;
 
-    /// Returns true if this node is home for `key`.
+    /// Returns true if this node is the home node of `key`.
     bool is_home(std::string_view key) const;
 
-    /// Returns a number that grows each time that homes may have moved.
+    /// Returns a number that increases whenever the home node of a key may have
+    /// changed.
     std::uint64_t generation() const { return generation_; }
 
 private:
--- a/packages/cluster/include/hibiscus/cluster/step_coordinator.hpp
+++ b/packages/cluster/include/hibiscus/cluster/step_coordinator.hpp
@@ -11,147 +11,153 @@
 
 namespace hibiscus::cluster {
 
-/// Names a caller that waits for an answer; the node maps it to a connection
-/// or a peer's call.
+/// Identifies a pull that waits for a response. The node maps it to a
+/// connection or to the call of a peer.
 using waiter_id = std::uint64_t;
 
-/// Asks the placement policy for an engine.
+/// A request to the placement policy for an engine.
 struct placement_query {
     base::trainer_id trainer;
     const std::string* prompt = nullptr;
-    /// True for the last slots of a step, which hold it up.
+    /// True for the last slots of a step, which delay its end.
     bool is_straggler = false;
 };
 
-/// What the placement policy answers.
+/// The decision of the placement policy.
 struct placement {
     base::engine_id engine;
     int priority = 0;
 };
 
-/// Chooses an engine, or none when all are full.
+/// Chooses an engine, or returns nothing if all engines are full.
 using placement_function =
     std::function<std::optional<placement>(const placement_query&)>;
 
-/// Returns how many versions a sample of a trainer may be behind, or nothing
-/// for a trainer that the document does not name.
+/// Returns how many versions a sample of a trainer may be behind the newest
+/// one, or nothing if the configuration document does not contain the trainer.
 using staleness_bound_function =
     std::function<std::optional<int>(const base::trainer_id&)>;
 
-/// Ask the engine's home to run a stream.
+/// Asks the engine's home node to run a stream.
 struct place_stream {
     base::engine_id engine;
     wire::stream_start start;
 };
 
-/// Tell the engine's home to stop a stream.
+/// Asks the engine's home node to stop a stream.
 struct cancel_stream {
     base::engine_id engine;
     base::stream_id stream;
 };
 
-/// Answer a waiting pull.
+/// Sends the response to a pull.
 struct send_pull_response {
     waiter_id waiter = 0;
     wire::pull_response response;
 };
 
-/// What a step_home wants done.
+/// An action that a step_coordinator requests from its driver.
 using step_effect =
     std::variant<place_stream, cancel_stream, send_pull_response>;
 
-/// Leaves the last slots of a step as they are.
+/// Does nothing about the last slots of a step.
 struct straggler_none {};
 
-/// Repeats the start of the last slots of a step with a higher priority, so
-/// that engines run them before streams that hold up nothing yet.
+/// Requests the streams of the last slots again with a higher priority, so that
+/// engines run them before streams of other steps.
 struct straggler_raise_priority {};
 
-/// Raises the priority and generates a slot anew on another engine if its
-/// stream has not begun where it is.
+/// Raises the priority, and also moves a slot to another engine if its stream
+/// has not started producing.
 struct straggler_move {};
 
-/// What is done about the last slots of a step, which hold it up.
+/// How the last slots of a step, which delay its end, are accelerated.
 using straggler_policy =
     std::variant<straggler_none, straggler_raise_priority, straggler_move>;
 
-/// Returns what is done about a trainer's stragglers.
+/// Returns the straggler policy of a trainer.
 using straggler_policy_function =
     std::function<straggler_policy(const base::trainer_id&)>;
 
-/// Times that steer a step_home, in ms.
+/// Settings of a step_coordinator, in ms.
 struct step_options {
-    /// A stream that is not heard of for so long is asked for again, and
-    /// given up after as long once more.
+    /// A stream without a report for this time is requested again. Its slot is
+    /// regenerated if there is no report for the same time after that.
     base::millis stream_timeout = 2500;
-    /// How long to wait after a refusal without a time of its own, and
-    /// before engines that were all full are asked again.
+    /// Delay after a refusal that names no delay of its own, and after all
+    /// engines were full.
     base::millis retry_delay = 50;
-    /// How long the first step of a trainer that is new here waits for
-    /// reports of streams that the former home has started.
+    /// How long the first step of a trainer at this node waits before its slots
+    /// are placed. In this time, reports of streams that the previous home node
+    /// started can arrive.
     base::millis adoption_delay = 0;
-    /// How long after its end a pull may still be answered with samples.
+    /// How long after its deadline a pull may still be answered with samples.
     base::millis pull_margin = 250;
-    /// A longer time between two ticks means that the process was paused.
+    /// A longer time between two ticks means that this process was paused.
     base::millis pause_threshold = 1000;
-    /// How long after a pause no samples are delivered, until the peers have
-    /// told the newest versions.
+    /// How long after a pause no samples are delivered. In this time, the peers
+    /// send the newest versions.
     base::millis post_pause_delay = 1000;
 };
 
-/// Owns the steps of the trainers whose home this node is. It holds nothing
-/// that must survive: the trainer knows what it has, and a new home generates
-/// the rest again.
+/// Runs the steps of the trainers for which this node is the home node. It
+/// holds no state that must survive a crash: the trainer knows which samples it
+/// has, and a new home node generates the missing ones again.
 class step_coordinator {
 public:
-    /// Constructs an empty home that asks `place` for engines, `bound` for
-    /// the staleness bounds and `stragglers` for what is done about them.
-    step_coordinator(base::node_id self, step_options times,
-                     placement_function place, staleness_bound_function bound,
-                     straggler_policy_function stragglers = {});
-
-    /// Opens a step; opening it again changes nothing. Of each trainer the
-    /// newest steps are kept.
+    /// Constructs a coordinator without steps. `choose_engine` places streams,
+    /// `staleness_bound` returns the bounds of trainers, and `policy` selects
+    /// what is done about stragglers.
+    step_coordinator(base::node_id self, step_options options,
+                     placement_function choose_engine,
+                     staleness_bound_function staleness_bound,
+                     straggler_policy_function policy = {});
+
+    /// Opens a step. Opening it again has no effect. Only the newest steps of
+    /// each trainer are kept.
     wire::step_response open_step(base::millis now,
                                   const wire::open_step& message);
 
-    /// Answers a pull, at once or through an effect later. Of two pulls of
-    /// the same trainer and step the earlier is answered `superseded`.
+    /// Accepts a pull; the response follows as a `send_pull_response` effect,
+    /// at once or later. If two pulls of the same step are pending, the earlier
+    /// one is rejected with `superseded`.
     void pull_samples(base::millis now, waiter_id waiter,
                       const wire::pull_step& message);
 
-    /// Forgets a waiting pull whose caller is gone.
+    /// Drops a waiting pull whose caller is gone.
     void cancel_pull(waiter_id waiter);
 
-    /// Notes what an engine's home says of streams. Returns the ids of the
-    /// finished ones, to acknowledge.
+    /// Processes the stream reports of an engine's home node. Returns the ids
+    /// of finished streams, which must be acknowledged.
     std::vector<base::stream_id> on_report(base::millis now,
                                            const wire::sample_report& report);
 
-    /// Notes that a stream was not admitted.
+    /// Records that a stream was not admitted.
     void on_placement_refused(base::millis now, const base::stream_id& stream,
                               base::millis retry_after);
 
-    /// Notes the newest version of a trainer: drops what is now too old.
+    /// Records the newest version of a trainer. Discards streams and samples
+    /// that became stale.
     void update_newest_version(base::millis now,
                                const base::trainer_id& trainer,
                                wire::weight_version newest);
 
-    /// Asks again at the next tick for the streams at engines for which
-    /// `moved` returns true: their home has changed.
+    /// Requests the streams again whose engines have a new home node, that is,
+    /// those for which `moved` returns true.
     void request_streams_again(
         base::millis now,
         const std::function<bool(const base::engine_id&)>& moved);
 
     /// Drops the steps of trainers for which `is_home` returns false and
-    /// answers their pulls `home_moved`.
+    /// rejects their pulls with `home_moved`.
     void release_trainers(
         const std::function<bool(const base::trainer_id&)>& is_home);
 
-    /// Places waiting slots, gives up on silent streams, ends long pulls.
+    /// Places waiting slots, handles streams without reports, and ends pulls
+    /// whose deadlines have passed.
     void tick(base::millis now);
 
-    /// Returns what is to be done, in order, and forgets it.
+    /// Returns the pending effects in order and clears them.
     std::vector<step_effect> take_effects();
 
     /// Returns the steps, for status pages.
@@ -177,7 +183,7 @@
                                  const wire::stream_report& report,
                                  std::vector<base::stream_id>& finished);
     bool adopt_stream(base::millis now, step_state& step,
-                      const stream_id_parts& name,
+                      const stream_id_parts& parts,
                       const wire::stream_report& report);
     void discard_stream(const wire::stream_report& report,
                         std::vector<base::stream_id>& finished);
@@ -199,7 +205,7 @@
     collect_samples(base::millis now, step_state& step,
                     const wire::pull_request& request);
     void respond_to_waiting_pull(base::millis now, const step_key& step);
-    void reject_pull(const waiting_pull& waiting, wire::reason why);
+    void reject_pull(const waiting_pull& waiting, wire::reason reason);
     wire::weight_version newest_version(const base::trainer_id& trainer) const;
 
     base::node_id self_;
@@ -208,7 +214,7 @@
     staleness_bound_function staleness_bound_;
     straggler_policy_function straggler_policy_;
     step_table steps_;
-    /// The highest step of each trainer that was dropped as too early.
+    /// By trainer, the highest step number that was dropped.
     std::map<base::trainer_id, wire::step_number> last_dropped_steps_;
     std::map<base::trainer_id, wire::weight_version> newest_versions_;
     /// At most one pull waits for each step.
--- a/packages/cluster/include/hibiscus/cluster/stream_id.hpp
+++ b/packages/cluster/include/hibiscus/cluster/stream_id.hpp
@@ -6,7 +6,7 @@
 
 namespace hibiscus::cluster {
 
-/// The parts of a stream's id.
+/// The parts of a stream id.
 struct stream_id_parts {
     base::trainer_id trainer;
     wire::step_number step = 0;
@@ -14,13 +14,15 @@
     std::uint32_t attempt = 0;
 };
 
-/// Returns the id of the stream that generates a slot: all homes derive the
-/// same one, so that a new home finds what the old one started.
+/// Returns the id of the stream that generates a sample slot. The id depends
+/// only on the arguments, so a new home node finds the streams that the
+/// previous one started.
 base::stream_id make_stream_id(const base::trainer_id& trainer,
                                wire::step_number step, wire::slot_index slot,
                                std::uint32_t attempt);
 
-/// Returns the parts of an id that stream_of() made, or nothing for another.
+/// Returns the parts of an id made by make_stream_id(), or nothing for any
+/// other text.
 std::optional<stream_id_parts> parse_stream_id(const base::stream_id& id);
 
 } // namespace hibiscus::cluster
--- a/packages/cluster/include/hibiscus/cluster/version_table.hpp
+++ b/packages/cluster/include/hibiscus/cluster/version_table.hpp
@@ -8,20 +8,22 @@
 namespace hibiscus::cluster {
 
 /// The newest weight version of each trainer that this node knows. Versions
-/// only grow, so nodes that exchange them agree without any order.
+/// only grow, so nodes that exchange them converge regardless of the order of
+/// messages.
 class version_table {
 public:
-    /// Notes a version. Returns true if it is newer than the one known.
+    /// Records a version. Returns true if it is newer than the known one.
     bool update(base::millis now, const base::trainer_id& trainer,
                 wire::weight_version version);
 
-    /// Returns the newest version known, 0 if there is none.
+    /// Returns the newest known version, or 0 if there is none.
     wire::weight_version newest(const base::trainer_id& trainer) const;
 
-    /// Returns when the newest version became known, 0 if there is none.
+    /// Returns the time at which the newest version became known, or 0 if there
+    /// is none.
     base::millis updated_at(const base::trainer_id& trainer) const;
 
-    /// Returns all newest versions, in the order of the trainers.
+    /// Returns the newest version of each trainer, ordered by trainer.
     std::vector<wire::trainer_version> all() const;
 
 private:
--- a/packages/cluster/src/claim_state_machine.cpp
+++ b/packages/cluster/src/claim_state_machine.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-/// Writers without claims that a snapshot still names.
+/// Number of writers that a snapshot keeps even if their last records are older
+/// than the current epoch and all claims.
 constexpr std::size_t max_idle_writers = 256;
 
 } // namespace
@@ -51,9 +52,10 @@
 
 void claim_state_machine::start_epoch(wire::log_offset offset,
                                       const wire::claim_record& record) {
-    // After a loss this may be a copy of a record that is gone. Those who read
-    // the first one drop it and go on under another epoch; a holder by this
-    // fold would then run what they run.
+    // After a loss of records, this may be a duplicate of a record that was
+    // dropped. Other nodes read the first copy, ignore this one, and are in a
+    // different epoch. Accepting it here would create a second holder, which
+    // could run the same requests.
     if (epoch_barrier_ && (record.node != epoch_barrier_->node ||
                            record.incarnation != epoch_barrier_->incarnation ||
                            record.sequence <= epoch_barrier_->sequence)) {
@@ -65,14 +67,15 @@
 
 bool claim_state_machine::is_duplicate(wire::log_offset offset,
                                        const wire::claim_record& record) {
-    // A late copy of a release would free a key that was claimed again since,
-    // and the request would run twice. A writer has one append on its way at a
-    // time, so a number that does not grow is a copy.
-    auto& last = writers_[{record.node, record.incarnation}];
-    if (record.sequence <= last.sequence) {
+    // A late duplicate of a release would free a key that was claimed again
+    // since, and the request would run twice. A writer has at most one append
+    // in flight, so a record whose sequence number does not increase is a
+    // duplicate.
+    auto& position = writers_[{record.node, record.incarnation}];
+    if (record.sequence <= position.sequence) {
         return true;
     }
-    last = {record.sequence, offset};
+    position = {record.sequence, offset};
     return false;
 }
 
@@ -83,8 +86,8 @@
     if (first <= next_offset_) {
         return;
     }
-    // A claim among the lost records may stand for a request that ran. Until a
-    // snapshot tells, no key can be said to be free.
+    // A lost record may contain the claim of a request that was executed. No
+    // key is known to be free until a snapshot covers the lost records.
     next_offset_ = first;
     epoch_.reset();
     partial_snapshot_ = {};
@@ -125,13 +128,14 @@
     writers_.clear();
     for (const auto& [number, part] : complete.parts) {
         for (const auto& item : part.claims) {
-            const bool known = item.kind == wire::claim_kind::outcome;
+            const bool has_outcome = item.kind == wire::claim_kind::outcome;
             claims_[item.key] = {item.epoch, item.created_ms,
-                                 known ? std::make_optional(item.body)
-                                       : std::nullopt};
+                                 has_outcome ? std::make_optional(item.body)
+                                             : std::nullopt};
         }
-        for (const auto& w : part.writers) {
-            writers_[{w.node, w.incarnation}] = {w.sequence, w.at};
+        for (const auto& writer : part.writers) {
+            writers_[{writer.node, writer.incarnation}] = {writer.sequence,
+                                                           writer.at};
         }
         if (part.epoch >= 0) {
             epoch_ = shard_epoch{part.epoch, part.holder, part.incarnation};
@@ -141,11 +145,11 @@
     apply_deferred_records(complete.covers);
 }
 
-void claim_state_machine::apply_deferred_records(wire::log_offset from) {
-    const auto waiting = std::move(gap_->deferred_records);
+void claim_state_machine::apply_deferred_records(wire::log_offset first) {
+    const auto deferred = std::move(gap_->deferred_records);
     gap_.reset();
-    for (const auto& [offset, record] : waiting) {
-        if (offset >= from) {
+    for (const auto& [offset, record] : deferred) {
+        if (offset >= first) {
             apply_record(offset, record);
         }
     }
@@ -158,38 +162,40 @@
 }
 
 std::vector<wire::claim_snapshot>
-claim_state_machine::make_snapshot(std::size_t most) const {
-    wire::claim_snapshot head;
-    head.covers = next_offset_;
-    head.forgotten_before = dropped_before_;
-    auto oldest = next_offset_;
+claim_state_machine::make_snapshot(std::size_t max_claims_per_part) const {
+    wire::claim_snapshot header;
+    header.covers = next_offset_;
+    header.forgotten_before = dropped_before_;
+    auto oldest_needed = next_offset_;
     if (epoch_) {
-        head.epoch = epoch_->number;
-        head.holder = epoch_->node;
-        head.incarnation = epoch_->incarnation;
-        oldest = epoch_->number;
-    }
-    std::vector<wire::claim_snapshot> parts{head};
-    for (const auto& [key, row] : claims_) {
-        oldest = std::min(oldest, row.epoch);
-        if (parts.back().claims.size() >= most) {
-            parts.push_back(head);
+        header.epoch = epoch_->number;
+        header.holder = epoch_->node;
+        header.incarnation = epoch_->incarnation;
+        oldest_needed = epoch_->number;
+    }
+    std::vector<wire::claim_snapshot> parts{header};
+    for (const auto& [key, claim] : claims_) {
+        oldest_needed = std::min(oldest_needed, claim.epoch);
+        if (parts.back().claims.size() >= max_claims_per_part) {
+            parts.push_back(header);
         }
         parts.back().claims.push_back(
-            {row.body ? wire::claim_kind::outcome : wire::claim_kind::claim,
-             key, row.epoch, row.created_ms, row.body.value_or("")});
+            {claim.body ? wire::claim_kind::outcome : wire::claim_kind::claim,
+             key, claim.epoch, claim.created_ms, claim.body.value_or("")});
     }
-    // A fold that lacks a writer takes a late copy of its record for new. So
-    // all writers stay that have claims, and of the others the latest, whose
-    // copies may still be on their way.
+    // A state machine that does not know a writer would accept a late duplicate
+    // of its record. The snapshot therefore keeps all writers with records
+    // since the oldest epoch of a claim, and of the others the latest ones,
+    // whose duplicates may still be in flight.
     std::vector<wire::claim_writer> writers;
-    for (const auto& [writer, last] : writers_) {
+    for (const auto& [writer, position] : writers_) {
         writers.push_back(
-            {writer.first, writer.second, last.sequence, last.offset});
+            {writer.first, writer.second, position.sequence, position.offset});
     }
     std::sort(writers.begin(), writers.end(),
               [](const auto& a, const auto& b) { return a.at > b.at; });
-    while (writers.size() > max_idle_writers && writers.back().at < oldest) {
+    while (writers.size() > max_idle_writers &&
+           writers.back().at < oldest_needed) {
         writers.pop_back();
     }
     parts.front().writers = std::move(writers);
@@ -201,30 +207,32 @@
 }
 
 bool claim_state_machine::apply_item(const wire::claim_item& item) {
-    const auto at = claims_.find(item.key);
+    const auto it = claims_.find(item.key);
     switch (item.kind) {
     case wire::claim_kind::claim:
-        // Without an epoch to judge by, each claim may be one that runs.
-        if (epoch_barrier_ && at == claims_.end()) {
+        // Until an epoch is known after a loss of records, every claim may be a
+        // valid one.
+        if (epoch_barrier_ && it == claims_.end()) {
             claims_[item.key] = {item.epoch, item.created_ms, std::nullopt};
             return false;
         }
-        // A holder that was paused may append under its old epoch after a new
-        // one began; the new holder has answered for the key by then.
-        if (at != claims_.end() || !epoch_ || item.epoch != epoch_->number) {
+        // A holder that was paused may append a claim under its old epoch after
+        // a new epoch has started. By then the new holder may have responded to
+        // callers of the key.
+        if (it != claims_.end() || !epoch_ || item.epoch != epoch_->number) {
             return false;
         }
         claims_[item.key] = {item.epoch, item.created_ms, std::nullopt};
         return true;
     case wire::claim_kind::outcome:
-        if (at != claims_.end() && at->second.epoch == item.epoch) {
-            at->second.body = item.body;
+        if (it != claims_.end() && it->second.epoch == item.epoch) {
+            it->second.body = item.body;
         }
         return false;
     case wire::claim_kind::release:
-        if (at != claims_.end() && at->second.epoch == item.epoch &&
-            !at->second.body) {
-            claims_.erase(at);
+        if (it != claims_.end() && it->second.epoch == item.epoch &&
+            !it->second.body) {
+            claims_.erase(it);
         }
         return false;
     }
@@ -233,8 +241,8 @@
 
 const claim_entry*
 claim_state_machine::find(const base::request_id& key) const {
-    const auto at = claims_.find(key);
-    return at == claims_.end() ? nullptr : &at->second;
+    const auto it = claims_.find(key);
+    return it == claims_.end() ? nullptr : &it->second;
 }
 
 const shard_epoch* claim_state_machine::current_epoch() const {
@@ -243,9 +251,9 @@
 
 void claim_state_machine::drop_claims_before(base::millis created_before_ms) {
     dropped_before_ = std::max(dropped_before_, created_before_ms);
-    for (auto at = claims_.begin(); at != claims_.end();) {
-        at = at->second.created_ms < created_before_ms ? claims_.erase(at)
-                                                       : std::next(at);
+    for (auto it = claims_.begin(); it != claims_.end();) {
+        it = it->second.created_ms < created_before_ms ? claims_.erase(it)
+                                                       : std::next(it);
     }
 }
 
--- a/packages/cluster/src/engine_coordinator.cpp
+++ b/packages/cluster/src/engine_coordinator.cpp
@@ -8,68 +8,71 @@
 
 constexpr int failures_until_unhealthy = 2;
 
-/// Returns true if `chunks` are a whole text from its beginning.
+/// Returns true if `chunks` is a complete text from its first chunk.
 bool is_complete_text(const std::vector<wire::chunk>& chunks) {
     std::uint32_t next = 0;
-    return !chunks.empty() &&
-           std::all_of(chunks.begin(), chunks.end(),
-                       [&](const wire::chunk& c) { return c.seq == next++; });
+    return !chunks.empty() && std::all_of(chunks.begin(), chunks.end(),
+                                          [&](const wire::chunk& chunk) {
+                                              return chunk.seq == next++;
+                                          });
 }
 
 } // namespace
 
 int engine_state::admitted_count() const {
     return static_cast<int>(
-        std::count_if(streams.begin(), streams.end(), [](const auto& s) {
-            return s.second.state != wire::stream_state::done;
+        std::count_if(streams.begin(), streams.end(), [](const auto& entry) {
+            return entry.second.state != wire::stream_state::done;
         }));
 }
 
 std::vector<wire::trainer_streams> engine_state::admitted_by_trainer() const {
     std::map<base::trainer_id, int> counts;
-    for (const auto& [id, row] : streams) {
-        if (row.state != wire::stream_state::done) {
-            ++counts[row.start.trainer];
+    for (const auto& [id, admitted] : streams) {
+        if (admitted.state != wire::stream_state::done) {
+            ++counts[admitted.start.trainer];
         }
     }
-    std::vector<wire::trainer_streams> rows;
-    rows.reserve(counts.size());
+    std::vector<wire::trainer_streams> result;
+    result.reserve(counts.size());
     for (const auto& [trainer, count] : counts) {
-        rows.push_back({trainer, count});
+        result.push_back({trainer, count});
     }
-    return rows;
+    return result;
 }
 
 wire::weight_version
 engine_state::served_version_of(const base::trainer_id& trainer) const {
-    for (const auto& row : serving) {
-        if (row.trainer == trainer) {
-            return row.version;
+    for (const auto& served : serving) {
+        if (served.trainer == trainer) {
+            return served.version;
         }
     }
     return 0;
 }
 
-engine_coordinator::engine_coordinator(base::node_id self, engine_options times,
+engine_coordinator::engine_coordinator(base::node_id self,
+                                       engine_options options,
                                        may_swap_function may_swap)
-    : self_(std::move(self)), options_(times), may_swap_(std::move(may_swap)) {}
+    : self_(std::move(self)), options_(options),
+      may_swap_(std::move(may_swap)) {}
 
 void engine_coordinator::assign_engines(
     base::millis now, const std::map<base::engine_id, engine_traits>& engines) {
-    for (auto at = engines_.begin(); at != engines_.end();) {
-        at = engines.count(at->first) == 0 ? engines_.erase(at) : std::next(at);
+    for (auto it = engines_.begin(); it != engines_.end();) {
+        it = engines.count(it->first) == 0 ? engines_.erase(it) : std::next(it);
     }
     for (const auto& [id, traits] : engines) {
-        const auto [at, fresh] = engines_.try_emplace(id);
-        at->second.traits = traits;
-        if (!fresh) {
+        const auto [it, inserted] = engines_.try_emplace(id);
+        it->second.traits = traits;
+        if (!inserted) {
             continue;
         }
-        at->second.responded_at = now;
-        // An order of the former home may still be on its way. One with a
-        // later number makes an engine that checks refuse it; where the
-        // engine does not check, waiting out its life does the same.
-        at->second.order_not_before =
+        it->second.responded_at = now;
+        // An order of the previous home node may still be in flight. An engine
+        // that checks fencing tokens rejects it once it has received a later
+        // one. For other engines, wait until the order has expired.
+        it->second.order_not_before =
             traits.checks_fencing ? now : now + traits.order_lifetime;
     }
 }
@@ -77,21 +80,21 @@
 wire::place_response
 engine_coordinator::admit_stream(base::millis now,
                                  const wire::place_sample& message) {
-    const auto at = engines_.find(message.engine);
-    if (at == engines_.end()) {
+    const auto it = engines_.find(message.engine);
+    if (it == engines_.end()) {
         return {wire::outcome::not_run, wire::reason::home_moved,
                 options_.retry_after};
     }
-    auto& engine = at->second;
+    auto& engine = it->second;
     const auto known = engine.streams.find(message.start.stream);
     if (known != engine.streams.end()) {
-        auto& row = known->second;
-        row.report_to = message.home;
-        row.report_at = now;
-        if (message.start.priority > row.start.priority &&
-            row.state != wire::stream_state::done) {
-            row.start.priority = message.start.priority;
-            effects_.push_back(start_at_engine{message.engine, row.start});
+        auto& admitted = known->second;
+        admitted.report_to = message.home;
+        admitted.report_at = now;
+        if (message.start.priority > admitted.start.priority &&
+            admitted.state != wire::stream_state::done) {
+            admitted.start.priority = message.start.priority;
+            effects_.push_back(start_at_engine{message.engine, admitted.start});
         }
         return {wire::outcome::completed, wire::reason::none, 0};
     }
@@ -104,25 +107,26 @@
         return {wire::outcome::not_run, wire::reason::overloaded,
                 options_.retry_after};
     }
-    admitted_stream row;
-    row.start = message.start;
-    row.report_to = message.home;
-    row.report_at = now + options_.report_interval;
-    engine.streams.emplace(message.start.stream, std::move(row));
+    admitted_stream admitted;
+    admitted.start = message.start;
+    admitted.report_to = message.home;
+    admitted.report_at = now + options_.report_interval;
+    engine.streams.emplace(message.start.stream, std::move(admitted));
     effects_.push_back(start_at_engine{message.engine, message.start});
     return {wire::outcome::completed, wire::reason::none, 0};
 }
 
 void engine_coordinator::cancel_streams(const wire::cancel_streams& message) {
-    const auto at = engines_.find(message.engine);
+    const auto it = engines_.find(message.engine);
     for (const auto& stream : message.streams) {
-        if (at != engines_.end()) {
-            auto& streams = at->second.streams;
-            const auto row = streams.find(stream);
-            // A trainer's former home may wake from a pause and stop what is
-            // no longer its own; the present home would lose the sample.
-            if (row != streams.end() && !message.home.empty() &&
-                row->second.report_to != message.home) {
+        if (it != engines_.end()) {
+            auto& streams = it->second.streams;
+            const auto admitted = streams.find(stream);
+            // The previous home node of a trainer may resume after a pause and
+            // stop a stream that now belongs to the current home node, which
+            // would lose the sample.
+            if (admitted != streams.end() && !message.home.empty() &&
+                admitted->second.report_to != message.home) {
                 continue;
             }
             streams.erase(stream);
@@ -135,7 +139,7 @@
     for (const auto& stream : message.streams) {
         for (auto& [id, engine] : engines_) {
             if (engine.streams.erase(stream) > 0) {
-                // The engine keeps the text until it is told to forget it.
+                // The engine keeps the text until the stream is stopped.
                 effects_.push_back(stop_at_engine{id, stream});
             }
         }
@@ -145,15 +149,16 @@
 wire::engine_poll
 engine_coordinator::next_poll(const base::engine_id& engine) const {
     wire::engine_poll poll;
-    const auto at = engines_.find(engine);
-    if (at == engines_.end()) {
+    const auto it = engines_.find(engine);
+    if (it == engines_.end()) {
         return poll;
     }
-    for (const auto& [id, row] : at->second.streams) {
-        // An engine that is asked for a stream before its start has arrived
-        // says that it is missing, and the slot would be given up.
-        if (row.started && row.state != wire::stream_state::done) {
-            poll.streams.push_back({id, row.produced});
+    for (const auto& [id, admitted] : it->second.streams) {
+        // An engine that is polled for a stream before the start request has
+        // arrived reports the stream as missing, and its slot would be
+        // regenerated.
+        if (admitted.started && admitted.state != wire::stream_state::done) {
+            poll.streams.push_back({id, admitted.produced});
         }
     }
     return poll;
@@ -161,82 +166,82 @@
 
 void engine_coordinator::on_poll_response(
     base::millis now, const base::engine_id& engine,
-    const wire::engine_poll_response& news) {
-    const auto at = engines_.find(engine);
-    if (at == engines_.end()) {
+    const wire::engine_poll_response& response) {
+    const auto it = engines_.find(engine);
+    if (it == engines_.end()) {
         return;
     }
-    at->second.responded_at = now;
-    at->second.has_responded = true;
-    at->second.failures = 0;
-    at->second.serving = news.serving;
-    for (const auto& one : news.streams) {
-        apply_stream_update(now, at->second, one);
+    it->second.responded_at = now;
+    it->second.has_responded = true;
+    it->second.failures = 0;
+    it->second.serving = response.serving;
+    for (const auto& update : response.streams) {
+        apply_stream_update(now, it->second, update);
     }
 }
 
-void engine_coordinator::apply_stream_update(base::millis now,
-                                             engine_state& engine,
-                                             const wire::stream_update& news) {
-    const auto at = engine.streams.find(news.stream);
-    if (at == engine.streams.end() ||
-        at->second.state == wire::stream_state::done) {
+void engine_coordinator::apply_stream_update(
+    base::millis now, engine_state& engine, const wire::stream_update& update) {
+    const auto it = engine.streams.find(update.stream);
+    if (it == engine.streams.end() ||
+        it->second.state == wire::stream_state::done) {
         return;
     }
-    auto& row = at->second;
-    if (news.state == wire::stream_state::done &&
-        !is_complete_text(news.chunks)) {
-        // The parts that came before may be those of another run of the same
-        // stream: the engine restarted, or another home stopped and started
-        // it. Put together they would be a text that nobody produced, so a
-        // finished text is read in one answer, from its beginning.
-        row.produced = 0;
+    auto& admitted = it->second;
+    if (update.state == wire::stream_state::done &&
+        !is_complete_text(update.chunks)) {
+        // Earlier chunks may be from another run of the same stream: the engine
+        // was restarted, or another home node stopped and started the stream.
+        // Combined they would form a text that was never generated, so a
+        // finished text is read in one response, from its first chunk.
+        admitted.produced = 0;
         return;
     }
-    for (const auto& c : news.chunks) {
-        // Answers to two polls may overlap; a chunk counts once.
-        if (c.seq == row.produced) {
-            ++row.produced;
-            row.oldest_version =
-                std::min(row.oldest_version.value_or(c.version), c.version);
+    for (const auto& chunk : update.chunks) {
+        // The responses to two polls may overlap; each chunk counts once.
+        if (chunk.seq == admitted.produced) {
+            ++admitted.produced;
+            admitted.oldest_version = std::min(
+                admitted.oldest_version.value_or(chunk.version), chunk.version);
         }
     }
-    row.state = news.state;
-    if (news.state == wire::stream_state::done) {
-        row.chunks = news.chunks;
-        row.produced = static_cast<std::uint32_t>(row.chunks.size());
-        row.oldest_version = row.chunks.front().version;
-        for (const auto& c : row.chunks) {
-            row.oldest_version = std::min(*row.oldest_version, c.version);
+    admitted.state = update.state;
+    if (update.state == wire::stream_state::done) {
+        admitted.chunks = update.chunks;
+        admitted.produced = static_cast<std::uint32_t>(admitted.chunks.size());
+        admitted.oldest_version = admitted.chunks.front().version;
+        for (const auto& chunk : admitted.chunks) {
+            admitted.oldest_version =
+                std::min(*admitted.oldest_version, chunk.version);
         }
-        row.done_at = now;
+        admitted.done_at = now;
     }
-    if (news.state == wire::stream_state::done ||
-        news.state == wire::stream_state::missing) {
-        row.report_at = now;
+    if (update.state == wire::stream_state::done ||
+        update.state == wire::stream_state::missing) {
+        admitted.report_at = now;
     }
 }
 
 void engine_coordinator::on_poll_failed(const base::engine_id& engine) {
-    const auto at = engines_.find(engine);
-    if (at != engines_.end()) {
-        ++at->second.failures;
+    const auto it = engines_.find(engine);
+    if (it != engines_.end()) {
+        ++it->second.failures;
     }
 }
 
 void engine_coordinator::on_start_result(const base::engine_id& engine,
                                          const base::stream_id& stream,
                                          bool /*started*/) {
-    const auto at = engines_.find(engine);
-    if (at == engines_.end()) {
+    const auto it = engines_.find(engine);
+    if (it == engines_.end()) {
         return;
     }
-    const auto row = at->second.streams.find(stream);
-    if (row != at->second.streams.end()) {
-        // Without an answer the engine may have the stream all the same. Taken
-        // for missing it would run unseen and keep a slot from others; the
-        // next poll tells.
-        row->second.started = true;
+    const auto admitted = it->second.streams.find(stream);
+    if (admitted != it->second.streams.end()) {
+        // Even without a response the engine may have the stream. If it were
+        // treated as missing, it would keep running and occupy a slot; the next
+        // poll tells.
+        admitted->second.started = true;
     }
 }
 
@@ -248,8 +253,8 @@
 
 void engine_coordinator::reset_timeouts_after_pause(base::millis now) {
     if (last_tick_at_ && now - *last_tick_at_ > options_.pause_threshold) {
-        // This process stood still, not its engines. Their streams would all
-        // be given up at once.
+        // This process was paused, not its engines. Without the reset, all
+        // their streams would be reported as missing.
         for (auto& [id, engine] : engines_) {
             engine.responded_at = now;
         }
@@ -276,54 +281,55 @@
                                         const base::engine_id& id,
                                         engine_state& engine) {
     const bool dead = now - engine.responded_at > options_.dead_after;
-    for (auto at = engine.streams.begin(); at != engine.streams.end();) {
-        auto& row = at->second;
-        const bool done = row.state == wire::stream_state::done;
+    for (auto it = engine.streams.begin(); it != engine.streams.end();) {
+        auto& admitted = it->second;
+        const bool done = admitted.state == wire::stream_state::done;
         if (dead && !done) {
-            // Called running any longer, the slot would never be generated
-            // elsewhere and its step would not end.
-            row.state = wire::stream_state::missing;
-            row.report_at = now;
+            // If the stream were still reported as running, its slot would
+            // never be regenerated elsewhere and the step would not end.
+            admitted.state = wire::stream_state::missing;
+            admitted.report_at = now;
         }
-        if (now < row.report_at) {
-            ++at;
+        if (now < admitted.report_at) {
+            ++it;
             continue;
         }
-        if (done && now - row.done_at > options_.done_retention) {
-            effects_.push_back(stop_at_engine{id, at->first});
-            at = engine.streams.erase(at);
+        if (done && now - admitted.done_at > options_.done_retention) {
+            effects_.push_back(stop_at_engine{id, it->first});
+            it = engine.streams.erase(it);
             continue;
         }
-        row.report_at = now + options_.report_interval;
-        add_report(id, at->first, row);
-        // A missing stream is told once; if that is lost, the trainer's home
-        // notices the silence.
-        at = row.state == wire::stream_state::missing ? engine.streams.erase(at)
-                                                      : std::next(at);
+        admitted.report_at = now + options_.report_interval;
+        add_report(id, it->first, admitted);
+        // A missing stream is reported once. If the report is lost, the
+        // trainer's home node times out the stream.
+        it = admitted.state == wire::stream_state::missing
+                 ? engine.streams.erase(it)
+                 : std::next(it);
     }
 }
 
 void engine_coordinator::add_report(const base::engine_id& engine,
                                     const base::stream_id& id,
-                                    const admitted_stream& row) {
-    auto& batch = outgoing_reports_[row.report_to];
-    batch.from = self_;
-    batch.streams.push_back(
-        {engine, id, row.state, row.chunks, row.oldest_version, row.produced});
+                                    const admitted_stream& admitted) {
+    auto& report = outgoing_reports_[admitted.report_to];
+    report.from = self_;
+    report.streams.push_back({engine, id, admitted.state, admitted.chunks,
+                              admitted.oldest_version, admitted.produced});
 }
 
 std::vector<wire::engine_status>
 engine_coordinator::engine_statuses(base::millis now) const {
-    std::vector<wire::engine_status> rows;
-    rows.reserve(engines_.size());
+    std::vector<wire::engine_status> statuses;
+    statuses.reserve(engines_.size());
     for (const auto& [id, engine] : engines_) {
         const bool reachable = is_healthy(now, engine);
-        rows.push_back(
+        statuses.push_back(
             {id, engine.admitted_count(), engine.traits.slots,
              reachable && engine.has_responded && !engine.traits.leaving,
              engine.serving, reachable, engine.admitted_by_trainer()});
     }
-    return rows;
+    return statuses;
 }
 
 std::vector<engine_effect> engine_coordinator::take_effects() {
--- a/packages/cluster/src/engine_orders.cpp
+++ b/packages/cluster/src/engine_orders.cpp
@@ -1,5 +1,4 @@
-// The orders of an engine_home: which version an engine is to serve, and under
-// which epoch.
+// The part of engine_coordinator that orders version swaps of engines.
 
 #include "hibiscus/cluster/engine_coordinator.hpp"
 
@@ -15,34 +14,34 @@
 
 void engine_coordinator::on_order_result(
     base::millis now, const base::engine_id& engine,
-    std::optional<wire::order_result> verdict) {
-    const auto at = engines_.find(engine);
-    if (at == engines_.end() || !at->second.order) {
+    std::optional<wire::order_result> result) {
+    const auto it = engines_.find(engine);
+    if (it == engines_.end() || !it->second.order) {
         return;
     }
-    auto& row = at->second;
-    if (verdict == wire::order_result::done) {
-        row.order->done_at = now;
+    auto& state = it->second;
+    if (result == wire::order_result::done) {
+        state.order->done_at = now;
         return;
     }
-    const auto sent_at = row.order->sent_at;
-    row.order.reset();
-    delay_next_order(now, row);
-    if (!verdict && !row.traits.checks_fencing) {
-        // The order may still arrive. Sent now, a newer one could be
-        // overtaken by it, and the engine would go back a version.
-        row.order_not_before =
-            std::max(row.order_not_before, sent_at + row.traits.order_lifetime);
+    const auto sent_at = state.order->sent_at;
+    state.order.reset();
+    delay_next_order(now, state);
+    if (!result && !state.traits.checks_fencing) {
+        // The order may still arrive. It could overtake a newer order that is
+        // sent now, and the engine would return to an older version.
+        state.order_not_before = std::max(
+            state.order_not_before, sent_at + state.traits.order_lifetime);
     }
-    if (verdict == wire::order_result::fenced) {
-        row.epoch = 0;
+    if (result == wire::order_result::fenced) {
+        state.epoch = 0;
     }
 }
 
 void engine_coordinator::delay_next_order(base::millis now,
                                           engine_state& engine) const {
-    // A swap that fails at once would be ordered again at once and keep the
-    // engine from its streams; it serves what it has meanwhile.
+    // Without a backoff, a swap that fails at once would be repeated at once
+    // and would keep the engine from serving its streams.
     const int doublings =
         std::min(engine.order_failures++, max_backoff_doublings);
     engine.order_not_before = now + (options_.order_backoff << doublings);
@@ -59,7 +58,7 @@
         engine.order_failures = 0;
     } else if (now - *engine.order->done_at >
                options_.order_confirmation_timeout) {
-        // It said that the swap was done and serves another version.
+        // The engine reported the swap as done but serves another version.
         engine.order.reset();
         delay_next_order(now, engine);
     }
@@ -80,8 +79,8 @@
 void engine_coordinator::on_epoch_appended(std::int64_t epoch) {
     epoch_pending_ = false;
     for (auto& [id, engine] : engines_) {
-        // An engine that came to this home after the append may have been
-        // ordered by another home under a later epoch.
+        // An engine that was assigned to this node after the append started may
+        // have received orders of another home node under a later epoch.
         if (std::exchange(engine.epoch_pending, false)) {
             engine.epoch = epoch;
             engine.sequence = 0;
@@ -100,13 +99,14 @@
 std::vector<const wire::trainer_version*> engine_coordinator::due_swaps(
     const engine_state& engine,
     const std::vector<wire::trainer_version>& wanted) {
-    const auto& served = engine.traits.trainers;
+    const auto& trainers = engine.traits.trainers;
     std::vector<const wire::trainer_version*> due;
-    for (const auto& w : wanted) {
-        const bool ours =
-            std::find(served.begin(), served.end(), w.trainer) != served.end();
-        if (ours && engine.served_version_of(w.trainer) < w.version) {
-            due.push_back(&w);
+    for (const auto& version : wanted) {
+        const bool uses_engine = std::find(trainers.begin(), trainers.end(),
+                                           version.trainer) != trainers.end();
+        if (uses_engine &&
+            engine.served_version_of(version.trainer) < version.version) {
+            due.push_back(&version);
         }
     }
     return due;
--- a/packages/cluster/src/member_table.cpp
+++ b/packages/cluster/src/member_table.cpp
@@ -23,42 +23,42 @@
     : self_(std::move(self)), timeout_(timeout) {}
 
 void member_table::record_heartbeat(base::millis now,
-                                    const wire::heartbeat& beat) {
-    auto& row = members_[beat.node];
-    // A heartbeat of the process that this address had before may still be on
-    // its way; it would bring back a state that is over.
-    if (beat.incarnation < row.heartbeat.incarnation) {
+                                    const wire::heartbeat& heartbeat) {
+    auto& member = members_[heartbeat.node];
+    // A heartbeat of an earlier process at this address may still be in flight;
+    // its state is out of date.
+    if (heartbeat.incarnation < member.heartbeat.incarnation) {
         return;
     }
-    const bool moved =
-        row.heartbeat.node.empty() || row.heartbeat.state != beat.state;
-    row.heartbeat = beat;
-    row.received_at = now;
-    if (moved) {
+    const bool state_changed = member.heartbeat.node.empty() ||
+                               member.heartbeat.state != heartbeat.state;
+    member.heartbeat = heartbeat;
+    member.received_at = now;
+    if (state_changed) {
         update_ready_nodes();
     }
 }
 
 std::vector<base::node_id> member_table::remove_expired(base::millis now) {
-    std::vector<base::node_id> gone;
-    for (auto at = members_.begin(); at != members_.end();) {
-        const bool silent = now - at->second.received_at > timeout_;
-        if (silent && at->first != self_) {
-            gone.push_back(at->first);
-            at = members_.erase(at);
+    std::vector<base::node_id> removed;
+    for (auto it = members_.begin(); it != members_.end();) {
+        const bool timed_out = now - it->second.received_at > timeout_;
+        if (timed_out && it->first != self_) {
+            removed.push_back(it->first);
+            it = members_.erase(it);
         } else {
-            ++at;
+            ++it;
         }
     }
-    if (!gone.empty()) {
+    if (!removed.empty()) {
         update_ready_nodes();
     }
-    return gone;
+    return removed;
 }
 
 const member* member_table::find(const base::node_id& node) const {
-    const auto at = members_.find(node);
-    return at == members_.end() ? nullptr : &at->second;
+    const auto it = members_.find(node);
+    return it == members_.end() ? nullptr : &it->second;
 }
 
 base::node_id member_table::home_of(std::string_view key) const {
@@ -71,8 +71,8 @@
 
 void member_table::update_ready_nodes() {
     ready_nodes_.clear();
-    for (const auto& [node, row] : members_) {
-        if (row.heartbeat.state == wire::node_state::ready) {
+    for (const auto& [node, member] : members_) {
+        if (member.heartbeat.state == wire::node_state::ready) {
             ready_nodes_.push_back(node);
         }
     }
--- a/packages/cluster/src/step_coordinator.cpp
+++ b/packages/cluster/src/step_coordinator.cpp
@@ -10,95 +10,96 @@
 
 constexpr std::size_t max_steps_per_trainer = 4;
 constexpr std::size_t default_max_samples = 256;
-constexpr base::millis unknown_trainer_retry = 1000;
+constexpr base::millis rejected_step_retry_ms = 1000;
 
-/// Returns the oldest version in `chunks`, or nothing if they are not a whole
-/// text from its beginning.
+/// Returns the oldest version in `chunks`, or nothing if `chunks` is empty or
+/// not a complete text from its first chunk.
 std::optional<wire::weight_version>
 oldest_version_in(const std::vector<wire::chunk>& chunks) {
     std::optional<wire::weight_version> oldest;
     std::uint32_t next = 0;
-    for (const auto& c : chunks) {
-        if (c.seq != next++) {
+    for (const auto& chunk : chunks) {
+        if (chunk.seq != next++) {
             return std::nullopt;
         }
-        oldest = std::min(oldest.value_or(c.version), c.version);
+        oldest = std::min(oldest.value_or(chunk.version), chunk.version);
     }
     return oldest;
 }
 
-/// Returns a bit for each slot that `ranges` name.
+/// Returns a bitmap of `slots` bits in which the slots in `ranges` are set.
 std::vector<bool> to_bitmap(const std::vector<wire::slot_range>& ranges,
                             std::size_t slots) {
-    std::vector<bool> listed(slots, false);
+    std::vector<bool> is_listed(slots, false);
     for (const auto& range : ranges) {
         const auto end =
             std::min<std::size_t>(std::size_t{range.last} + 1, slots);
         for (std::size_t i = range.first; i < end; ++i) {
-            listed[i] = true;
+            is_listed[i] = true;
         }
     }
-    return listed;
+    return is_listed;
 }
 
 } // namespace
 
-step_coordinator::step_coordinator(base::node_id self, step_options times,
-                                   placement_function place,
-                                   staleness_bound_function bound,
-                                   straggler_policy_function stragglers)
-    : self_(std::move(self)), options_(times), choose_engine_(std::move(place)),
-      staleness_bound_(std::move(bound)),
-      straggler_policy_(std::move(stragglers)) {}
+step_coordinator::step_coordinator(base::node_id self, step_options options,
+                                   placement_function choose_engine,
+                                   staleness_bound_function staleness_bound,
+                                   straggler_policy_function policy)
+    : self_(std::move(self)), options_(options),
+      choose_engine_(std::move(choose_engine)),
+      staleness_bound_(std::move(staleness_bound)),
+      straggler_policy_(std::move(policy)) {}
 
 wire::step_response
 step_coordinator::open_step(base::millis now, const wire::open_step& message) {
-    wire::step_response answer;
-    answer.result = wire::outcome::not_run;
+    wire::step_response response;
+    response.result = wire::outcome::not_run;
     const auto dropped = last_dropped_steps_.find(message.trainer);
     if (!staleness_bound_(message.trainer)) {
-        answer.why = wire::reason::unknown_trainer;
-        answer.retry_after_ms = unknown_trainer_retry;
-        return answer;
+        response.why = wire::reason::unknown_trainer;
+        response.retry_after_ms = rejected_step_retry_ms;
+        return response;
     }
     if (dropped != last_dropped_steps_.end() &&
         message.step <= dropped->second) {
-        answer.why = wire::reason::superseded;
-        answer.retry_after_ms = unknown_trainer_retry;
-        return answer;
+        response.why = wire::reason::superseded;
+        response.retry_after_ms = rejected_step_retry_ms;
+        return response;
     }
     update_newest_version(now, message.trainer, message.request.version);
     const auto next = steps_.lower_bound({message.trainer, INT64_MIN});
-    const bool is_new =
+    const bool is_first_step =
         next == steps_.end() || next->first.first != message.trainer;
-    const auto due = is_new ? now + options_.adoption_delay : now;
-    const auto at =
+    const auto due = is_first_step ? now + options_.adoption_delay : now;
+    const auto it =
         steps_
             .try_emplace({message.trainer, message.step}, message.trainer,
                          message.step, message.request, due)
             .first;
-    answer.result = wire::outcome::completed;
-    answer.slots = static_cast<std::uint32_t>(at->second.slots().size());
+    response.result = wire::outcome::completed;
+    response.slots = static_cast<std::uint32_t>(it->second.slots().size());
     drop_old_steps(message.trainer);
-    return answer;
+    return response;
 }
 
 void step_coordinator::drop_old_steps(const base::trainer_id& trainer) {
     const auto first = steps_.lower_bound({trainer, INT64_MIN});
     const auto last = steps_.upper_bound({trainer, INT64_MAX});
     auto count = static_cast<std::size_t>(std::distance(first, last));
-    for (auto at = first; at != last && count > max_steps_per_trainer;
+    for (auto it = first; it != last && count > max_steps_per_trainer;
          --count) {
-        for (const auto index : at->second.placed_slots()) {
-            cancel_slot(at->second, index);
+        for (const auto index : it->second.placed_slots()) {
+            cancel_slot(it->second, index);
         }
-        const auto waiting = waiting_pulls_.find(at->first);
+        const auto waiting = waiting_pulls_.find(it->first);
         if (waiting != waiting_pulls_.end()) {
             reject_pull(waiting->second, wire::reason::unknown_step);
             waiting_pulls_.erase(waiting);
         }
-        last_dropped_steps_[trainer] = at->first.second;
-        at = steps_.erase(at);
+        last_dropped_steps_[trainer] = it->first.second;
+        it = steps_.erase(it);
     }
 }
 
@@ -110,8 +111,9 @@
     update_newest_version(now, message.trainer, message.request.version);
     const auto earlier = waiting_pulls_.find(key);
     if (earlier != waiting_pulls_.end()) {
-        // The pulls of one trainer may come by two entries and change order
-        // on the way; the trainer takes only the answer to its latest.
+        // The pulls of a trainer may arrive through two entry nodes and in the
+        // wrong order; the trainer only accepts the response to its latest
+        // pull.
         if (earlier->second.request.pull > message.request.pull) {
             reject_pull(waiting, wire::reason::superseded);
             return;
@@ -119,36 +121,36 @@
         reject_pull(earlier->second, wire::reason::superseded);
         waiting_pulls_.erase(earlier);
     }
-    const auto at = steps_.find(key);
-    if (at == steps_.end()) {
+    const auto it = steps_.find(key);
+    if (it == steps_.end()) {
         reject_pull(waiting, wire::reason::unknown_step);
         return;
     }
-    mark_received(now, at->second, message.request.received);
+    mark_received(now, it->second, message.request.received);
     if (!try_respond(now, waiting)) {
         waiting_pulls_.emplace(key, std::move(waiting));
     }
 }
 
 void step_coordinator::cancel_pull(waiter_id waiter) {
-    for (auto at = waiting_pulls_.begin(); at != waiting_pulls_.end();) {
-        at = at->second.waiter == waiter ? waiting_pulls_.erase(at)
-                                         : std::next(at);
+    for (auto it = waiting_pulls_.begin(); it != waiting_pulls_.end();) {
+        it = it->second.waiter == waiter ? waiting_pulls_.erase(it)
+                                         : std::next(it);
     }
 }
 
 void step_coordinator::mark_received(
     base::millis now, step_state& step,
     const std::vector<wire::slot_range>& ranges) {
-    const auto listed = to_bitmap(ranges, step.slots().size());
-    for (wire::slot_index i = 0; i < listed.size(); ++i) {
-        const bool known = step.slots()[i].phase == slot_phase::received;
-        if (listed[i] && !known) {
+    const auto is_listed = to_bitmap(ranges, step.slots().size());
+    for (wire::slot_index i = 0; i < is_listed.size(); ++i) {
+        const bool was_received = step.slots()[i].phase == slot_phase::received;
+        if (is_listed[i] && !was_received) {
             cancel_slot(step, i);
             step.mark_received(i);
-        } else if (!listed[i] && known) {
-            // The trainer has lost what it had, for instance by a restart. It
-            // alone knows, and without this it would wait for ever.
+        } else if (!is_listed[i] && was_received) {
+            // The trainer has lost the sample, for instance in a restart.
+            // Without another generation it would wait forever.
             step.mark_waiting(i, now);
         }
     }
@@ -157,8 +159,9 @@
 bool step_coordinator::is_stale(
     const base::trainer_id& trainer,
     std::optional<wire::weight_version> oldest) const {
-    const auto bound = staleness_bound_(trainer);
-    return bound && oldest && *oldest < newest_version(trainer) - *bound;
+    const auto staleness_bound = staleness_bound_(trainer);
+    return staleness_bound && oldest &&
+           *oldest < newest_version(trainer) - *staleness_bound;
 }
 
 void step_coordinator::cancel_slot(const step_state& step,
@@ -181,14 +184,14 @@
 step_coordinator::on_report(base::millis now,
                             const wire::sample_report& report) {
     std::vector<base::stream_id> finished;
-    std::set<step_key> touched;
-    for (const auto& one : report.streams) {
-        const auto* step = on_stream_report(now, one, finished);
+    std::set<step_key> steps_with_samples;
+    for (const auto& stream : report.streams) {
+        const auto* step = on_stream_report(now, stream, finished);
         if (step != nullptr && !step->finished_slots().empty()) {
-            touched.emplace(step->trainer(), step->number());
+            steps_with_samples.emplace(step->trainer(), step->number());
         }
     }
-    for (const auto& key : touched) {
+    for (const auto& key : steps_with_samples) {
         respond_to_waiting_pull(now, key);
     }
     return finished;
@@ -198,62 +201,64 @@
 step_coordinator::on_stream_report(base::millis now,
                                    const wire::stream_report& report,
                                    std::vector<base::stream_id>& finished) {
-    const auto name = parse_stream_id(report.stream);
-    if (!name) {
+    const auto parts = parse_stream_id(report.stream);
+    if (!parts) {
         return nullptr;
     }
-    const auto at = steps_.find({name->trainer, name->step});
-    if (at == steps_.end()) {
-        // Either the step was dropped, or the trainer has moved: then the
-        // streams belong to its new home and must not be stopped.
-        const auto dropped = last_dropped_steps_.find(name->trainer);
+    const auto it = steps_.find({parts->trainer, parts->step});
+    if (it == steps_.end()) {
+        // Either the step was dropped, or the trainer has moved. In the second
+        // case the streams belong to its new home node and must not be stopped.
+        const auto dropped = last_dropped_steps_.find(parts->trainer);
         if (dropped != last_dropped_steps_.end() &&
-            name->step <= dropped->second) {
+            parts->step <= dropped->second) {
             discard_stream(report, finished);
         }
         return nullptr;
     }
-    auto& step = at->second;
-    if (name->slot >= step.slots().size()) {
+    auto& step = it->second;
+    if (parts->slot >= step.slots().size()) {
         return nullptr;
     }
-    const auto& slot = step.slots()[name->slot];
-    const bool ours = slot.phase == slot_phase::placed &&
-                      slot.attempt == name->attempt &&
-                      slot.engine == report.engine;
-    if (!ours && !adopt_stream(now, step, *name, report)) {
+    const auto& slot = step.slots()[parts->slot];
+    const bool is_current = slot.phase == slot_phase::placed &&
+                            slot.attempt == parts->attempt &&
+                            slot.engine == report.engine;
+    if (!is_current && !adopt_stream(now, step, *parts, report)) {
         discard_stream(report, finished);
         return nullptr;
     }
     if (report.state == wire::stream_state::done) {
         finished.push_back(report.stream);
     }
-    apply_report(now, step, name->slot, report);
+    apply_report(now, step, parts->slot, report);
     return &step;
 }
 
 bool step_coordinator::adopt_stream(base::millis now, step_state& step,
-                                    const stream_id_parts& name,
+                                    const stream_id_parts& parts,
                                     const wire::stream_report& report) {
-    const auto& slot = step.slots()[name.slot];
-    if (slot.phase != slot_phase::waiting || slot.attempt > name.attempt ||
+    const auto& slot = step.slots()[parts.slot];
+    if (slot.phase != slot_phase::waiting || slot.attempt > parts.attempt ||
         report.state == wire::stream_state::missing) {
         return false;
     }
-    // The trainer's former home has started this stream.
-    step.mark_placed(name.slot, report.engine, name.attempt, 0, now,
+    // The previous home node of the trainer has started this stream.
+    step.mark_placed(parts.slot, report.engine, parts.attempt, 0, now,
                      now + options_.stream_timeout);
     if (report.state != wire::stream_state::done) {
-        // The engine's home must send its reports here from now on.
+        // The engine's home node must send the reports to this node from now
+        // on.
         effects_.push_back(
-            place_stream{report.engine, step.start_request(name.slot)});
+            place_stream{report.engine, step.start_request(parts.slot)});
     }
     return true;
 }
 
 void step_coordinator::discard_stream(const wire::stream_report& report,
                                       std::vector<base::stream_id>& finished) {
-    // It would take an engine's slot until its end, or be told for ever.
+    // Otherwise the stream would occupy an engine's slot until its end, or be
+    // reported forever.
     if (report.state == wire::stream_state::done) {
         finished.push_back(report.stream);
     } else {
@@ -285,23 +290,24 @@
 void step_coordinator::on_placement_refused(base::millis now,
                                             const base::stream_id& stream,
                                             base::millis retry_after) {
-    const auto name = parse_stream_id(stream);
-    if (!name) {
+    const auto parts = parse_stream_id(stream);
+    if (!parts) {
         return;
     }
-    const auto at = steps_.find({name->trainer, name->step});
-    if (at == steps_.end() || name->slot >= at->second.slots().size()) {
+    const auto it = steps_.find({parts->trainer, parts->step});
+    if (it == steps_.end() || parts->slot >= it->second.slots().size()) {
         return;
     }
-    const auto& slot = at->second.slots()[name->slot];
-    if (slot.phase == slot_phase::placed && slot.attempt == name->attempt) {
-        // Unknown to the home that refused, the stream may run. The slot gets
-        // another attempt, so that no report of the one fills the other.
+    const auto& slot = it->second.slots()[parts->slot];
+    if (slot.phase == slot_phase::placed && slot.attempt == parts->attempt) {
+        // The stream may be running although the home node that refused it does
+        // not know it. The slot gets a new attempt number, so that a report of
+        // the old stream cannot fill it.
         if (slot.producing) {
-            cancel_slot(at->second, name->slot);
+            cancel_slot(it->second, parts->slot);
         }
-        at->second.mark_waiting(
-            name->slot,
+        it->second.mark_waiting(
+            parts->slot,
             now + (retry_after > 0 ? retry_after : options_.retry_delay));
     }
 }
@@ -314,14 +320,16 @@
         return;
     }
     known = newest;
-    for (auto at = steps_.lower_bound({trainer, INT64_MIN});
-         at != steps_.end() && at->first.first == trainer; ++at) {
-        auto& step = at->second;
+    for (auto it = steps_.lower_bound({trainer, INT64_MIN});
+         it != steps_.end() && it->first.first == trainer; ++it) {
+        auto& step = it->second;
         for (wire::slot_index i = 0; i < step.slots().size(); ++i) {
             const auto& slot = step.slots()[i];
-            const bool here = slot.phase == slot_phase::placed ||
-                              slot.phase == slot_phase::finished;
-            if (here && is_stale(trainer, slot.oldest_version)) {
+            const bool has_stream_or_sample =
+                slot.phase == slot_phase::placed ||
+                slot.phase == slot_phase::finished;
+            if (has_stream_or_sample &&
+                is_stale(trainer, slot.oldest_version)) {
                 regenerate_slot(now, step, i);
             }
         }
@@ -330,8 +338,8 @@
 
 wire::weight_version
 step_coordinator::newest_version(const base::trainer_id& trainer) const {
-    const auto at = newest_versions_.find(trainer);
-    return at == newest_versions_.end() ? 0 : at->second;
+    const auto it = newest_versions_.find(trainer);
+    return it == newest_versions_.end() ? 0 : it->second;
 }
 
 void step_coordinator::request_streams_again(
@@ -349,20 +357,20 @@
 
 void step_coordinator::release_trainers(
     const std::function<bool(const base::trainer_id&)>& is_home) {
-    for (auto at = steps_.begin(); at != steps_.end();) {
-        at = is_home(at->first.first) ? std::next(at) : steps_.erase(at);
+    for (auto it = steps_.begin(); it != steps_.end();) {
+        it = is_home(it->first.first) ? std::next(it) : steps_.erase(it);
     }
-    for (auto at = last_dropped_steps_.begin();
-         at != last_dropped_steps_.end();) {
-        at = is_home(at->first) ? std::next(at) : last_dropped_steps_.erase(at);
+    for (auto it = last_dropped_steps_.begin();
+         it != last_dropped_steps_.end();) {
+        it = is_home(it->first) ? std::next(it) : last_dropped_steps_.erase(it);
     }
-    for (auto at = waiting_pulls_.begin(); at != waiting_pulls_.end();) {
-        if (is_home(at->first.first)) {
-            ++at;
+    for (auto it = waiting_pulls_.begin(); it != waiting_pulls_.end();) {
+        if (is_home(it->first.first)) {
+            ++it;
             continue;
         }
-        reject_pull(at->second, wire::reason::home_moved);
-        at = waiting_pulls_.erase(at);
+        reject_pull(it->second, wire::reason::home_moved);
+        it = waiting_pulls_.erase(it);
     }
 }
 
@@ -378,10 +386,11 @@
             handle_stragglers(now, step);
         }
     }
-    for (auto at = waiting_pulls_.begin(); at != waiting_pulls_.end();) {
-        const bool ended = now >= at->second.deadline;
-        at = ended && try_respond(now, at->second) ? waiting_pulls_.erase(at)
-                                                   : std::next(at);
+    for (auto it = waiting_pulls_.begin(); it != waiting_pulls_.end();) {
+        const bool deadline_passed = now >= it->second.deadline;
+        it = deadline_passed && try_respond(now, it->second)
+                 ? waiting_pulls_.erase(it)
+                 : std::next(it);
     }
 }
 
@@ -394,9 +403,9 @@
             step.schedule_check(*index,
                                 *slot.reported_at + options_.stream_timeout);
         } else if (slot.reported_at) {
-            // The engine's home or the engine itself is gone. The same
-            // silence again means that the engine is; until then its new home
-            // finds the stream by its id and nothing is generated twice.
+            // The engine or its home node has failed. A second timeout means
+            // that the engine has failed. Until then, a new home node finds the
+            // stream by its id, so nothing is generated twice.
             request_stream_again(now, step, *index, slot.priority);
         } else {
             regenerate_slot(now, step, *index);
@@ -444,24 +453,26 @@
 bool step_coordinator::try_respond(base::millis now,
                                    const waiting_pull& waiting) {
     auto& step = steps_.at(waiting.step);
-    const bool ended = now >= waiting.deadline;
-    if (step.finished_slots().empty() && step.missing_count() > 0 && !ended) {
+    const bool deadline_passed = now >= waiting.deadline;
+    if (step.finished_slots().empty() && step.missing_count() > 0 &&
+        !deadline_passed) {
         return false;
     }
     if (!check_deliverable(now, waiting)) {
         return true;
     }
-    wire::pull_response answer;
-    answer.samples = collect_samples(now, step, waiting.request);
-    if (answer.samples.empty() && step.missing_count() > 0 && !ended) {
+    wire::pull_response response;
+    response.samples = collect_samples(now, step, waiting.request);
+    if (response.samples.empty() && step.missing_count() > 0 &&
+        !deadline_passed) {
         return false;
     }
-    answer.pull = waiting.request.pull;
-    answer.result = wire::outcome::completed;
-    answer.node = self_;
-    answer.missing = step.missing_count() -
-                     static_cast<std::uint32_t>(answer.samples.size());
-    effects_.push_back(send_pull_response{waiting.waiter, std::move(answer)});
+    response.pull = waiting.request.pull;
+    response.result = wire::outcome::completed;
+    response.node = self_;
+    response.missing = step.missing_count() -
+                       static_cast<std::uint32_t>(response.samples.size());
+    effects_.push_back(send_pull_response{waiting.waiter, std::move(response)});
     return true;
 }
 
@@ -471,10 +482,11 @@
         reject_pull(waiting, wire::reason::unknown_trainer);
         return false;
     }
-    // A publisher waits for this node's answer no longer than a pull can
-    // live. A process that was paused may hold a pull of before, or read one
-    // from its socket, and not know the version that was acknowledged
-    // meanwhile: the trainer would get a sample outside its bound.
+    // A publisher waits for this node's acknowledgement no longer than a pull
+    // can be pending. A process that was paused may hold an older pull, or read
+    // one from its socket, without knowing the version that was published in
+    // the meantime. The trainer would then receive a sample outside its
+    // staleness bound.
     if (now > waiting.deadline + options_.pull_margin) {
         reject_pull(waiting, wire::reason::deadline_passed);
         return false;
@@ -489,7 +501,7 @@
 std::vector<wire::sample>
 step_coordinator::collect_samples(base::millis now, step_state& step,
                                   const wire::pull_request& request) {
-    const std::size_t most =
+    const std::size_t max_samples =
         request.max_samples > 0 ? request.max_samples : default_max_samples;
     std::vector<wire::sample> samples;
     const std::vector<wire::slot_index> finished(step.finished_slots().begin(),
@@ -498,7 +510,7 @@
         const auto& slot = step.slots()[index];
         if (is_stale(step.trainer(), slot.oldest_version)) {
             regenerate_slot(now, step, index);
-        } else if (samples.size() < most) {
+        } else if (samples.size() < max_samples) {
             samples.push_back({index, slot.attempt, slot.engine, slot.chunks});
         }
     }
@@ -507,21 +519,21 @@
 
 void step_coordinator::respond_to_waiting_pull(base::millis now,
                                                const step_key& step) {
-    const auto at = waiting_pulls_.find(step);
-    if (at != waiting_pulls_.end() && try_respond(now, at->second)) {
-        waiting_pulls_.erase(at);
+    const auto it = waiting_pulls_.find(step);
+    if (it != waiting_pulls_.end() && try_respond(now, it->second)) {
+        waiting_pulls_.erase(it);
     }
 }
 
 void step_coordinator::reject_pull(const waiting_pull& waiting,
-                                   wire::reason why) {
-    wire::pull_response answer;
-    answer.pull = waiting.request.pull;
-    answer.result = wire::outcome::not_run;
-    answer.why = why;
-    answer.retry_after_ms = options_.retry_delay;
-    answer.node = self_;
-    effects_.push_back(send_pull_response{waiting.waiter, std::move(answer)});
+                                   wire::reason reason) {
+    wire::pull_response response;
+    response.pull = waiting.request.pull;
+    response.result = wire::outcome::not_run;
+    response.why = reason;
+    response.retry_after_ms = options_.retry_delay;
+    response.node = self_;
+    effects_.push_back(send_pull_response{waiting.waiter, std::move(response)});
 }
 
 std::vector<step_effect> step_coordinator::take_effects() {
--- a/packages/cluster/src/step_stragglers.cpp
+++ b/packages/cluster/src/step_stragglers.cpp
@@ -1,4 +1,5 @@
-// What a step_home does about the last slots of a step, which hold it up.
+// The part of step_coordinator that handles the last slots of a step, which
+// delay its end.
 
 #include "hibiscus/base/result.hpp"
 #include "hibiscus/cluster/step_coordinator.hpp"
@@ -8,7 +9,8 @@
 namespace {
 
 constexpr int straggler_priority = 1000;
-/// A stream that has not begun after so many ms waits in its engine's queue.
+/// A stream that has produced nothing for this time is assumed to wait in its
+/// engine's queue.
 constexpr base::millis max_queued_ms = 500;
 
 } // namespace
@@ -50,8 +52,8 @@
         step.mark_requested(index, slot.priority, now, slot.check_at);
         return;
     }
-    // Nothing of it was produced, so nothing is lost. The old stream is
-    // stopped and its id given up: the slot is never delivered twice.
+    // Nothing was produced, so nothing is lost. The old stream is stopped and
+    // its id is not used again, so the slot is never delivered twice.
     regenerate_slot(now, step, index);
     step.mark_placed(index, chosen->engine, step.slots()[index].attempt,
                      chosen->priority, now, now + options_.stream_timeout);
--- a/packages/cluster/src/step_table.cpp
+++ b/packages/cluster/src/step_table.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-constexpr std::uint32_t straggler_share = 10;
+/// A step is almost complete when at most 1/10 of its slots are missing.
+constexpr std::uint32_t straggler_share_divisor = 10;
 
 } // namespace
 
@@ -29,7 +30,7 @@
 }
 
 bool step_state::is_almost_complete() const {
-    return missing_count_ * straggler_share <= slots_.size();
+    return missing_count_ * straggler_share_divisor <= slots_.size();
 }
 
 std::optional<wire::slot_index>
@@ -48,12 +49,12 @@
 }
 
 std::vector<wire::slot_index> step_state::placed_slots() const {
-    std::vector<wire::slot_index> result;
-    result.reserve(placed_queue_.size());
+    std::vector<wire::slot_index> indices;
+    indices.reserve(placed_queue_.size());
     for (const auto& [due, index] : placed_queue_) {
-        result.push_back(index);
+        indices.push_back(index);
     }
-    return result;
+    return indices;
 }
 
 slot_state& step_state::leave_phase(wire::slot_index index) {
--- a/packages/cluster/src/stream_id.cpp
+++ b/packages/cluster/src/stream_id.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Reads the number after the last '/' of `text` and cuts it off. Returns
-/// false if there is none.
+/// Parses the number after the last '/' of `text` and removes it from `text`.
+/// Returns false if there is none.
 template <class T>
 bool consume_number(std::string_view& text, T& number) {
     const auto slash = text.rfind('/');
@@ -16,9 +16,9 @@
     }
     const auto digits = text.substr(slash + 1);
     text = text.substr(0, slash);
-    const char* last = digits.data() + digits.size();
-    const auto parsed = std::from_chars(digits.data(), last, number);
-    return parsed.ec == std::errc() && parsed.ptr == last;
+    const char* end = digits.data() + digits.size();
+    const auto parsed = std::from_chars(digits.data(), end, number);
+    return parsed.ec == std::errc() && parsed.ptr == end;
 }
 
 } // namespace
@@ -32,14 +32,15 @@
 }
 
 std::optional<stream_id_parts> parse_stream_id(const base::stream_id& id) {
-    stream_id_parts name;
+    stream_id_parts parts;
     std::string_view text = id.str();
-    if (!consume_number(text, name.attempt) ||
-        !consume_number(text, name.slot) || !consume_number(text, name.step)) {
+    if (!consume_number(text, parts.attempt) ||
+        !consume_number(text, parts.slot) ||
+        !consume_number(text, parts.step)) {
         return std::nullopt;
     }
-    name.trainer = base::trainer_id(std::string(text));
-    return name;
+    parts.trainer = base::trainer_id(std::string(text));
+    return parts;
 }
 
 } // namespace hibiscus::cluster
--- a/packages/cluster/src/version_table.cpp
+++ b/packages/cluster/src/version_table.cpp
@@ -14,22 +14,22 @@
 
 wire::weight_version
 version_table::newest(const base::trainer_id& trainer) const {
-    const auto at = newest_.find(trainer);
-    return at == newest_.end() ? 0 : at->second.version;
+    const auto it = newest_.find(trainer);
+    return it == newest_.end() ? 0 : it->second.version;
 }
 
 base::millis version_table::updated_at(const base::trainer_id& trainer) const {
-    const auto at = newest_.find(trainer);
-    return at == newest_.end() ? 0 : at->second.updated_at;
+    const auto it = newest_.find(trainer);
+    return it == newest_.end() ? 0 : it->second.updated_at;
 }
 
 std::vector<wire::trainer_version> version_table::all() const {
-    std::vector<wire::trainer_version> rows;
-    rows.reserve(newest_.size());
-    for (const auto& [trainer, row] : newest_) {
-        rows.push_back({trainer, row.version});
+    std::vector<wire::trainer_version> versions;
+    versions.reserve(newest_.size());
+    for (const auto& [trainer, known] : newest_) {
+        versions.push_back({trainer, known.version});
     }
-    return rows;
+    return versions;
 }
 
 } // namespace hibiscus::cluster
--- a/packages/cluster/test/claim_coordinator_test.cpp
+++ b/packages/cluster/test/claim_coordinator_test.cpp
@@ -9,101 +9,106 @@
 constexpr base::millis wall = 1000000;
 constexpr base::millis deadline = 1000;
 
-/// One home with what it has asked for so far.
+/// A coordinator and the effects that it has requested so far.
 struct test_coordinator {
-    explicit test_coordinator(const std::string& name, std::uint64_t start = 1)
-        : home(base::node_id(name), start, claim_options{}) {}
+    explicit test_coordinator(const std::string& name,
+                              std::uint64_t incarnation = 1)
+        : coordinator(base::node_id(name), incarnation, claim_options{}) {}
 
-    /// Lets the home work at the time `now` and sorts its effects.
+    /// Ticks the coordinator at `now` and sorts its effects.
     void tick(base::millis now) {
-        home.tick(now, wall + now);
+        coordinator.tick(now, wall + now);
         collect_effects();
     }
 
-    /// Takes over what the home wants done.
+    /// Sorts the effects by their kind.
     void collect_effects() {
-        for (auto& effect : home.take_effects()) {
-            if (auto* a = std::get_if<append_claims>(&effect)) {
-                sent.push_back(std::move(*a));
-            } else if (auto* d = std::get_if<dispatch_request>(&effect)) {
-                runs.push_back(d->request.id);
+        for (auto& effect : coordinator.take_effects()) {
+            if (auto* append = std::get_if<append_claims>(&effect)) {
+                sent.push_back(std::move(*append));
+            } else if (auto* dispatch =
+                           std::get_if<dispatch_request>(&effect)) {
+                dispatched.push_back(dispatch->request.id);
             } else {
-                auto& answer = std::get<send_response>(effect);
-                answers[answer.waiter].push_back(answer.response);
+                auto& response = std::get<send_response>(effect);
+                responses[response.waiter].push_back(response.response);
             }
         }
     }
 
-    /// Submits `key` for `waiter`.
+    /// Submits a request with the key `key` for `waiter`.
     void submit(base::millis now, claim_waiter_id waiter,
-                const std::string& key, base::millis within = deadline) {
-        wire::service_request r;
-        r.id = base::request_id(key);
-        r.service = base::service_id("ledger");
-        r.idempotent = false;
-        r.deadline_ms = within;
-        r.created_ms = wall;
-        home.submit(now, wall + now, waiter, shard, r);
+                const std::string& key, base::millis deadline_ms = deadline) {
+        wire::service_request request;
+        request.id = base::request_id(key);
+        request.service = base::service_id("ledger");
+        request.idempotent = false;
+        request.deadline_ms = deadline_ms;
+        request.created_ms = wall;
+        coordinator.submit(now, wall + now, waiter, shard, request);
         collect_effects();
     }
 
-    claim_coordinator home;
+    claim_coordinator coordinator;
     std::vector<append_claims> sent;
-    std::vector<base::request_id> runs;
-    std::map<claim_waiter_id, std::vector<wire::service_response>> answers;
+    std::vector<base::request_id> dispatched;
+    std::map<claim_waiter_id, std::vector<wire::service_response>> responses;
 };
 
-/// Two homes, a and b, and the stream of one shard.
+/// Two coordinators, a and b, and the stream of one shard.
 class claim_home_test : public ::testing::Test {
 protected:
-    /// Puts the last record that `from` sent into the stream and says so.
-    void append_last_sent(test_coordinator& from) {
-        stream_.push_back(from.sent.back().record);
-        report_append_result(from, append_outcome::appended);
+    /// Appends the last record that `node` sent to the stream and reports
+    /// success.
+    void append_last_sent(test_coordinator& node) {
+        stream_.push_back(node.sent.back().record);
+        report_append_result(node, append_outcome::appended);
     }
 
-    /// Tells `to` how its last append ended.
-    void report_append_result(test_coordinator& to, append_outcome outcome,
+    /// Reports the outcome of the last append of `node`.
+    void report_append_result(test_coordinator& node, append_outcome outcome,
                               base::millis retry_at = 0) {
-        to.home.on_append_result(shard, to.sent.back().id, outcome, retry_at);
-        to.collect_effects();
+        node.coordinator.on_append_result(shard, node.sent.back().id, outcome,
+                                          retry_at);
+        node.collect_effects();
     }
 
-    /// Lets `to` read the stream to its end.
-    void read_stream(test_coordinator& to, base::millis now) {
+    /// Lets `node` read the stream to its end.
+    void read_stream(test_coordinator& node, base::millis now) {
         for (std::size_t i = 0; i < stream_.size(); ++i) {
-            to.home.apply_record(now, shard, static_cast<wire::log_offset>(i),
-                                 stream_[i]);
+            node.coordinator.apply_record(
+                now, shard, static_cast<wire::log_offset>(i), stream_[i]);
         }
-        to.collect_effects();
+        node.collect_effects();
     }
 
-    /// Makes `to` the holder of the shard.
-    void acquire_shard(test_coordinator& to, base::millis now) {
-        to.home.assign_shards({shard});
-        to.tick(now);
-        append_last_sent(to);
-        read_stream(to, now);
+    /// Makes `node` the holder of the shard.
+    void acquire_shard(test_coordinator& node, base::millis now) {
+        node.coordinator.assign_shards({shard});
+        node.tick(now);
+        append_last_sent(node);
+        read_stream(node, now);
     }
 
-    /// Claims `key` for `waiter` and reads the claim back: the key runs.
-    void start(test_coordinator& to, base::millis now, claim_waiter_id waiter,
-               const std::string& key, base::millis within = deadline) {
-        to.submit(now, waiter, key, within);
-        to.tick(now);
-        append_last_sent(to);
-        read_stream(to, now);
+    /// Submits and claims `key` for `waiter` and reads the claim back, which
+    /// dispatches the request.
+    void start(test_coordinator& node, base::millis now, claim_waiter_id waiter,
+               const std::string& key, base::millis deadline_ms = deadline) {
+        node.submit(now, waiter, key, deadline_ms);
+        node.tick(now);
+        append_last_sent(node);
+        read_stream(node, now);
     }
 
-    /// Ends the run of `key` at `at`.
-    static void finish(test_coordinator& at, const std::string& key,
+    /// Reports the outcome of the run of `key` at `node`.
+    static void finish(test_coordinator& node, const std::string& key,
                        wire::outcome result) {
-        wire::service_response answer;
-        answer.id = base::request_id(key);
-        answer.result = result;
-        answer.body = "charged";
-        at.home.on_service_response(shard, answer);
-        at.collect_effects();
+        wire::service_response response;
+        response.id = base::request_id(key);
+        response.result = result;
+        response.body = "charged";
+        node.coordinator.on_service_response(shard, response);
+        node.collect_effects();
     }
 
     std::vector<wire::claim_record> stream_;
@@ -111,37 +116,39 @@
     test_coordinator b_{"b"};
 };
 
-// The log refuses one append, and then recovers. Callers were told to come
-// back, but each of them found the shard still refusing, for ever.
+// The log refuses one append and then recovers. Callers retried after the
+// delay, but the shard kept rejecting them forever.
 TEST_F(claim_home_test, a_shard_serves_again_after_a_refused_append) {
     acquire_shard(a_, 0);
     a_.submit(10, 1, "k");
     a_.tick(20);
     report_append_result(a_, append_outcome::refused, 220);
-    ASSERT_EQ(a_.answers[1].size(), 1U);
-    EXPECT_EQ(a_.answers[1][0].result, wire::outcome::not_run);
+    ASSERT_EQ(a_.responses[1].size(), 1U);
+    EXPECT_EQ(a_.responses[1][0].result, wire::outcome::not_run);
     start(a_, 300, 2, "k");
-    EXPECT_EQ(a_.runs.size(), 1U);
+    EXPECT_EQ(a_.dispatched.size(), 1U);
 }
 
-// Another home takes the shard while a claim is on its way. The claim cannot
-// count any more, and its caller hears so at once and not at its deadline.
-TEST_F(claim_home_test, a_claim_under_an_old_epoch_is_answered_when_read) {
+// Another node becomes the holder while a claim is in flight. The claim cannot
+// become valid, and its caller must get a response when it is read back, not at
+// its deadline.
+TEST_F(claim_home_test, a_claim_under_an_old_epoch_is_rejected_when_read_back) {
     acquire_shard(a_, 0);
     acquire_shard(b_, 0);
     a_.submit(10, 1, "k");
     a_.tick(20);
     append_last_sent(a_);
     read_stream(a_, 30);
-    ASSERT_EQ(a_.answers[1].size(), 1U);
-    EXPECT_EQ(a_.answers[1][0].result, wire::outcome::not_run);
-    EXPECT_TRUE(a_.runs.empty());
+    ASSERT_EQ(a_.responses[1].size(), 1U);
+    EXPECT_EQ(a_.responses[1][0].result, wire::outcome::not_run);
+    EXPECT_TRUE(a_.dispatched.empty());
 }
 
-// A home asks for the shard twice, as the first answer is late. A claim that
-// was sent between the two stands under an epoch that is over.
-TEST_F(claim_home_test, a_claim_between_two_own_epochs_is_answered_when_read) {
-    a_.home.assign_shards({shard});
+// A node appends two epoch records because the response to the first is late. A
+// claim that was sent between the two belongs to an epoch that has ended.
+TEST_F(claim_home_test,
+       a_claim_between_two_own_epochs_is_rejected_when_read_back) {
+    a_.coordinator.assign_shards({shard});
     a_.tick(0);
     append_last_sent(a_);
     a_.tick(2100);
@@ -152,44 +159,46 @@
     a_.tick(2130);
     append_last_sent(a_);
     read_stream(a_, 2140);
-    ASSERT_EQ(a_.answers[1].size(), 1U);
-    EXPECT_EQ(a_.answers[1][0].result, wire::outcome::not_run);
-    EXPECT_TRUE(a_.runs.empty());
+    ASSERT_EQ(a_.responses[1].size(), 1U);
+    EXPECT_EQ(a_.responses[1][0].result, wire::outcome::not_run);
+    EXPECT_TRUE(a_.dispatched.empty());
 }
 
-// A claim waits in the queue when the home's second epoch record is read. It
-// must go out under the new epoch, or it is refused for no reason.
+// A claim is queued when the node's second epoch record is read. It must be
+// sent under the new epoch, or it is rejected for no reason.
 TEST_F(claim_home_test, a_claim_carries_the_epoch_held_when_it_is_sent) {
     acquire_shard(a_, 0);
     a_.submit(5, 1, "k");
-    auto again = stream_.front();
-    again.sequence = 100;
-    stream_.push_back(again);
+    auto second_epoch = stream_.front();
+    second_epoch.sequence = 100;
+    stream_.push_back(second_epoch);
     read_stream(a_, 6);
     a_.tick(20);
     ASSERT_FALSE(a_.sent.back().record.items.empty());
     EXPECT_EQ(a_.sent.back().record.items[0].epoch, 1);
 }
 
-// An append of a release takes effect but its answer is lost, and the second
-// try is refused by an outage. Queueing the release again under a new number
-// would free the key after it was claimed once more: it would be charged twice.
-TEST_F(claim_home_test, a_release_in_doubt_is_not_written_under_a_new_number) {
+// The append of a release succeeds but its response is lost, and the retry is
+// refused during an outage. If the release were queued again under a new
+// sequence number, it would free the key after another claim, and a charge
+// would be made twice.
+TEST_F(claim_home_test, an_uncertain_release_keeps_its_sequence_number) {
     acquire_shard(a_, 0);
     start(a_, 10, 1, "k");
     finish(a_, "k", wire::outcome::not_run);
     a_.tick(40);
-    const auto number = a_.sent.back().record.sequence;
+    const auto sequence = a_.sent.back().record.sequence;
     stream_.push_back(a_.sent.back().record);
     report_append_result(a_, append_outcome::unknown, 60);
     a_.tick(80);
     report_append_result(a_, append_outcome::refused, 100);
     a_.tick(120);
-    EXPECT_EQ(a_.sent.back().record.sequence, number);
+    EXPECT_EQ(a_.sent.back().record.sequence, sequence);
 }
 
-// A caller's deadline passes while the release of its earlier try is queued.
-// Without the release the key would read `unknown` for ever.
+// A caller's deadline passes while the release of its earlier attempt is
+// queued. Without the release, callers of the key would receive `unknown`
+// forever.
 TEST_F(claim_home_test, an_expired_request_keeps_the_release_of_its_key) {
     acquire_shard(a_, 0);
     start(a_, 10, 1, "k");
@@ -200,113 +209,116 @@
     EXPECT_EQ(a_.sent.back().record.items[0].kind, wire::claim_kind::release);
 }
 
-// The request has run, its answer got lost on the way to the caller, and the
-// caller asks again before the outcome is in the log.
+// The request has run, the response to the caller is lost, and the caller
+// retries before the outcome is in the log.
 TEST_F(claim_home_test, a_retry_gets_an_outcome_that_is_not_yet_logged) {
     acquire_shard(a_, 0);
     start(a_, 10, 1, "k");
     finish(a_, "k", wire::outcome::completed);
     a_.submit(12, 2, "k");
-    ASSERT_EQ(a_.answers[2].size(), 1U);
-    EXPECT_EQ(a_.answers[2][0].result, wire::outcome::completed);
-    EXPECT_EQ(a_.answers[2][0].body, "charged");
+    ASSERT_EQ(a_.responses[2].size(), 1U);
+    EXPECT_EQ(a_.responses[2][0].result, wire::outcome::completed);
+    EXPECT_EQ(a_.responses[2][0].body, "charged");
 }
 
-// A try was refused before its request left, and the caller comes back at
-// once, before the release is in the log. It can run: `unknown` would leave
-// the caller with a doubt that nobody has.
-TEST_F(claim_home_test, a_retry_runs_while_the_release_is_on_its_way) {
+// An attempt was rejected before the request was sent, and the caller retries
+// at once, before the release is in the log. The request can run, so the
+// response must not be `unknown`.
+TEST_F(claim_home_test, a_retry_runs_before_the_release_is_appended) {
     acquire_shard(a_, 0);
     start(a_, 10, 1, "k");
     finish(a_, "k", wire::outcome::not_run);
     start(a_, 40, 2, "k");
-    EXPECT_EQ(a_.runs.size(), 2U);
-    EXPECT_TRUE(a_.answers[2].empty());
+    EXPECT_EQ(a_.dispatched.size(), 2U);
+    EXPECT_TRUE(a_.responses[2].empty());
 }
 
-// A second caller joins a request that runs, with less time left. It is told
-// that the outcome is not known yet, instead of being held past its deadline.
-TEST_F(claim_home_test, each_waiter_is_answered_by_its_own_deadline) {
+// A second caller joins a running request with an earlier deadline. It must
+// receive `unknown` instead of waiting past its deadline.
+TEST_F(claim_home_test, each_waiter_gets_a_response_by_its_own_deadline) {
     acquire_shard(a_, 0);
     start(a_, 10, 1, "k", 60000);
     a_.submit(20, 2, "k", 100);
     a_.tick(1000);
-    ASSERT_EQ(a_.answers[2].size(), 1U);
-    EXPECT_EQ(a_.answers[2][0].result, wire::outcome::unknown);
-    EXPECT_TRUE(a_.answers[1].empty());
+    ASSERT_EQ(a_.responses[2].size(), 1U);
+    EXPECT_EQ(a_.responses[2][0].result, wire::outcome::unknown);
+    EXPECT_TRUE(a_.responses[1].empty());
     finish(a_, "k", wire::outcome::completed);
-    EXPECT_EQ(a_.answers[1].size(), 1U);
+    EXPECT_EQ(a_.responses[1].size(), 1U);
 }
 
-// Operators raise the time that claims are kept after some were forgotten.
-// A retry that the old time refused would be inside the new one, and run again.
-TEST_F(claim_home_test, a_longer_window_does_not_reach_forgotten_claims) {
+// Operators increase the claim retention after some claims were dropped. A
+// request that was too old under the old retention is within the new one and
+// would run again.
+TEST_F(claim_home_test, a_longer_retention_does_not_admit_dropped_claims) {
     acquire_shard(a_, 0);
-    a_.home.set_claim_retention(1000);
+    a_.coordinator.set_claim_retention(1000);
     start(a_, 10, 1, "k");
     finish(a_, "k", wire::outcome::completed);
     a_.tick(30);
     append_last_sent(a_);
     read_stream(a_, 30);
     a_.tick(5000);
-    a_.home.set_claim_retention(600000);
+    a_.coordinator.set_claim_retention(600000);
     a_.submit(5001, 2, "k");
     a_.tick(5100);
-    ASSERT_EQ(a_.answers[2].size(), 1U);
-    EXPECT_EQ(a_.answers[2][0].result, wire::outcome::unknown);
+    ASSERT_EQ(a_.responses[2].size(), 1U);
+    EXPECT_EQ(a_.responses[2][0].result, wire::outcome::unknown);
 }
 
-// The home moves while a claim is on its way; the caller was told `not_run`.
-// The old home must still read the claim back and release it, or the key stays
-// claimed by nobody.
-TEST_F(claim_home_test, a_claim_that_lands_after_the_home_moved_is_released) {
+// The home node changes while a claim is in flight, and the caller receives
+// `not_run`. The old node must still read the claim back and release it, or the
+// key stays claimed without a run.
+TEST_F(claim_home_test,
+       a_claim_appended_after_the_home_node_changed_is_released) {
     acquire_shard(a_, 0);
     a_.submit(10, 1, "k");
     a_.tick(20);
-    a_.home.assign_shards({});
+    a_.coordinator.assign_shards({});
     a_.collect_effects();
-    ASSERT_EQ(a_.answers[1].size(), 1U);
+    ASSERT_EQ(a_.responses[1].size(), 1U);
     append_last_sent(a_);
-    ASSERT_FALSE(a_.home.shards_to_read().empty());
+    ASSERT_FALSE(a_.coordinator.shards_to_read().empty());
     read_stream(a_, 30);
     a_.tick(40);
-    EXPECT_TRUE(a_.runs.empty());
+    EXPECT_TRUE(a_.dispatched.empty());
     ASSERT_EQ(a_.sent.back().record.items.size(), 1U);
     EXPECT_EQ(a_.sent.back().record.items[0].kind, wire::claim_kind::release);
 }
 
-// A caller asks again after the time that claims are kept. Nobody can tell
-// whether its first try ran, so `not_run` would be a guess.
+// A caller retries after the claim retention. Whether its first attempt ran is
+// unknown, so `not_run` could be false.
 TEST_F(claim_home_test, a_request_older_than_the_window_is_unknown) {
     acquire_shard(a_, 0);
     a_.submit(700000, 1, "k");
-    ASSERT_EQ(a_.answers[1].size(), 1U);
-    EXPECT_EQ(a_.answers[1][0].result, wire::outcome::unknown);
-    EXPECT_EQ(a_.answers[1][0].why, wire::reason::claim_window_passed);
+    ASSERT_EQ(a_.responses[1].size(), 1U);
+    EXPECT_EQ(a_.responses[1][0].result, wire::outcome::unknown);
+    EXPECT_EQ(a_.responses[1][0].why, wire::reason::claim_window_passed);
 }
 
-// A holder is paused after its claim went out and another home takes over. It
-// wakes, reads its claim, which came first, and may run it; the new home never
-// does, and takes the outcome from it.
-TEST_F(claim_home_test, only_a_paused_holder_runs_a_claim_it_made_in_time) {
+// A holder is paused after its claim was appended, and another node takes over.
+// When the old holder resumes, it reads its claim, which came first, and may
+// run the request. The new holder never does, and learns the outcome from the
+// stream.
+TEST_F(claim_home_test, only_the_paused_holder_runs_the_claim_it_made_in_time) {
     acquire_shard(a_, 0);
     a_.submit(10, 1, "k", 60000);
     a_.tick(20);
     append_last_sent(a_);
     acquire_shard(b_, 30);
     b_.submit(40, 2, "k");
-    ASSERT_EQ(b_.answers[2].size(), 1U);
-    EXPECT_EQ(b_.answers[2][0].result, wire::outcome::unknown);
+    ASSERT_EQ(b_.responses[2].size(), 1U);
+    EXPECT_EQ(b_.responses[2][0].result, wire::outcome::unknown);
     read_stream(a_, 5000);
-    EXPECT_EQ(a_.runs.size(), 1U);
+    EXPECT_EQ(a_.dispatched.size(), 1U);
     finish(a_, "k", wire::outcome::completed);
     a_.tick(5020);
     append_last_sent(a_);
     read_stream(b_, 5030);
     b_.submit(5040, 3, "k");
-    ASSERT_EQ(b_.answers[3].size(), 1U);
-    EXPECT_EQ(b_.answers[3][0].result, wire::outcome::completed);
-    EXPECT_TRUE(b_.runs.empty());
+    ASSERT_EQ(b_.responses[3].size(), 1U);
+    EXPECT_EQ(b_.responses[3][0].result, wire::outcome::completed);
+    EXPECT_TRUE(b_.dispatched.empty());
 }
 
 } // namespace
--- a/packages/cluster/test/claim_fuzz_test.cpp
+++ b/packages/cluster/test/claim_fuzz_test.cpp
@@ -3,52 +3,55 @@
 namespace hibiscus::cluster {
 namespace {
 
-// Homes crash, pause, differ about who is home, and the log refuses, repeats,
-// loses answers and drops records, in any order. A customer would see a charge
-// made twice, or be told that one was not made which was.
-TEST(claim_fuzz_test, a_key_runs_at_most_once_and_answers_are_true) {
-    claim_model::coverage all;
-    std::size_t steps = 0;
+// Nodes crash, pause and disagree about the home node, and the log refuses,
+// duplicates, loses responses and drops records, in any order. A customer would
+// be charged twice, or would learn that a charge failed although it was made.
+TEST(claim_fuzz_test, a_key_runs_at_most_once_and_responses_are_correct) {
+    claim_model::coverage total;
+    std::size_t command_count = 0;
     testing::fuzz("claims", 14000,
                   [&](const std::vector<testing::fuzz_command>& commands) {
                       claim_model model;
-                      std::string wrong;
-                      for (const auto& c : commands) {
-                          wrong = model.execute(c);
-                          if (!wrong.empty()) {
+                      std::string violation;
+                      for (const auto& command : commands) {
+                          violation = model.execute(command);
+                          if (!violation.empty()) {
                               break;
                           }
                       }
                       const auto& reached = model.coverage_so_far();
-                      steps += commands.size();
-                      all.attempts += reached.attempts;
-                      all.runs += reached.runs;
-                      all.completed += reached.completed;
-                      all.unknown += reached.unknown;
-                      all.not_run += reached.not_run;
-                      return wrong;
+                      command_count += commands.size();
+                      total.attempts += reached.attempts;
+                      total.runs += reached.runs;
+                      total.completed += reached.completed;
+                      total.unknown += reached.unknown;
+                      total.not_run += reached.not_run;
+                      return violation;
                   });
-    std::cout << "steps " << steps << ", attempts " << all.attempts << ", runs "
-              << all.runs << ", completed " << all.completed << ", unknown "
-              << all.unknown << ", not_run " << all.not_run << '\n';
-    EXPECT_GT(all.runs, 100U);
-    EXPECT_GT(all.completed, all.runs);
+    std::cout << "steps " << command_count << ", attempts " << total.attempts
+              << ", runs " << total.runs << ", completed " << total.completed
+              << ", unknown " << total.unknown << ", not_run " << total.not_run
+              << '\n';
+    EXPECT_GT(total.runs, 100U);
+    EXPECT_GT(total.completed, total.runs);
 }
 
-/// Runs one list of commands; returns what is wrong, or "".
+/// Executes a list of commands. Returns the first violation, or "".
 std::string run(const std::vector<testing::fuzz_command>& commands) {
     claim_model model;
-    std::string wrong;
-    for (const auto& c : commands) {
-        wrong = wrong.empty() ? model.execute(c) : wrong;
+    std::string violation;
+    for (const auto& command : commands) {
+        violation = violation.empty() ? model.execute(command) : violation;
     }
-    return wrong;
+    return violation;
 }
 
 // The epoch record of a node is appended twice, the first copy is dropped
-// unread, and the snapshot does not name its writer any more. The node held the
-// shard beside the true holder, and a key ran twice. From seed 316960807.
-TEST(claim_fuzz_test, a_copied_epoch_record_after_retention_makes_no_holder) {
+// before it is read, and the snapshot no longer contains its writer. The node
+// held the shard at the same time as the actual holder, and a key ran twice.
+// Found with seed 316960807.
+TEST(claim_fuzz_test,
+     a_duplicate_epoch_record_after_truncation_makes_no_holder) {
     EXPECT_EQ(run({{72, 0, 0, 250},
                    {20, 740, 0, 0},
                    {34, 0, 426, 0},
@@ -67,11 +70,11 @@
               "");
 }
 
-// A caller's deadline passes while its claim is on its way, and it tries again.
-// The first claim lands and starts the second try, whose own claim is still
-// queued. Sending that one made the home forget that the key runs, and it told
-// the caller not_run. From seed 1159348072.
-TEST(claim_fuzz_test, a_key_that_runs_by_an_earlier_claim_is_not_refused) {
+// A caller's deadline passes while its claim is in flight, and it retries. The
+// first claim is appended and dispatches the retry, whose own claim is still
+// queued. Sending that claim made the coordinator forget that the key was
+// running, and it responded `not_run`. Found with seed 1159348072.
+TEST(claim_fuzz_test, a_key_dispatched_by_an_earlier_claim_is_not_rejected) {
     EXPECT_EQ(run({{75, 280, 2, 0},
                    {87, 4, 0, 0},
                    {0, 0, 0, 0},
--- a/packages/cluster/test/claim_model.hpp
+++ b/packages/cluster/test/claim_model.hpp
@@ -10,10 +10,11 @@
 
 namespace hibiscus::cluster {
 
-/// Several claim homes before one log, driven by generated commands. What is
-/// judged is only what callers, the service and the log saw: a key runs at most
-/// once, no attempt that was answered `not_run` runs, a completed answer
-/// carries the body of the one run, and no caller waits past its deadline.
+/// Several claim coordinators on one log, driven by generated commands. Checks
+/// only what callers, the service and the log can observe: a key runs at most
+/// once, a request whose every attempt was answered `not_run` does not run, a
+/// completed response carries the body of the one run, and no caller waits past
+/// its deadline.
 class claim_model {
 public:
     claim_model() {
@@ -23,41 +24,42 @@
         }
     }
 
-    /// Carries out a command. Returns what is wrong, or "".
-    std::string execute(const testing::fuzz_command& c) {
-        const auto n = static_cast<std::size_t>(c.a) % nodes_.size();
-        const auto shard = static_cast<shard_number>(c.b) % shards;
-        if (c.kind < 20) {
-            submit(n, c);
-        } else if (c.kind < 34) {
+    /// Executes a command. Returns the violation, or "".
+    std::string execute(const testing::fuzz_command& command) {
+        const auto n = static_cast<std::size_t>(command.a) % nodes_.size();
+        const auto shard = static_cast<shard_number>(command.b) % shards;
+        if (command.kind < 20) {
+            submit(n, command);
+        } else if (command.kind < 34) {
             tick(n);
-        } else if (c.kind < 46) {
-            finish_append(c);
-        } else if (c.kind < 60) {
-            deliver_records(n, shard, c.c % 12 + 1);
-        } else if (c.kind < 72) {
-            finish_run(c);
-        } else if (c.kind < 75) {
-            now_ += c.c % 10 == 0 ? 20LL * c.c : c.c % 300;
-        } else if (c.kind < 78) {
-            assign(n, c.b);
-        } else if (c.kind < 81) {
+        } else if (command.kind < 46) {
+            finish_append(command);
+        } else if (command.kind < 60) {
+            deliver_records(n, shard, command.c % 12 + 1);
+        } else if (command.kind < 72) {
+            finish_run(command);
+        } else if (command.kind < 75) {
+            now_ += command.c % 10 == 0 ? 20LL * command.c : command.c % 300;
+        } else if (command.kind < 78) {
+            assign(n, command.b);
+        } else if (command.kind < 81) {
             nodes_[n].paused = !nodes_[n].paused;
-        } else if (c.kind < 82) {
+        } else if (command.kind < 82) {
             restart_node(n);
-        } else if (c.kind < 84) {
+        } else if (command.kind < 84) {
             outage_ = !outage_;
-        } else if (c.kind < 86) {
-            trim_log(shard, c.c % 14 + 1);
-        } else if (c.kind < 87) {
-            nodes_[n].home->set_claim_retention(c.c % 2 == 0 ? 5000 : 20000);
+        } else if (command.kind < 86) {
+            trim_log(shard, command.c % 14 + 1);
+        } else if (command.kind < 87) {
+            nodes_[n].coordinator->set_claim_retention(
+                command.c % 2 == 0 ? 5000 : 20000);
         } else {
-            run_quiet_period(n, c);
+            run_quiet_period(n, command);
         }
-        return failure_;
+        return violation_;
     }
 
-    /// What a run reached; a run that reaches nothing proves nothing.
+    /// Counts of what a run covered; a run that covers nothing proves nothing.
     struct coverage {
         std::size_t attempts = 0;
         std::size_t runs = 0;
@@ -66,7 +68,6 @@
         std::size_t not_run = 0;
     };
 
-    /// Returns what was reached so far.
     const coverage& coverage_so_far() const { return coverage_; }
 
 private:
@@ -74,7 +75,7 @@
     static constexpr base::millis wall_start = 1000000000;
     static constexpr std::size_t recent_keys = 4;
 
-    /// One try of a caller at one home.
+    /// One attempt of a caller at one home node.
     struct attempt {
         std::string key;
         std::size_t node = 0;
@@ -82,28 +83,28 @@
         base::millis deadline = 0;
         bool answered = false;
         bool not_run = false;
-        /// True if the key ran while the attempt waited at the home that ran
-        /// it.
+        /// True if the key ran at `node` while the attempt was pending there.
         bool ran = false;
     };
 
     struct node_state {
-        std::unique_ptr<claim_coordinator> home;
+        std::unique_ptr<claim_coordinator> coordinator;
         std::uint64_t incarnation = 0;
         bool paused = false;
         std::set<shard_number> assigned;
     };
 
-    /// An append between the home and the log.
+    /// An append in flight between a coordinator and the log.
     struct pending_append {
         std::size_t node = 0;
         std::uint64_t incarnation = 0;
         append_claims effect;
-        /// False for a copy whose home has given up on an answer.
+        /// False for a duplicate whose coordinator has already received
+        /// `unknown`.
         bool awaits_response = true;
     };
 
-    /// A dispatch between the home and the service.
+    /// A dispatched request in flight between a coordinator and the service.
     struct pending_run {
         std::size_t node = 0;
         std::uint64_t incarnation = 0;
@@ -117,61 +118,68 @@
 
     base::millis wall() const { return wall_start + now_; }
 
-    void record_violation(const std::string& what) {
-        if (failure_.empty()) {
-            failure_ = what;
+    void record_violation(const std::string& violation) {
+        if (violation_.empty()) {
+            violation_ = violation;
         }
     }
 
     void restart_node(std::size_t n) {
         auto& node = nodes_[n];
         node.incarnation = ++last_incarnation_;
-        claim_options times;
-        times.claim_retention = 10000;
-        times.snapshot_interval_records = 6;
-        times.max_snapshot_age = 4000;
-        node.home = std::make_unique<claim_coordinator>(
-            base::node_id("n" + std::to_string(n)), node.incarnation, times);
+        claim_options options;
+        options.claim_retention = 10000;
+        options.snapshot_interval_records = 6;
+        options.max_snapshot_age = 4000;
+        node.coordinator = std::make_unique<claim_coordinator>(
+            base::node_id("n" + std::to_string(n)), node.incarnation, options);
         node.paused = false;
         node.assigned.clear();
     }
 
-    /// Returns the node that wrote the last epoch of a shard, or `otherwise`.
+    /// Returns the node that wrote the last epoch record of a shard, or
+    /// `fallback` if there is none.
     std::size_t find_epoch_holder(shard_number shard,
-                                  std::size_t otherwise) const {
+                                  std::size_t fallback) const {
         const auto& records = logs_[shard].records;
-        for (auto at = records.rbegin(); at != records.rend(); ++at) {
-            if (at->starts_epoch) {
-                return static_cast<std::size_t>(at->node.str()[1] - '0');
+        for (auto it = records.rbegin(); it != records.rend(); ++it) {
+            if (it->starts_epoch) {
+                return static_cast<std::size_t>(it->node.str()[1] - '0');
             }
         }
-        return otherwise;
+        return fallback;
     }
 
-    void submit(std::size_t n, const testing::fuzz_command& c) {
-        if (keys_.empty() || c.b % 6 == 0) {
+    void submit(std::size_t n, const testing::fuzz_command& command) {
+        if (keys_.empty() || command.b % 6 == 0) {
             keys_.emplace_back("k" + std::to_string(keys_.size()),
-                               wall() + c.b % 500 - 250);
+                               wall() + command.b % 500 - 250);
         }
-        const auto recent = std::min(keys_.size(), recent_keys);
-        const auto old = c.c % 10 == 0 ? keys_.size() : recent;
-        const auto& [key, created] =
-            keys_[keys_.size() - 1 - static_cast<std::size_t>(c.c) % old];
-        wire::service_request r;
-        r.id = base::request_id(key);
-        r.idempotent = false;
-        r.deadline_ms = 50 + c.a % 7 * 400;
-        r.created_ms = created;
-        // Most callers find the home, as entries do; the rest go astray.
-        n = c.a % 10 < 7 ? find_epoch_holder(shard_of(r.id, shards), n) : n;
+        const auto recent_count = std::min(keys_.size(), recent_keys);
+        const auto candidates =
+            command.c % 10 == 0 ? keys_.size() : recent_count;
+        const auto& [key, created_ms] =
+            keys_[keys_.size() - 1 -
+                  static_cast<std::size_t>(command.c) % candidates];
+        wire::service_request request;
+        request.id = base::request_id(key);
+        request.idempotent = false;
+        request.deadline_ms = 50 + command.a % 7 * 400;
+        request.created_ms = created_ms;
+        // Most callers reach the home node, as entry nodes do; the others reach
+        // an arbitrary node.
+        n = command.a % 10 < 7
+                ? find_epoch_holder(shard_of(request.id, shards), n)
+                : n;
         if (nodes_[n].paused) {
             return;
         }
         const auto waiter = attempts_.size();
         ++coverage_.attempts;
         attempts_.push_back({key, n, nodes_[n].incarnation,
-                             now_ + r.deadline_ms, false, false, false});
-        nodes_[n].home->submit(now_, wall(), waiter, shard_of(r.id, shards), r);
+                             now_ + request.deadline_ms, false, false, false});
+        nodes_[n].coordinator->submit(now_, wall(), waiter,
+                                      shard_of(request.id, shards), request);
         collect_effects(n);
     }
 
@@ -180,21 +188,22 @@
         if (nodes_[n].paused) {
             return;
         }
-        nodes_[n].home->tick(now_, wall());
+        nodes_[n].coordinator->tick(now_, wall());
         collect_effects(n);
         constexpr base::millis grace = 250;
-        for (const auto& a : attempts_) {
-            if (a.node == n && a.incarnation == nodes_[n].incarnation &&
-                !a.answered && now_ >= a.deadline + grace) {
-                record_violation("a caller of " + a.key +
-                                 " waits past its deadline");
+        for (const auto& attempt : attempts_) {
+            if (attempt.node == n &&
+                attempt.incarnation == nodes_[n].incarnation &&
+                !attempt.answered && now_ >= attempt.deadline + grace) {
+                record_violation("the caller of " + attempt.key +
+                                 " is waiting past its deadline");
             }
         }
     }
 
     void collect_effects(std::size_t n) {
         const auto incarnation = nodes_[n].incarnation;
-        for (auto& effect : nodes_[n].home->take_effects()) {
+        for (auto& effect : nodes_[n].coordinator->take_effects()) {
             if (auto* append = std::get_if<append_claims>(&effect)) {
                 appends_.push_back({n, incarnation, std::move(*append), true});
             } else if (auto* run = std::get_if<dispatch_request>(&effect)) {
@@ -205,118 +214,125 @@
         }
     }
 
-    void check_response(const send_response& answer) {
-        auto& a = attempts_[answer.waiter];
-        if (a.answered) {
-            record_violation(a.key + " was answered twice");
+    void check_response(const send_response& effect) {
+        auto& attempt = attempts_[effect.waiter];
+        if (attempt.answered) {
+            record_violation(attempt.key + " received two responses");
         }
-        a.answered = true;
-        const auto result = answer.response.result;
+        attempt.answered = true;
+        const auto result = effect.response.result;
         coverage_.completed += result == wire::outcome::completed ? 1U : 0U;
         coverage_.unknown += result == wire::outcome::unknown ? 1U : 0U;
         coverage_.not_run += result == wire::outcome::not_run ? 1U : 0U;
-        a.not_run = answer.response.result == wire::outcome::not_run;
-        if (a.not_run && a.ran) {
-            record_violation(a.key + " ran, and its caller was told not_run");
+        attempt.not_run = effect.response.result == wire::outcome::not_run;
+        if (attempt.not_run && attempt.ran) {
+            record_violation(attempt.key +
+                             " ran, but its caller received not_run");
         }
-        const auto body = response_bodies_.find(a.key);
-        if (answer.response.result == wire::outcome::completed &&
+        const auto body = response_bodies_.find(attempt.key);
+        if (effect.response.result == wire::outcome::completed &&
             (body == response_bodies_.end() ||
-             body->second != answer.response.body)) {
-            record_violation(a.key + " was answered with a body of no run");
+             body->second != effect.response.body)) {
+            record_violation(attempt.key +
+                             " completed with a body that no run produced");
         }
     }
 
-    /// Lets the log take, lose, repeat or refuse an append.
-    void finish_append(const testing::fuzz_command& c) {
+    /// Completes an append: the log accepts, loses, duplicates or refuses it.
+    void finish_append(const testing::fuzz_command& command) {
         if (appends_.empty()) {
             return;
         }
-        const auto i = static_cast<std::size_t>(c.a) % appends_.size();
-        auto sent = appends_[i];
-        const int how = c.b % 10;
-        const bool lands = !outage_ && how < 8;
-        if (!sent.awaits_response) {
-            // A copy that was under way all the time lands late, or never.
+        const auto i = static_cast<std::size_t>(command.a) % appends_.size();
+        auto append = appends_[i];
+        const int choice = command.b % 10;
+        const bool is_appended = !outage_ && choice < 8;
+        if (!append.awaits_response) {
+            // A duplicate that was in flight all the time is appended late, or
+            // never.
             appends_.erase(appends_.begin() + static_cast<std::ptrdiff_t>(i));
-            if (lands) {
-                append_to_stream(sent);
+            if (is_appended) {
+                append_to_stream(append);
             }
             return;
         }
-        if (nodes_[sent.node].paused) {
+        if (nodes_[append.node].paused) {
             return;
         }
         auto outcome = append_outcome::appended;
-        if (lands) {
-            append_to_stream(sent);
+        if (is_appended) {
+            append_to_stream(append);
             outcome =
-                how < 6 ? append_outcome::appended : append_outcome::unknown;
+                choice < 6 ? append_outcome::appended : append_outcome::unknown;
         } else {
             outcome =
-                how == 9 ? append_outcome::unknown : append_outcome::refused;
+                choice == 9 ? append_outcome::unknown : append_outcome::refused;
         }
-        if (!lands && outcome == append_outcome::unknown) {
+        if (!is_appended && outcome == append_outcome::unknown) {
             appends_[i].awaits_response = false;
         } else {
             appends_.erase(appends_.begin() + static_cast<std::ptrdiff_t>(i));
         }
-        if (nodes_[sent.node].incarnation == sent.incarnation) {
-            nodes_[sent.node].home->on_append_result(
-                sent.effect.shard, sent.effect.id, outcome, now_ + c.c % 200);
-            collect_effects(sent.node);
+        if (nodes_[append.node].incarnation == append.incarnation) {
+            nodes_[append.node].coordinator->on_append_result(
+                append.effect.shard, append.effect.id, outcome,
+                now_ + command.c % 200);
+            collect_effects(append.node);
         }
     }
 
-    void append_to_stream(const pending_append& sent) {
-        logs_[sent.effect.shard].records.push_back(sent.effect.record);
+    void append_to_stream(const pending_append& append) {
+        logs_[append.effect.shard].records.push_back(append.effect.record);
     }
 
-    void deliver_records(std::size_t n, shard_number shard, int most) {
+    void deliver_records(std::size_t n, shard_number shard, int max_records) {
         auto& node = nodes_[n];
         if (node.paused || outage_) {
             return;
         }
-        const auto& s = logs_[shard];
-        const auto end = static_cast<wire::log_offset>(s.records.size());
-        for (const auto& [which, from] : node.home->shards_to_read()) {
-            if (which != shard) {
+        const auto& log = logs_[shard];
+        const auto end = static_cast<wire::log_offset>(log.records.size());
+        for (const auto& [number, from] : node.coordinator->shards_to_read()) {
+            if (number != shard) {
                 continue;
             }
-            node.home->on_stream_bounds(now_, wall(), shard, s.first, end);
-            for (auto at = std::max(from, s.first); at < end && most > 0;
-                 ++at, --most) {
-                node.home->apply_record(
-                    now_, shard, at, s.records[static_cast<std::size_t>(at)]);
+            node.coordinator->on_stream_bounds(now_, wall(), shard, log.first,
+                                               end);
+            for (auto it = std::max(from, log.first);
+                 it < end && max_records > 0; ++it, --max_records) {
+                node.coordinator->apply_record(
+                    now_, shard, it, log.records[static_cast<std::size_t>(it)]);
             }
         }
         collect_effects(n);
     }
 
-    /// Lets the service run a request or not, and answer or not.
-    void finish_run(const testing::fuzz_command& c) {
+    /// Completes a dispatched request: the service runs it or not, and responds
+    /// or not.
+    void finish_run(const testing::fuzz_command& command) {
         if (runs_.empty()) {
             return;
         }
-        const auto i = static_cast<std::size_t>(c.a) % runs_.size();
+        const auto i = static_cast<std::size_t>(command.a) % runs_.size();
         const auto run = runs_[i];
         const auto& node = nodes_[run.node];
-        const bool alive = node.incarnation == run.incarnation;
-        if (alive && node.paused) {
+        const bool is_same_process = node.incarnation == run.incarnation;
+        if (is_same_process && node.paused) {
             return;
         }
         runs_.erase(runs_.begin() + static_cast<std::ptrdiff_t>(i));
-        const int how = c.b % 5;
-        wire::service_response answer;
-        answer.id = base::request_id(run.key);
-        answer.result = how < 3   ? wire::outcome::completed
-                        : how < 4 ? wire::outcome::not_run
-                                  : wire::outcome::unknown;
-        if (how < 3 || (how == 4 && c.c % 2 == 0)) {
-            answer.body = record_run(run);
+        const int choice = command.b % 5;
+        wire::service_response response;
+        response.id = base::request_id(run.key);
+        response.result = choice < 3   ? wire::outcome::completed
+                          : choice < 4 ? wire::outcome::not_run
+                                       : wire::outcome::unknown;
+        if (choice < 3 || (choice == 4 && command.c % 2 == 0)) {
+            response.body = record_run(run);
         }
-        if (alive) {
-            node.home->on_service_response(shard_of(answer.id, shards), answer);
+        if (is_same_process) {
+            node.coordinator->on_service_response(shard_of(response.id, shards),
+                                                  response);
             collect_effects(run.node);
         }
     }
@@ -327,55 +343,60 @@
             record_violation(run.key + " ran twice");
         }
         ++coverage_.runs;
-        bool wanted = false;
-        for (auto& a : attempts_) {
-            if (a.key == run.key) {
-                wanted = wanted || !a.not_run;
-                a.ran = a.ran || (!a.answered && a.node == run.node &&
-                                  a.incarnation == run.incarnation);
+        bool has_open_attempt = false;
+        for (auto& attempt : attempts_) {
+            if (attempt.key == run.key) {
+                has_open_attempt = has_open_attempt || !attempt.not_run;
+                attempt.ran = attempt.ran ||
+                              (!attempt.answered && attempt.node == run.node &&
+                               attempt.incarnation == run.incarnation);
             }
         }
-        if (!wanted) {
-            record_violation(run.key + " ran after not_run, without a retry");
+        if (!has_open_attempt) {
+            record_violation(
+                run.key +
+                " ran without an attempt that was not answered not_run");
         }
         return body;
     }
 
-    void assign(std::size_t n, int which) {
+    void assign(std::size_t n, int shard_mask) {
         if (nodes_[n].paused) {
             return;
         }
-        std::set<shard_number> ours;
-        for (shard_number s = 0; s < shards; ++s) {
-            if ((which >> s) % 2 != 0) {
-                ours.insert(s);
+        std::set<shard_number> assigned_shards;
+        for (shard_number shard = 0; shard < shards; ++shard) {
+            if ((shard_mask >> shard) % 2 != 0) {
+                assigned_shards.insert(shard);
             }
         }
-        nodes_[n].assigned = ours;
-        nodes_[n].home->assign_shards(ours);
+        nodes_[n].assigned = assigned_shards;
+        nodes_[n].coordinator->assign_shards(assigned_shards);
         collect_effects(n);
     }
 
-    void trim_log(shard_number shard, int keep) {
-        auto& s = logs_[shard];
-        s.first = std::max(
-            s.first, static_cast<wire::log_offset>(s.records.size()) - keep);
+    void trim_log(shard_number shard, int max_records) {
+        auto& log = logs_[shard];
+        log.first = std::max(log.first,
+                             static_cast<wire::log_offset>(log.records.size()) -
+                                 max_records);
     }
 
-    /// Gives a node some quiet time in which it can take its shards and serve.
-    void run_quiet_period(std::size_t n, const testing::fuzz_command& c) {
+    /// Lets a node run without faults for some time, so that it can acquire its
+    /// shards and serve requests.
+    void run_quiet_period(std::size_t n, const testing::fuzz_command& command) {
         nodes_[n].paused = false;
         outage_ = false;
         if (nodes_[n].assigned.empty()) {
-            assign(n, c.b);
+            assign(n, command.b);
         }
-        for (int i = 0; i <= c.c % 5; ++i) {
+        for (int i = 0; i <= command.c % 5; ++i) {
             now_ += 15;
             tick(n);
-            for (std::size_t at = appends_.size(); at > 0; --at) {
-                if (appends_[at - 1].node == n &&
-                    appends_[at - 1].awaits_response) {
-                    finish_append({0, static_cast<int>(at - 1), 0, 0});
+            for (std::size_t count = appends_.size(); count > 0; --count) {
+                if (appends_[count - 1].node == n &&
+                    appends_[count - 1].awaits_response) {
+                    finish_append({0, static_cast<int>(count - 1), 0, 0});
                 }
             }
             deliver_records(n, 0, 1000);
@@ -393,7 +414,7 @@
     std::uint64_t last_incarnation_ = 0;
     base::millis now_ = 0;
     bool outage_ = false;
-    std::string failure_;
+    std::string violation_;
     coverage coverage_;
 };
 
--- a/packages/cluster/test/claim_state_machine_test.cpp
+++ b/packages/cluster/test/claim_state_machine_test.cpp
@@ -7,30 +7,30 @@
 
 const base::request_id key("sync-1");
 
-/// Writes records as the holders a and b would.
+/// Applies records as the holders a and b would write them.
 class claim_fold_test : public ::testing::Test {
 protected:
-    /// Applies a record of `node`; returns the keys it claimed.
+    /// Applies a record of `node` and returns the keys that it claimed.
     std::vector<base::request_id> apply(const std::string& node,
                                         std::uint64_t sequence, bool epoch,
                                         std::vector<wire::claim_item> items) {
-        return fold_.apply(offset_++, {base::node_id(node), 1, sequence, epoch,
-                                       std::move(items), std::nullopt});
+        return state_machine_.apply(offset_++,
+                                    {base::node_id(node), 1, sequence, epoch,
+                                     std::move(items), std::nullopt});
     }
 
-    /// Returns an item for `key` under `epoch`.
     static wire::claim_item item(wire::claim_kind kind,
                                  wire::log_offset epoch) {
         return {kind, key, epoch, 0, "done"};
     }
 
-    claim_state_machine fold_;
+    claim_state_machine state_machine_;
     wire::log_offset offset_ = 0;
 };
 
-// A caller retries at another entry while its first try is being claimed, so
-// two claims for one key reach the log. If both counted, a charge would be
-// made twice.
+// A caller retries at another entry node while its first attempt is being
+// claimed, so the log contains two claims for one key. If both were valid, a
+// charge would be made twice.
 TEST_F(claim_fold_test, only_the_first_claim_of_a_key_counts) {
     apply("a", 1, true, {});
     const auto first = apply("a", 2, false, {item(wire::claim_kind::claim, 0)});
@@ -41,7 +41,8 @@
 }
 
 // The old holder is paused between building its append and sending it. When it
-// wakes, the shard has a new holder that has promised nothing is claimed.
+// resumes, the shard has a new holder, which may have answered that the key is
+// not claimed.
 TEST_F(claim_fold_test, a_claim_under_an_old_epoch_is_ignored) {
     apply("a", 1, true, {});
     apply("b", 1, true, {});
@@ -49,77 +50,79 @@
     EXPECT_EQ(late.size(), 0U);
 }
 
-// The holder lost the shard after it dispatched. Its answer is the truth, and
-// without it the caller would read `unknown` for ever.
-TEST_F(claim_fold_test, an_outcome_is_taken_after_the_epoch_moved) {
+// The holder lost the shard after it dispatched the request. Without its
+// outcome, callers would receive `unknown` forever.
+TEST_F(claim_fold_test, an_outcome_is_applied_after_an_epoch_change) {
     apply("a", 1, true, {});
     apply("a", 2, false, {item(wire::claim_kind::claim, 0)});
     apply("b", 1, true, {});
     apply("a", 3, false, {item(wire::claim_kind::outcome, 0)});
-    ASSERT_NE(fold_.find(key), nullptr);
-    EXPECT_EQ(fold_.find(key)->body, std::optional<std::string>("done"));
+    ASSERT_NE(state_machine_.find(key), nullptr);
+    EXPECT_EQ(state_machine_.find(key)->body,
+              std::optional<std::string>("done"));
 }
 
-// The answer to the append of a release is lost and the append is sent again.
-// In between the key was claimed once more, and that request runs. The copy
-// must not free the key for a third one.
-TEST_F(claim_fold_test, a_copy_of_a_release_frees_nothing) {
+// The response to the append of a release is lost and the append is sent again.
+// In the meantime the key was claimed again, and that request runs. The
+// duplicate must not free the key for a third request.
+TEST_F(claim_fold_test, a_duplicate_release_does_not_free_the_key) {
     apply("a", 1, true, {});
     apply("a", 2, false, {item(wire::claim_kind::claim, 0)});
     apply("a", 3, false, {item(wire::claim_kind::release, 0)});
     apply("a", 4, false, {item(wire::claim_kind::claim, 0)});
     apply("a", 3, false, {item(wire::claim_kind::release, 0)});
-    EXPECT_NE(fold_.find(key), nullptr);
+    EXPECT_NE(state_machine_.find(key), nullptr);
 }
 
-// Retention drops the records of a claim that has run. A fresh home that took
-// the key for free would run it again.
-TEST_F(claim_fold_test, a_snapshot_stands_for_the_records_that_are_gone) {
+// Retention drops the records of a claim whose request has run. A new home node
+// that treated the key as free would run the request again.
+TEST_F(claim_fold_test, a_snapshot_replaces_dropped_records) {
     apply("a", 1, true, {});
     apply("a", 2, false, {item(wire::claim_kind::claim, 0)});
     apply("a", 3, false, {item(wire::claim_kind::outcome, 0)});
-    const auto parts = fold_.make_snapshot(10);
+    const auto parts = state_machine_.make_snapshot(10);
     ASSERT_EQ(parts.size(), 1U);
 
-    claim_state_machine fresh;
-    fresh.handle_truncation(3, 6, 5000, {base::node_id("b"), 1, 0, 0});
+    claim_state_machine restored;
+    restored.handle_truncation(3, 6, 5000, {base::node_id("b"), 1, 0, 0});
     const wire::claim_item late{wire::claim_kind::claim,
                                 base::request_id("late"), 0, 0, ""};
-    fresh.apply(3, {base::node_id("a"), 1, 4, false, {late}, std::nullopt});
-    fresh.apply(4, {base::node_id("a"), 1, 5, false, {}, parts[0]});
-    ASSERT_NE(fresh.find(key), nullptr);
-    EXPECT_TRUE(fresh.find(key)->body.has_value());
-    EXPECT_NE(fresh.find(late.key), nullptr);
-    ASSERT_NE(fresh.current_epoch(), nullptr);
-    EXPECT_EQ(fresh.current_epoch()->number, 0);
-    EXPECT_EQ(fresh.dropped_before(), 0);
+    restored.apply(3, {base::node_id("a"), 1, 4, false, {late}, std::nullopt});
+    restored.apply(4, {base::node_id("a"), 1, 5, false, {}, parts[0]});
+    ASSERT_NE(restored.find(key), nullptr);
+    EXPECT_TRUE(restored.find(key)->body.has_value());
+    EXPECT_NE(restored.find(late.key), nullptr);
+    ASSERT_NE(restored.current_epoch(), nullptr);
+    EXPECT_EQ(restored.current_epoch()->number, 0);
+    EXPECT_EQ(restored.dropped_before(), 0);
 }
 
-// The log dropped records and holds no whole snapshot of them. Any request
-// that was made before may have run, so the fold must not call its key free.
-TEST_F(claim_fold_test, lost_records_without_a_snapshot_bar_older_requests) {
-    claim_state_machine fresh;
-    fresh.handle_truncation(3, 4, 5000, {base::node_id("b"), 1, 0, 0});
-    EXPECT_EQ(fresh.dropped_before(), 0);
-    fresh.apply(3, {base::node_id("b"), 1, 1, true, {}, std::nullopt});
-    EXPECT_EQ(fresh.dropped_before(), 5000);
-    ASSERT_NE(fresh.current_epoch(), nullptr);
-    EXPECT_EQ(fresh.current_epoch()->number, 3);
+// The log dropped records and has no complete snapshot of them. Any request
+// created earlier may have run, so its key must not be treated as free.
+TEST_F(claim_fold_test, lost_records_without_a_snapshot_reject_older_requests) {
+    claim_state_machine restored;
+    restored.handle_truncation(3, 4, 5000, {base::node_id("b"), 1, 0, 0});
+    EXPECT_EQ(restored.dropped_before(), 0);
+    restored.apply(3, {base::node_id("b"), 1, 1, true, {}, std::nullopt});
+    EXPECT_EQ(restored.dropped_before(), 5000);
+    ASSERT_NE(restored.current_epoch(), nullptr);
+    EXPECT_EQ(restored.current_epoch()->number, 3);
 }
 
-// An append of an epoch record is sent twice and the first copy is dropped by
-// retention unread. Those who read it drop the second; a node that went by it
-// would hold the shard beside the true holder.
-TEST_F(claim_fold_test, after_a_loss_a_copy_of_an_epoch_record_starts_none) {
-    claim_state_machine fresh;
-    fresh.handle_truncation(3, 4, 5000, {base::node_id("b"), 1, 7, 0});
-    fresh.apply(3, {base::node_id("b"), 1, 7, true, {}, std::nullopt});
-    EXPECT_EQ(fresh.current_epoch(), nullptr);
-    fresh.apply(4, {base::node_id("a"), 1, 9, true, {}, std::nullopt});
-    EXPECT_EQ(fresh.current_epoch(), nullptr);
-    fresh.apply(5, {base::node_id("b"), 1, 8, true, {}, std::nullopt});
-    ASSERT_NE(fresh.current_epoch(), nullptr);
-    EXPECT_EQ(fresh.current_epoch()->number, 5);
+// The append of an epoch record is sent twice, and retention drops the first
+// copy before it is read. Nodes that read the first copy ignore the second; a
+// node that accepted it would hold the shard at the same time as the actual
+// holder.
+TEST_F(claim_fold_test, after_a_loss_a_duplicate_epoch_record_starts_no_epoch) {
+    claim_state_machine restored;
+    restored.handle_truncation(3, 4, 5000, {base::node_id("b"), 1, 7, 0});
+    restored.apply(3, {base::node_id("b"), 1, 7, true, {}, std::nullopt});
+    EXPECT_EQ(restored.current_epoch(), nullptr);
+    restored.apply(4, {base::node_id("a"), 1, 9, true, {}, std::nullopt});
+    EXPECT_EQ(restored.current_epoch(), nullptr);
+    restored.apply(5, {base::node_id("b"), 1, 8, true, {}, std::nullopt});
+    ASSERT_NE(restored.current_epoch(), nullptr);
+    EXPECT_EQ(restored.current_epoch()->number, 5);
 }
 
 } // namespace
--- a/packages/cluster/test/engine_coordinator_test.cpp
+++ b/packages/cluster/test/engine_coordinator_test.cpp
@@ -6,15 +6,15 @@
 namespace {
 
 const base::node_id self("n1");
-const base::node_id trainers_home("n2");
+const base::node_id trainer_home_node("n2");
 const base::engine_id engine("e1");
 const base::trainer_id trainer("t");
 const base::stream_id stream("t/1/0/0");
 
-/// A home of one engine with two slots and a queue of one.
+/// The coordinator of one engine with two slots and a queue of one.
 class engine_home_test : public ::testing::Test {
 protected:
-    engine_home_test() : home_(self, {}) {
+    engine_home_test() : coordinator_(self, {}) {
         traits_.slots = 2;
         traits_.queue_limit = 1;
         traits_.trainers = {trainer};
@@ -22,59 +22,61 @@
         respond_to_poll({});
     }
 
-    /// Makes this node the engine's home.
-    void assign() { home_.assign_engines(now_, {{engine, traits_}}); }
+    /// Makes this node the engine's home node.
+    void assign() { coordinator_.assign_engines(now_, {{engine, traits_}}); }
 
-    /// Lets the engine answer a poll; it serves `serving_`.
+    /// Lets the engine respond to a poll; it serves the version `serving_`.
     void respond_to_poll(std::vector<wire::stream_update> streams) {
-        wire::engine_poll_response news;
-        news.streams = std::move(streams);
-        news.serving = {{trainer, serving_}};
-        home_.on_poll_response(now_, engine, news);
+        wire::engine_poll_response response;
+        response.streams = std::move(streams);
+        response.serving = {{trainer, serving_}};
+        coordinator_.on_poll_response(now_, engine, response);
     }
 
-    wire::place_response place(const base::stream_id& id,
-                               const base::node_id& home = trainers_home) {
+    wire::place_response
+    place(const base::stream_id& id,
+          const base::node_id& requester = trainer_home_node) {
         wire::stream_start start;
         start.stream = id;
         start.trainer = trainer;
-        const auto answer = home_.admit_stream(now_, {engine, home, start});
+        const auto response =
+            coordinator_.admit_stream(now_, {engine, requester, start});
         collect_effects();
-        return answer;
+        return response;
     }
 
-    /// Places the stream and lets the engine take it.
-    void run_stream() {
+    /// Places the stream and completes its start request.
+    void start_stream() {
         place(stream);
-        home_.on_start_result(engine, stream, true);
+        coordinator_.on_start_result(engine, stream, true);
     }
 
-    /// Lets time pass in ticks of 20 ms; the engine answers if `alive`.
-    void advance_time(base::millis ms, bool alive = true) {
+    /// Advances the time in ticks of 20 ms; the engine responds if `is_alive`.
+    void advance_time(base::millis ms, bool is_alive = true) {
         for (const auto end = now_ + ms; now_ < end; now_ += 20) {
-            if (alive) {
+            if (is_alive) {
                 respond_to_poll({});
             }
-            home_.tick(now_, wanted_);
+            coordinator_.tick(now_, wanted_);
             collect_effects();
         }
     }
 
     void collect_effects() {
-        for (auto& effect : home_.take_effects()) {
-            if (auto* s = std::get_if<start_at_engine>(&effect)) {
-                starts_.push_back(s->start);
-            } else if (auto* c = std::get_if<stop_at_engine>(&effect)) {
-                stops_.push_back(c->stream);
-            } else if (auto* o = std::get_if<send_order>(&effect)) {
-                orders_.push_back(o->order);
-            } else if (auto* r = std::get_if<send_report>(&effect)) {
-                reported_to_ = r->to;
-                for (auto& one : r->report.streams) {
-                    reports_.push_back(std::move(one));
+        for (auto& effect : coordinator_.take_effects()) {
+            if (auto* start = std::get_if<start_at_engine>(&effect)) {
+                starts_.push_back(start->start);
+            } else if (auto* stop = std::get_if<stop_at_engine>(&effect)) {
+                stops_.push_back(stop->stream);
+            } else if (auto* order = std::get_if<send_order>(&effect)) {
+                orders_.push_back(order->order);
+            } else if (auto* report = std::get_if<send_report>(&effect)) {
+                reported_to_ = report->to;
+                for (auto& stream_report : report->report.streams) {
+                    reports_.push_back(std::move(stream_report));
                 }
             } else {
-                ++epochs_asked_;
+                ++epoch_requests_;
             }
         }
     }
@@ -96,8 +98,8 @@
     std::vector<wire::version_order> orders_;
     std::vector<wire::stream_report> reports_;
     base::node_id reported_to_;
-    int epochs_asked_ = 0;
-    engine_coordinator home_;
+    int epoch_requests_ = 0;
+    engine_coordinator coordinator_;
 };
 
 TEST_F(engine_home_test, streams_beyond_the_slots_and_the_queue_are_refused) {
@@ -109,11 +111,11 @@
     EXPECT_EQ(starts_.size(), 3U);
 }
 
-// The answer to a placement is lost and it is repeated, by now from the
-// trainer's new home. The engine must not run the sample twice, and the
-// reports must go to the one that asked last.
+// The response to a placement is lost, and the trainer's new home node repeats
+// the placement. The engine must not run the sample twice, and the reports must
+// go to the latest requester.
 TEST_F(engine_home_test, a_repeated_placement_finds_its_stream) {
-    run_stream();
+    start_stream();
     EXPECT_EQ(place(stream, base::node_id("n3")).result,
               wire::outcome::completed);
     EXPECT_EQ(starts_.size(), 1U);
@@ -121,51 +123,52 @@
     EXPECT_EQ(reported_to_.str(), "n3");
 }
 
-// The queue of the engine is full, and the trainer's new home asks for a
-// stream that runs there. A refusal would make it run a second time.
-TEST_F(engine_home_test, a_known_stream_is_found_even_when_the_engine_is_full) {
-    run_stream();
+// The engine's queue is full, and the trainer's new home node requests a stream
+// that is running there. A refusal would make the sample run a second time.
+TEST_F(engine_home_test,
+       a_known_stream_is_accepted_even_if_the_engine_is_full) {
+    start_stream();
     place(base::stream_id("s1"));
     place(base::stream_id("s2"));
     EXPECT_EQ(place(stream).result, wire::outcome::completed);
 }
 
-// The report of a finished sample is lost, or its acknowledgement. Until it
-// arrives the sample is told again; after that never.
-TEST_F(engine_home_test, a_finished_sample_is_told_until_acknowledged) {
-    run_stream();
+// The report of a finished sample or its acknowledgement is lost. The sample
+// must be reported until it is acknowledged, and not after that.
+TEST_F(engine_home_test, a_finished_sample_is_reported_until_acknowledged) {
+    start_stream();
     respond_to_poll({make_update(done, {{0, 1, "a"}, {1, 1, "b"}})});
     advance_time(600);
-    const auto told = reports_.size();
-    EXPECT_GE(told, 2U);
+    const auto report_count = reports_.size();
+    EXPECT_GE(report_count, 2U);
     EXPECT_EQ(reports_.back().chunks.size(), 2U);
-    home_.acknowledge_reports({{stream}});
+    coordinator_.acknowledge_reports({{stream}});
     advance_time(600);
-    EXPECT_EQ(reports_.size(), told);
+    EXPECT_EQ(reports_.size(), report_count);
 }
 
-// A finished sample was acknowledged, but the engine holds its text until it
-// is told to forget it. Its memory would grow with each step.
+// The engine keeps the text of a finished sample until the stream is stopped.
+// Without that, its memory would grow with each step.
 TEST_F(engine_home_test, an_acknowledged_stream_is_dropped_at_the_engine) {
-    run_stream();
+    start_stream();
     respond_to_poll({make_update(done, {{0, 1, "a"}})});
-    home_.acknowledge_reports({{stream}});
+    coordinator_.acknowledge_reports({{stream}});
     collect_effects();
     ASSERT_EQ(stops_.size(), 1U);
     EXPECT_EQ(stops_[0], stream);
 }
 
-// The engine is taken over by this home in the middle of a stream, while the
-// answer to the former poll of the same stream is still on its way. Taken as
-// it is, the sample would lack its beginning.
+// This node becomes the engine's home node in the middle of a stream, while the
+// response to an earlier poll is in flight. Taken from that response alone, the
+// sample would lack its first chunks.
 TEST_F(engine_home_test, a_sample_without_its_beginning_is_read_again) {
-    run_stream();
+    start_stream();
     respond_to_poll({make_update(done, {{2, 1, "c"}})});
     advance_time(300);
-    for (const auto& r : reports_) {
-        EXPECT_NE(r.state, done);
+    for (const auto& report : reports_) {
+        EXPECT_NE(report.state, done);
     }
-    const auto poll = home_.next_poll(engine);
+    const auto poll = coordinator_.next_poll(engine);
     ASSERT_EQ(poll.streams.size(), 1U);
     EXPECT_EQ(poll.streams[0].from, 0U);
     respond_to_poll(
@@ -174,11 +177,10 @@
     EXPECT_EQ(reports_.back().chunks.size(), 3U);
 }
 
-// An engine restarts and runs the same stream anew, under other weights. The
-// first parts are known from the first run and the last from the second; put
-// together they are a text that no engine ever produced.
+// An engine restarts and runs the same stream again with other weights. Chunks
+// of the two runs combined would form a text that no engine generated.
 TEST_F(engine_home_test, chunks_of_two_runs_are_not_mixed) {
-    run_stream();
+    start_stream();
     respond_to_poll({make_update(running, {{0, 1, "old0"}, {1, 1, "old1"}})});
     respond_to_poll({make_update(done, {{2, 2, "new2"}})});
     respond_to_poll(
@@ -189,67 +191,68 @@
     EXPECT_EQ(reports_.back().oldest, std::optional<wire::weight_version>(2));
 }
 
-// The engine's process is killed. Its home must not go on saying that its
-// streams run: the trainer's home would wait for them for ever.
-TEST_F(engine_home_test, streams_of_a_dead_engine_are_told_to_be_missing) {
-    run_stream();
-    home_.on_poll_failed(engine);
-    home_.on_poll_failed(engine);
+// The engine's process is killed. If its home node kept reporting the streams
+// as running, the trainer's home node would wait for them forever.
+TEST_F(engine_home_test, streams_of_a_dead_engine_are_reported_missing) {
+    start_stream();
+    coordinator_.on_poll_failed(engine);
+    coordinator_.on_poll_failed(engine);
     advance_time(6000, false);
     ASSERT_FALSE(reports_.empty());
     EXPECT_EQ(reports_.back().state, wire::stream_state::missing);
     EXPECT_LT(reports_.size(), 30U);
 }
 
-// The answer to a start is lost although the engine took the stream. Called
-// missing at once, the sample would run unseen and take a slot.
-TEST_F(engine_home_test, a_start_without_an_answer_is_asked_about) {
+// The response to a start request is lost although the engine has the stream.
+// If it were reported as missing at once, it would keep running and occupy a
+// slot.
+TEST_F(engine_home_test, a_stream_is_polled_after_a_start_without_a_response) {
     place(stream);
-    home_.on_start_result(engine, stream, false);
-    ASSERT_EQ(home_.next_poll(engine).streams.size(), 1U);
+    coordinator_.on_start_result(engine, stream, false);
+    ASSERT_EQ(coordinator_.next_poll(engine).streams.size(), 1U);
     respond_to_poll({make_update(done, {{0, 1, "a"}})});
     advance_time(300);
     EXPECT_EQ(reports_.back().state, done);
 }
 
-// A trainer's former home wakes from a pause and cancels what it believes to
-// be its own. The stream belongs to the one that asked last.
-TEST_F(engine_home_test, a_cancel_of_a_former_home_is_ignored) {
-    run_stream();
+// The previous home node of a trainer resumes after a pause and cancels a
+// stream that now belongs to the latest requester.
+TEST_F(engine_home_test, a_cancel_of_a_previous_home_node_is_ignored) {
+    start_stream();
     place(stream, base::node_id("n3"));
     wire::cancel_streams cancel;
     cancel.engine = engine;
     cancel.streams = {stream};
-    cancel.home = trainers_home;
-    home_.cancel_streams(cancel);
-    EXPECT_EQ(home_.engines().at(engine).streams.size(), 1U);
+    cancel.home = trainer_home_node;
+    coordinator_.cancel_streams(cancel);
+    EXPECT_EQ(coordinator_.engines().at(engine).streams.size(), 1U);
     cancel.home = base::node_id("n3");
-    home_.cancel_streams(cancel);
-    EXPECT_EQ(home_.engines().at(engine).streams.size(), 0U);
+    coordinator_.cancel_streams(cancel);
+    EXPECT_EQ(coordinator_.engines().at(engine).streams.size(), 0U);
 }
 
 TEST_F(engine_home_test, a_leaving_engine_gets_no_new_stream) {
-    run_stream();
+    start_stream();
     traits_.leaving = true;
     assign();
     EXPECT_EQ(place(base::stream_id("s1")).why, wire::reason::no_backend);
-    EXPECT_EQ(home_.engines().at(engine).streams.size(), 1U);
+    EXPECT_EQ(coordinator_.engines().at(engine).streams.size(), 1U);
 }
 
-TEST_F(engine_home_test, an_engine_of_another_home_is_refused) {
-    home_.assign_engines(now_, {});
+TEST_F(engine_home_test, a_placement_on_an_unassigned_engine_is_refused) {
+    coordinator_.assign_engines(now_, {});
     EXPECT_EQ(place(stream).why, wire::reason::home_moved);
 }
 
-// The engine has taken an order, but its report of what it serves lags. The
-// same order again would load the same weights twice.
-TEST_F(engine_home_test, an_order_that_was_done_is_not_repeated_at_once) {
+// The engine has executed an order, but its reported version lags behind.
+// Repeating the order would load the same weights twice.
+TEST_F(engine_home_test, an_executed_order_is_not_repeated_at_once) {
     wanted_ = {{trainer, 2}};
     advance_time(40);
-    home_.on_epoch_appended(9);
+    coordinator_.on_epoch_appended(9);
     advance_time(40);
     ASSERT_EQ(orders_.size(), 1U);
-    home_.on_order_result(now_, engine, wire::order_result::done);
+    coordinator_.on_order_result(now_, engine, wire::order_result::done);
     advance_time(500);
     EXPECT_EQ(orders_.size(), 1U);
     serving_ = 2;
@@ -257,113 +260,118 @@
     EXPECT_EQ(orders_.size(), 1U);
 }
 
-// An engine says that a swap is done and goes on serving the old version. It
-// must be ordered again, and not in every tick.
+// An engine reports a swap as done but keeps serving the old version. It must
+// be ordered again, but not with every tick.
 TEST_F(engine_home_test, an_engine_that_serves_another_version_is_reordered) {
     wanted_ = {{trainer, 2}};
     advance_time(40);
-    home_.on_epoch_appended(9);
+    coordinator_.on_epoch_appended(9);
     advance_time(40);
-    home_.on_order_result(now_, engine, wire::order_result::done);
+    coordinator_.on_order_result(now_, engine, wire::order_result::done);
     advance_time(6000);
     EXPECT_EQ(orders_.size(), 2U);
 }
 
-// A swap fails again and again. The engine must keep its time for the streams
-// that it can serve, so the pauses between the tries grow.
+// A swap fails repeatedly. The delay between the attempts must grow, so that
+// the engine has time for the streams that it can serve.
 TEST_F(engine_home_test, a_failed_swap_backs_off) {
     wanted_ = {{trainer, 2}};
     advance_time(40);
-    home_.on_epoch_appended(9);
+    coordinator_.on_epoch_appended(9);
     for (int i = 0; i < 100; ++i) {
-        const auto before = orders_.size();
+        const auto previous_count = orders_.size();
         advance_time(100);
-        if (orders_.size() > before) {
-            home_.on_order_result(now_, engine, wire::order_result::failed);
+        if (orders_.size() > previous_count) {
+            coordinator_.on_order_result(now_, engine,
+                                         wire::order_result::failed);
         }
     }
     EXPECT_GE(orders_.size(), 4U);
     EXPECT_LE(orders_.size(), 7U);
 }
 
-// Two nodes believe to be home of an engine. The later epoch must win, and an
-// engine that refused an order must get the next one under a newer epoch.
-TEST_F(engine_home_test, a_fenced_home_takes_a_new_epoch) {
+// Two nodes consider themselves the home node of an engine. The later epoch
+// must win, and an engine that rejected an order must receive the next one
+// under a newer epoch.
+TEST_F(engine_home_test, a_fenced_node_requests_a_new_epoch) {
     wanted_ = {{trainer, 2}};
     advance_time(40);
-    EXPECT_EQ(epochs_asked_, 1);
-    home_.on_epoch_appended(9);
+    EXPECT_EQ(epoch_requests_, 1);
+    coordinator_.on_epoch_appended(9);
     advance_time(40);
-    home_.on_order_result(now_, engine, wire::order_result::fenced);
+    coordinator_.on_order_result(now_, engine, wire::order_result::fenced);
     advance_time(1000);
-    EXPECT_EQ(epochs_asked_, 2);
+    EXPECT_EQ(epoch_requests_, 2);
     EXPECT_EQ(orders_.size(), 1U);
-    home_.on_epoch_appended(12);
+    coordinator_.on_epoch_appended(12);
     advance_time(1000);
     ASSERT_EQ(orders_.size(), 2U);
     EXPECT_EQ(orders_[1].number.epoch, 12);
 }
 
-// The log does not take the epoch. It is asked for again, or the engine would
-// stay on its version for ever.
-TEST_F(engine_home_test, an_epoch_that_failed_is_asked_for_again) {
+// The log refuses the epoch. It must be requested again, or the engine would
+// keep its version forever.
+TEST_F(engine_home_test, a_failed_epoch_is_requested_again) {
     wanted_ = {{trainer, 2}};
     advance_time(40);
-    home_.on_epoch_append_failed(now_ + 300);
+    coordinator_.on_epoch_append_failed(now_ + 300);
     advance_time(200);
-    EXPECT_EQ(epochs_asked_, 1);
+    EXPECT_EQ(epoch_requests_, 1);
     advance_time(200);
-    EXPECT_EQ(epochs_asked_, 2);
+    EXPECT_EQ(epoch_requests_, 2);
 }
 
-// The log is out when one more engine comes to this home. The engines that it
-// had before must still follow new versions.
-TEST_F(engine_home_test, a_takeover_that_waits_does_not_hold_up_other_engines) {
+// The log is unavailable when another engine is assigned to this node. The
+// engines that it had before must still follow new versions.
+TEST_F(engine_home_test, a_pending_epoch_does_not_delay_other_engines) {
     wanted_ = {{trainer, 2}};
     advance_time(40);
-    home_.on_epoch_appended(9);
+    coordinator_.on_epoch_appended(9);
     advance_time(40);
-    home_.on_order_result(now_, engine, wire::order_result::done);
+    coordinator_.on_order_result(now_, engine, wire::order_result::done);
     serving_ = 2;
     const base::engine_id other("e2");
-    home_.assign_engines(now_, {{engine, traits_}, {other, traits_}});
-    home_.on_poll_response(now_, other, {});
+    coordinator_.assign_engines(now_, {{engine, traits_}, {other, traits_}});
+    coordinator_.on_poll_response(now_, other, {});
     wanted_ = {{trainer, 3}};
     advance_time(100);
     ASSERT_EQ(orders_.size(), 2U);
     EXPECT_EQ(orders_[1].number.epoch, 9);
-    home_.on_epoch_appended(12);
+    coordinator_.on_epoch_appended(12);
     advance_time(100);
     ASSERT_EQ(orders_.size(), 3U);
     EXPECT_EQ(orders_[2].number.epoch, 12);
 }
 
-// The former home of an engine that ignores fencing numbers may have an order
-// on its way. Ours must come after it, or the engine ends on the old version.
-TEST_F(engine_home_test, an_engine_that_ignores_fencing_is_ordered_later) {
+// The previous home node of an engine that ignores fencing tokens may have an
+// order in flight. An order of this node must come after it, or the engine ends
+// up with the old version.
+TEST_F(engine_home_test,
+       an_engine_that_ignores_fencing_is_ordered_after_a_delay) {
     traits_.checks_fencing = false;
-    home_.assign_engines(now_, {});
+    coordinator_.assign_engines(now_, {});
     assign();
     wanted_ = {{trainer, 2}};
     advance_time(40);
-    home_.on_epoch_appended(9);
+    coordinator_.on_epoch_appended(9);
     advance_time(4800);
     EXPECT_TRUE(orders_.empty());
     advance_time(400);
     EXPECT_EQ(orders_.size(), 1U);
 }
 
-// The answer to an order is lost and the order may still arrive. The engine
-// does not check numbers, so a newer order sent now could be overtaken.
-TEST_F(engine_home_test, a_lost_order_is_waited_out_without_fencing) {
+// The response to an order is lost and the order may still arrive. The engine
+// does not check fencing tokens, so the old order could overtake a newer one
+// that is sent now.
+TEST_F(engine_home_test, a_lost_order_delays_the_next_one_without_fencing) {
     traits_.checks_fencing = false;
     assign();
     wanted_ = {{trainer, 2}};
     advance_time(5100);
-    home_.on_epoch_appended(9);
+    coordinator_.on_epoch_appended(9);
     advance_time(40);
     ASSERT_EQ(orders_.size(), 1U);
-    home_.on_order_result(now_, engine, std::nullopt);
+    coordinator_.on_order_result(now_, engine, std::nullopt);
     wanted_ = {{trainer, 3}};
     advance_time(4800);
     EXPECT_EQ(orders_.size(), 1U);
