--- a/packages/cluster/include/hibiscus/cluster/claim_coordinator.hpp
+++ b/packages/cluster/include/hibiscus/cluster/claim_coordinator.hpp
@@ -17,7 +17,7 @@
 /// Returns the shard that `key` belongs to.
 shard_number shard_of(const base::request_id& key, shard_number shards);
 
-/// Appends a record to a shard's stream. Every retry uses the same id.
+/// Appends a record to the log of a shard. Every retry uses the same id.
 struct append_claims {
     shard_number shard = 0;
     base::append_id id;
@@ -27,7 +27,7 @@
 /// Sends a request to its service. Its claim was read back and is valid.
 struct dispatch_request {
     wire::service_request request;
-    /// By the monotonic clock.
+    /// In monotonic time.
     base::millis deadline = 0;
 };
 
@@ -58,10 +58,12 @@
     /// dispatched. The dispatch itself ends at the deadline, and its outcome is
     /// more precise than a timeout.
     base::millis response_grace = 250;
-    /// Minimum number of records between two snapshots while the log has not
-    /// dropped any records yet.
-    wire::log_offset snapshot_interval_records = 256;
-    /// Maximum time between two snapshots, for a log that drops records by age.
+    /// Number of records after which a snapshot is due, or the number of claims
+    /// if that is larger. A snapshot may be due earlier by age, or once the log
+    /// drops records.
+    wire::log_offset min_records_until_snapshot = 256;
+    /// Age of the last complete snapshot at which a new one is due, for a log
+    /// that drops records by age.
     base::millis max_snapshot_age = 300000;
 };
 
@@ -97,13 +99,13 @@
     void submit(base::millis now, base::millis wall, claim_waiter_id waiter,
                 shard_number shard, const wire::service_request& request);
 
-    /// Sets the range of offsets that the log holds for a shard's stream. Must
-    /// be called before the records of the same read are applied.
+    /// Sets the range of offsets that the log of a shard holds. Must be called
+    /// before the records of the same read are applied.
     void on_stream_bounds(base::millis now, base::millis wall,
                           shard_number shard, wire::log_offset first,
                           wire::log_offset end);
 
-    /// Applies a record of a shard's stream. Must be called in the order of
+    /// Applies a record of the log of a shard. Must be called in the order of
     /// offsets.
     void apply_record(base::millis now, shard_number shard,
                       wire::log_offset offset,
@@ -122,14 +124,15 @@
     /// have passed.
     void tick(base::millis now, base::millis wall);
 
-    /// Returns the shards whose streams must be read, each with the offset to
-    /// read from.
+    /// Returns the shards whose logs must be read, each with the offset to read
+    /// from.
     std::vector<std::pair<shard_number, wire::log_offset>>
     shards_to_read() const;
 
-    /// Returns the number of requests without a response, plus, for shards
-    /// whose log accepts appends, the number of records and items that have not
-    /// been appended yet.
+    /// Returns the amount of work that a shutdown must wait for: requests
+    /// without a response, queued items, and appends that have not succeeded.
+    /// If the log of a shard rejects appends, only its requests count, because
+    /// its items cannot be appended.
     std::size_t pending_count() const;
 
     /// Returns the pending effects in order and clears them.
@@ -166,10 +169,9 @@
         std::set<base::request_id> unread_releases;
         /// Outcomes that are queued or appended but have not been read back.
         std::map<base::request_id, wire::claim_item> unread_outcomes;
-        std::optional<append_claims> in_flight;
+        std::optional<append_claims> current_append;
         bool append_sent = false;
-        /// True if an earlier attempt of the append in flight may have
-        /// succeeded.
+        /// True if an earlier attempt of `current_append` may have succeeded.
         bool append_uncertain = false;
         /// Sequence numbers of this node's last record that was appended, and
         /// of the last one that was read back.
@@ -182,6 +184,8 @@
         wire::log_offset first_offset = 0;
         /// Snapshot parts that have not been appended yet.
         std::deque<wire::claim_snapshot> snapshot_parts;
+        /// The last known snapshot_offset() of the state machine, and when it
+        /// changed.
         wire::log_offset snapshot_offset = 0;
         base::millis snapshot_advanced_at = 0;
         base::millis snapshot_started_at = 0;
@@ -192,7 +196,7 @@
 
     bool holds_current_epoch(const shard_state& state) const;
     bool is_own(const wire::claim_record& record) const;
-    static bool is_refusing(const shard_state& state, base::millis now);
+    static bool is_rejecting_claims(const shard_state& state, base::millis now);
     std::optional<wire::service_response>
     logged_response(const shard_state& state,
                     const base::request_id& key) const;
--- a/packages/cluster/include/hibiscus/cluster/claim_state_machine.hpp
+++ b/packages/cluster/include/hibiscus/cluster/claim_state_machine.hpp
@@ -15,7 +15,7 @@
     /// The epoch under which the key was claimed.
     wire::log_offset epoch = 0;
     base::millis created_ms = 0;
-    /// The body of the response, once its outcome was read from the stream.
+    /// The body of the response, once its outcome was read from the log.
     std::optional<std::string> body;
 };
 
@@ -27,9 +27,9 @@
     std::uint64_t incarnation = 0;
 };
 
-/// Computes the claims of one shard from the records of its stream. Of all
-/// claims for a key, only the first one made under the epoch in force counts,
-/// so at most one holder may ever dispatch the request.
+/// Computes the claims of one shard from the records of its log. Of all claims
+/// for a key, only the first one made under the epoch in force counts, so at
+/// most one holder may ever dispatch the request.
 class claim_state_machine {
 public:
     /// Applies one record and returns the keys whose claims became valid with
@@ -39,8 +39,8 @@
                                         const wire::claim_record& record);
 
     /// Handles the loss of records: retention dropped those before `first`, and
-    /// the stream currently ends at `end`. If some of them were not applied,
-    /// later records are deferred until a snapshot that covers the lost ones is
+    /// the log currently ends at `end`. If some of them were not applied, later
+    /// records are deferred until a snapshot that covers the lost ones is
     /// complete. If there is no such snapshot before `end`, requests created
     /// before `created_before_ms` (time of day) are treated as possibly
     /// executed, and no epoch counts until `self` starts one with a record of a
@@ -55,7 +55,7 @@
     make_snapshot(std::size_t max_claims_per_part) const;
 
     /// Returns the offset before which the latest complete snapshot covers the
-    /// stream. That snapshot and the records from this offset on suffice to
+    /// log. That snapshot and the records from this offset on suffice to
     /// restore the state.
     wire::log_offset snapshot_offset() const { return snapshot_offset_; }
 
@@ -72,7 +72,9 @@
     /// Returns the time of day before which claims may have been dropped. A
     /// request created earlier may have been executed even if its key is
     /// unknown.
-    base::millis dropped_before() const { return dropped_before_; }
+    base::millis claims_dropped_before_ms() const {
+        return claims_dropped_before_ms_;
+    }
 
     /// Returns the offset of the next record to apply.
     wire::log_offset next_offset() const { return next_offset_; }
@@ -126,7 +128,7 @@
     partial_snapshot partial_snapshot_;
     wire::log_offset snapshot_offset_ = 0;
     wire::log_offset next_offset_ = 0;
-    base::millis dropped_before_ = 0;
+    base::millis claims_dropped_before_ms_ = 0;
 };
 
 } // namespace hibiscus::cluster
--- a/packages/cluster/include/hibiscus/cluster/engine_coordinator.hpp
+++ b/packages/cluster/include/hibiscus/cluster/engine_coordinator.hpp
@@ -11,8 +11,10 @@
 namespace hibiscus::cluster {
 
 /// The properties of an engine that its home node needs. They come from the
-/// configuration document and the instance list.
+/// configuration document and the instance list. An order is a command to an
+/// engine to load and serve a weight version.
 struct engine_traits {
+    /// Number of streams that the engine runs at the same time.
     int slots = 1;
     /// Number of streams admitted beyond `slots`.
     int queue_limit = 0;
@@ -34,7 +36,7 @@
     wire::stream_state state = wire::stream_state::queued;
     /// True once the start request has completed, even without a response; from
     /// then on the engine may have the stream.
-    bool started = false;
+    bool start_completed = false;
     /// Number of chunks received.
     std::uint32_t produced = 0;
     std::optional<wire::weight_version> oldest_version;
@@ -43,7 +45,7 @@
     /// When the next report is due.
     base::millis report_at = 0;
     /// When the stream finished.
-    base::millis done_at = 0;
+    base::millis finished_at = 0;
 };
 
 /// An order that is in flight, or that the engine has executed without
@@ -52,17 +54,18 @@
     wire::version_order order;
     base::millis sent_at = 0;
     /// When the engine reported the order as executed.
-    std::optional<base::millis> done_at;
+    std::optional<base::millis> executed_at;
 };
 
 /// The state of an engine at its home node.
 struct engine_state {
     engine_traits traits;
-    /// When the engine last responded, or when this node became its home node.
+    /// When the engine last responded, when this node became its home node, or
+    /// when this process resumed after a pause, whichever is latest.
     base::millis responded_at = 0;
     /// True once the engine has reported its served versions to this node.
     bool has_responded = false;
-    int failures = 0;
+    int poll_failures = 0;
     std::vector<wire::served_version> serving;
     std::map<base::stream_id, admitted_stream> streams;
     std::optional<pending_order> order;
@@ -139,7 +142,7 @@
     /// Interval between two checks whether an engine may swap.
     base::millis swap_check_interval = 100;
     /// How long a finished stream is kept while its report is not acknowledged.
-    base::millis done_retention = 30000;
+    base::millis finished_retention = 30000;
     /// A longer time between two ticks means that this process was paused.
     base::millis pause_threshold = 1000;
 };
@@ -187,8 +190,8 @@
     /// Records a failed poll of an engine.
     void on_poll_failed(const base::engine_id& engine);
 
-    /// Records that the request to start a stream has completed. The next poll
-    /// tells whether the engine has the stream, so `started` is not used.
+    /// Records that the request to start a stream has completed. `started` is
+    /// ignored: the next poll tells whether the engine has the stream.
     void on_start_result(const base::engine_id& engine,
                          const base::stream_id& stream, bool started);
 
--- a/packages/cluster/include/hibiscus/cluster/engine_reachability.hpp
+++ b/packages/cluster/include/hibiscus/cluster/engine_reachability.hpp
@@ -7,9 +7,10 @@
 
 namespace hibiscus::cluster {
 
-/// Tracks which nodes cannot reach which engines. An engine may be unreachable
-/// from one node only. In that case it moves to the next node in rendezvous
-/// order and is not treated as dead.
+/// Tracks which nodes cannot reach which engines. If an engine is unreachable
+/// from only some nodes, the next node in rendezvous order becomes its home
+/// node. If three nodes cannot reach it, the engine is considered dead and
+/// returns to its first home node.
 class engine_reachability {
 public:
     /// Constructs an empty table. A report of an unreachable engine expires
--- a/packages/cluster/include/hibiscus/cluster/engine_table.hpp
+++ b/packages/cluster/include/hibiscus/cluster/engine_table.hpp
@@ -21,9 +21,9 @@
     /// The last status reported by the engine's home node.
     wire::engine_status status;
     base::millis status_at = 0;
-    /// By trainer, the number of streams that this node has placed on the
-    /// engine since the last status, minus those that ended in the meantime.
-    std::map<base::trainer_id, int> placed_since_status;
+    /// By trainer, the change of the number of streams since the last status:
+    /// streams that this node placed minus those that ended. May be negative.
+    std::map<base::trainer_id, int> change_since_status;
 
     /// Returns the estimated number of streams at the engine.
     int estimated_load() const;
@@ -35,9 +35,8 @@
 /// The engines of the instance list.
 class engine_table {
 public:
-    /// Replaces the set of engines by those of `page`. Removes engines that it
-    /// does not contain.
-    void update_instances(const wire::instance_list& page);
+    /// Replaces the engines with those of `instances`.
+    void update_instances(const wire::instance_list& instances);
 
     /// Records the status that an engine's home node reported.
     void update_status(base::millis now, const wire::engine_status& status);
--- a/packages/cluster/include/hibiscus/cluster/member_table.hpp
+++ b/packages/cluster/include/hibiscus/cluster/member_table.hpp
@@ -20,9 +20,9 @@
     base::millis received_at = 0;
 };
 
-/// The entry instances from which this node receives heartbeats, including
-/// itself. The views of two nodes may differ, so safety must not depend on
-/// them.
+/// The nodes, that is, entry instances, from which this node receives
+/// heartbeats, including itself. The views of two nodes may differ, so safety
+/// must not depend on them.
 class member_table {
 public:
     /// Constructs the table of the node `self`. A member is removed if no
--- a/packages/cluster/include/hibiscus/cluster/step_coordinator.hpp
+++ b/packages/cluster/include/hibiscus/cluster/step_coordinator.hpp
@@ -12,7 +12,8 @@
 namespace hibiscus::cluster {
 
 /// Identifies a pull that waits for a response. The node maps it to a
-/// connection or to the call of a peer.
+/// connection or to the call of a peer. A pull is a long-polling request of a
+/// trainer for finished samples.
 using waiter_id = std::uint64_t;
 
 /// A request to the placement policy for an engine.
@@ -91,7 +92,7 @@
     /// are placed. In this time, reports of streams that the previous home node
     /// started can arrive.
     base::millis adoption_delay = 0;
-    /// How long after its deadline a pull may still be answered with samples.
+    /// How long after its deadline a pull may still receive samples.
     base::millis pull_margin = 250;
     /// A longer time between two ticks means that this process was paused.
     base::millis pause_threshold = 1000;
@@ -192,20 +193,20 @@
                       const wire::stream_report& report);
     void place_waiting_slots(base::millis now, step_state& step);
     bool place_slot(base::millis now, step_state& step, wire::slot_index index);
-    void check_silent_streams(base::millis now, step_state& step);
+    void check_unreported_streams(base::millis now, step_state& step);
     void request_stream_again(base::millis now, step_state& step,
                               wire::slot_index index, int priority);
     void handle_stragglers(base::millis now, step_state& step);
     void move_straggler(base::millis now, step_state& step,
                         wire::slot_index index);
     bool ticked_recently(base::millis now) const;
-    bool try_respond(base::millis now, const waiting_pull& waiting);
-    bool check_deliverable(base::millis now, const waiting_pull& waiting);
+    bool try_respond(base::millis now, const waiting_pull& pull);
+    bool check_deliverable(base::millis now, const waiting_pull& pull);
     std::vector<wire::sample>
     collect_samples(base::millis now, step_state& step,
                     const wire::pull_request& request);
     void respond_to_waiting_pull(base::millis now, const step_key& step);
-    void reject_pull(const waiting_pull& waiting, wire::reason reason);
+    void reject_pull(const waiting_pull& pull, wire::reason reason);
     wire::weight_version newest_version(const base::trainer_id& trainer) const;
 
     base::node_id self_;
--- a/packages/cluster/include/hibiscus/cluster/step_table.hpp
+++ b/packages/cluster/include/hibiscus/cluster/step_table.hpp
@@ -14,7 +14,7 @@
 enum class slot_phase {
     waiting,  ///< No stream is assigned to the slot.
     placed,   ///< A stream runs or is being started.
-    finished, ///< The sample awaits its delivery.
+    finished, ///< The sample awaits delivery.
     received  ///< The trainer has the sample.
 };
 
@@ -44,9 +44,10 @@
 /// slots and not on the size of the step.
 class step_state {
 public:
-    /// Constructs a step whose slots are all waiting and become due at `due`.
+    /// Constructs a step whose slots are all waiting and become due at
+    /// `check_at`.
     step_state(base::trainer_id trainer, wire::step_number number,
-               wire::step_request request, base::millis due);
+               wire::step_request request, base::millis check_at);
 
     /// Returns the trainer that opened the step.
     const base::trainer_id& trainer() const { return trainer_; }
@@ -62,7 +63,7 @@
     /// slots delay the end of the step.
     bool is_almost_complete() const;
 
-    /// Returns the slots whose samples await their delivery.
+    /// Returns the slots whose samples await delivery.
     const std::set<wire::slot_index>& finished_slots() const {
         return finished_slots_;
     }
@@ -77,23 +78,23 @@
 
     std::vector<wire::slot_index> placed_slots() const;
 
-    /// Makes a slot wait until `due`. If it was not waiting before, its attempt
-    /// number is increased, so that late reports of the old stream cannot fill
-    /// it.
-    void mark_waiting(wire::slot_index index, base::millis due);
+    /// Makes a slot wait until `check_at`. If it was not waiting before, its
+    /// attempt number is increased, so that late reports of the old stream
+    /// cannot fill it.
+    void mark_waiting(wire::slot_index index, base::millis check_at);
 
     /// Records the stream that generates a slot from now on. The slot is
-    /// checked at `due`.
+    /// checked at `check_at`.
     void mark_placed(wire::slot_index index, const base::engine_id& engine,
                      std::uint32_t attempt, int priority, base::millis now,
-                     base::millis due);
+                     base::millis check_at);
 
     /// Sets the time of the next check of a placed slot.
-    void schedule_check(wire::slot_index index, base::millis due);
+    void schedule_check(wire::slot_index index, base::millis check_at);
 
     /// Records that the stream of a placed slot was requested again.
     void mark_requested(wire::slot_index index, int priority, base::millis now,
-                        base::millis due);
+                        base::millis check_at);
 
     /// Records a report about the stream of a placed slot.
     void record_progress(wire::slot_index index, base::millis now,
@@ -112,12 +113,12 @@
     const std::string& prompt_of(wire::slot_index index) const;
 
     /// True once the priority of the last slots was raised.
-    bool stragglers_raised = false;
+    bool straggler_priority_raised = false;
     /// No slot is placed before this time, because all engines were full.
     base::millis place_not_before = 0;
 
 private:
-    using due_queue = std::set<std::pair<base::millis, wire::slot_index>>;
+    using check_queue = std::set<std::pair<base::millis, wire::slot_index>>;
 
     slot_state& leave_phase(wire::slot_index index);
 
@@ -126,8 +127,8 @@
     wire::step_request request_;
     std::vector<slot_state> slots_;
     std::uint32_t missing_count_ = 0;
-    due_queue waiting_queue_;
-    due_queue placed_queue_;
+    check_queue waiting_queue_;
+    check_queue placed_queue_;
     std::set<wire::slot_index> finished_slots_;
 };
 
--- a/packages/cluster/src/claim_coordinator.cpp
+++ b/packages/cluster/src/claim_coordinator.cpp
@@ -8,6 +8,8 @@
 
 namespace {
 
+/// Delay before an epoch of another node is replaced, and between two attempts
+/// of this node to start an epoch.
 constexpr base::millis takeover_delay_ms = 2000;
 constexpr base::millis min_snapshot_interval_ms = 1000;
 constexpr std::size_t max_claims_per_part = 256;
@@ -53,14 +55,14 @@
     return record.node == self_ && record.incarnation == incarnation_;
 }
 
-bool claim_coordinator::is_refusing(const shard_state& state,
-                                    base::millis now) {
+bool claim_coordinator::is_rejecting_claims(const shard_state& state,
+                                            base::millis now) {
     // After a refused append nothing is queued, so no later append would show
     // that the log has recovered, and callers would be rejected forever.
     // Requests that arrive after the retry delay are therefore accepted, and
     // their append probes the log.
     return state.log_failing &&
-           (state.in_flight || now < state.append_not_before);
+           (state.current_append || now < state.append_not_before);
 }
 
 wire::service_response
@@ -96,7 +98,7 @@
     // applies as well, because operators may have increased the retention since
     // then.
     if (request.created_ms < wall - options_.claim_retention ||
-        request.created_ms < state.state_machine.dropped_before()) {
+        request.created_ms < state.state_machine.claims_dropped_before_ms()) {
         return wire::make_unknown_response(
             request.id, wire::reason::claim_window_passed, self_);
     }
@@ -105,7 +107,7 @@
             request.id, wire::reason::claim_window_passed, 0, self_);
     }
     if (!holds_current_epoch(state)) {
-        const auto reason = is_refusing(state, now)
+        const auto reason = is_rejecting_claims(state, now)
                                 ? wire::reason::log_unavailable
                                 : wire::reason::not_ready;
         return wire::make_not_run_response(request.id, reason,
@@ -116,7 +118,7 @@
         return wire::make_unknown_response(request.id,
                                            wire::reason::outcome_lost, self_);
     }
-    if (is_refusing(state, now)) {
+    if (is_rejecting_claims(state, now)) {
         return wire::make_not_run_response(request.id,
                                            wire::reason::log_unavailable,
                                            options_.retry_after, self_);
@@ -329,15 +331,15 @@
                                          append_outcome outcome,
                                          base::millis retry_at) {
     auto& state = shards_[shard];
-    if (!state.in_flight || state.in_flight->id != id) {
+    if (!state.current_append || state.current_append->id != id) {
         return;
     }
     state.append_sent = false;
     state.log_failing = outcome != append_outcome::appended;
     if (outcome == append_outcome::appended) {
-        state.last_appended =
-            std::max(state.last_appended, state.in_flight->record.sequence);
-        state.in_flight.reset();
+        state.last_appended = std::max(state.last_appended,
+                                       state.current_append->record.sequence);
+        state.current_append.reset();
         return;
     }
     state.append_not_before = std::max(state.append_not_before, retry_at);
@@ -351,12 +353,12 @@
     }
     // The record is not in the log, so its callers can be rejected at once.
     reject_unclaimed(state, wire::reason::log_unavailable);
-    auto items = std::move(state.in_flight->record.items);
-    if (state.in_flight->record.snapshot) {
+    auto items = std::move(state.current_append->record.items);
+    if (state.current_append->record.snapshot) {
         state.snapshot_parts.push_front(
-            std::move(*state.in_flight->record.snapshot));
+            std::move(*state.current_append->record.snapshot));
     }
-    state.in_flight.reset();
+    state.current_append.reset();
     for (auto& item : items) {
         if (item.kind != wire::claim_kind::claim) {
             state.queued_items.push_back(std::move(item));
@@ -408,20 +410,21 @@
         now - state.snapshot_started_at < min_snapshot_interval_ms) {
         return false;
     }
-    const auto retained =
+    const auto retained_records =
         state.state_machine.next_offset() - state.first_offset;
-    const auto since_snapshot = state.state_machine.next_offset() -
-                                state.state_machine.snapshot_offset();
+    const auto records_since_snapshot = state.state_machine.next_offset() -
+                                        state.state_machine.snapshot_offset();
     const auto min_records = std::max(
-        options_.snapshot_interval_records,
+        options_.min_records_until_snapshot,
         static_cast<wire::log_offset>(state.state_machine.claim_count()));
     // A snapshot is due when half of the records that the log holds are newer
     // than the last one; the other half is the safety margin. Before the log
     // has dropped any records its capacity is unknown. Then the number of
     // records between two snapshots is at least the number of claims, so a
     // snapshot costs at most one claim for each record.
-    return since_snapshot >= min_records ||
-           (state.first_offset > 0 && since_snapshot > retained / 2) ||
+    return records_since_snapshot >= min_records ||
+           (state.first_offset > 0 &&
+            records_since_snapshot > retained_records / 2) ||
            now - state.snapshot_advanced_at >= options_.max_snapshot_age;
 }
 
@@ -528,7 +531,7 @@
         }
     }
     const auto id = append_id_of(record);
-    state.in_flight = append_claims{shard, id, std::move(record)};
+    state.current_append = append_claims{shard, id, std::move(record)};
     state.append_uncertain = false;
     return true;
 }
@@ -536,19 +539,19 @@
 void claim_coordinator::send_append(base::millis now, shard_number shard,
                                     shard_state& state) {
     if (state.append_sent || now < state.append_not_before ||
-        (!state.in_flight && !prepare_append(now, shard, state))) {
+        (!state.current_append && !prepare_append(now, shard, state))) {
         return;
     }
     state.append_sent = true;
     state.append_not_before = now + options_.append_interval;
-    effects_.push_back(*state.in_flight);
+    effects_.push_back(*state.current_append);
 }
 
 std::vector<std::pair<shard_number, wire::log_offset>>
 claim_coordinator::shards_to_read() const {
     std::vector<std::pair<shard_number, wire::log_offset>> result;
     for (const auto& [shard, state] : shards_) {
-        if (state.is_home || !state.pending.empty() || state.in_flight ||
+        if (state.is_home || !state.pending.empty() || state.current_append ||
             !state.queued_items.empty() ||
             state.last_read_back < state.last_appended) {
             result.emplace_back(shard, state.state_machine.next_offset());
@@ -562,7 +565,8 @@
     for (const auto& [shard, state] : shards_) {
         count += state.pending.size();
         if (!state.log_failing) {
-            count += state.queued_items.size() + (state.in_flight ? 1U : 0U);
+            count +=
+                state.queued_items.size() + (state.current_append ? 1U : 0U);
         }
     }
     return count;
--- a/packages/cluster/src/claim_state_machine.cpp
+++ b/packages/cluster/src/claim_state_machine.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-/// Number of writers that a snapshot keeps even if their last records are older
-/// than the current epoch and all claims.
-constexpr std::size_t max_idle_writers = 256;
+/// Writers without recent records are dropped from a snapshot only while it has
+/// more writers than this.
+constexpr std::size_t min_writers_per_snapshot = 256;
 
 } // namespace
 
@@ -140,7 +140,8 @@
         if (part.epoch >= 0) {
             epoch_ = shard_epoch{part.epoch, part.holder, part.incarnation};
         }
-        dropped_before_ = std::max(dropped_before_, part.forgotten_before);
+        claims_dropped_before_ms_ =
+            std::max(claims_dropped_before_ms_, part.forgotten_before);
     }
     apply_deferred_records(complete.covers);
 }
@@ -156,7 +157,8 @@
 }
 
 void claim_state_machine::resume_without_snapshot() {
-    dropped_before_ = std::max(dropped_before_, gap_->created_before_ms);
+    claims_dropped_before_ms_ =
+        std::max(claims_dropped_before_ms_, gap_->created_before_ms);
     epoch_barrier_ = gap_->self;
     apply_deferred_records(gap_->first);
 }
@@ -165,7 +167,7 @@
 claim_state_machine::make_snapshot(std::size_t max_claims_per_part) const {
     wire::claim_snapshot header;
     header.covers = next_offset_;
-    header.forgotten_before = dropped_before_;
+    header.forgotten_before = claims_dropped_before_ms_;
     auto oldest_needed = next_offset_;
     if (epoch_) {
         header.epoch = epoch_->number;
@@ -184,9 +186,10 @@
              key, claim.epoch, claim.created_ms, claim.body.value_or("")});
     }
     // A state machine that does not know a writer would accept a late duplicate
-    // of its record. The snapshot therefore keeps all writers with records
-    // since the oldest epoch of a claim, and of the others the latest ones,
-    // whose duplicates may still be in flight.
+    // of its record. The snapshot therefore keeps every writer that appended a
+    // record since the oldest of the current epoch and the epochs of all
+    // claims. Of the other writers it keeps the most recent ones, whose
+    // duplicates may still be in flight.
     std::vector<wire::claim_writer> writers;
     for (const auto& [writer, position] : writers_) {
         writers.push_back(
@@ -194,7 +197,7 @@
     }
     std::sort(writers.begin(), writers.end(),
               [](const auto& a, const auto& b) { return a.at > b.at; });
-    while (writers.size() > max_idle_writers &&
+    while (writers.size() > min_writers_per_snapshot &&
            writers.back().at < oldest_needed) {
         writers.pop_back();
     }
@@ -250,7 +253,8 @@
 }
 
 void claim_state_machine::drop_claims_before(base::millis created_before_ms) {
-    dropped_before_ = std::max(dropped_before_, created_before_ms);
+    claims_dropped_before_ms_ =
+        std::max(claims_dropped_before_ms_, created_before_ms);
     for (auto it = claims_.begin(); it != claims_.end();) {
         it = it->second.created_ms < created_before_ms ? claims_.erase(it)
                                                        : std::next(it);
--- a/packages/cluster/src/engine_coordinator.cpp
+++ b/packages/cluster/src/engine_coordinator.cpp
@@ -157,7 +157,8 @@
         // An engine that is polled for a stream before the start request has
         // arrived reports the stream as missing, and its slot would be
         // regenerated.
-        if (admitted.started && admitted.state != wire::stream_state::done) {
+        if (admitted.start_completed &&
+            admitted.state != wire::stream_state::done) {
             poll.streams.push_back({id, admitted.produced});
         }
     }
@@ -173,7 +174,7 @@
     }
     it->second.responded_at = now;
     it->second.has_responded = true;
-    it->second.failures = 0;
+    it->second.poll_failures = 0;
     it->second.serving = response.serving;
     for (const auto& update : response.streams) {
         apply_stream_update(now, it->second, update);
@@ -214,7 +215,7 @@
             admitted.oldest_version =
                 std::min(*admitted.oldest_version, chunk.version);
         }
-        admitted.done_at = now;
+        admitted.finished_at = now;
     }
     if (update.state == wire::stream_state::done ||
         update.state == wire::stream_state::missing) {
@@ -225,7 +226,7 @@
 void engine_coordinator::on_poll_failed(const base::engine_id& engine) {
     const auto it = engines_.find(engine);
     if (it != engines_.end()) {
-        ++it->second.failures;
+        ++it->second.poll_failures;
     }
 }
 
@@ -241,13 +242,13 @@
         // Even without a response the engine may have the stream. If it were
         // treated as missing, it would keep running and occupy a slot; the next
         // poll tells.
-        admitted->second.started = true;
+        admitted->second.start_completed = true;
     }
 }
 
 bool engine_coordinator::is_healthy(base::millis now,
                                     const engine_state& engine) const {
-    return engine.failures < failures_until_unhealthy &&
+    return engine.poll_failures < failures_until_unhealthy &&
            now - engine.responded_at <= options_.unhealthy_after;
 }
 
@@ -294,7 +295,7 @@
             ++it;
             continue;
         }
-        if (done && now - admitted.done_at > options_.done_retention) {
+        if (done && now - admitted.finished_at > options_.finished_retention) {
             effects_.push_back(stop_at_engine{id, it->first});
             it = engine.streams.erase(it);
             continue;
--- a/packages/cluster/src/engine_orders.cpp
+++ b/packages/cluster/src/engine_orders.cpp
@@ -21,7 +21,7 @@
     }
     auto& state = it->second;
     if (result == wire::order_result::done) {
-        state.order->done_at = now;
+        state.order->executed_at = now;
         return;
     }
     const auto sent_at = state.order->sent_at;
@@ -49,14 +49,14 @@
 
 void engine_coordinator::check_completed_order(base::millis now,
                                                engine_state& engine) const {
-    if (!engine.order || !engine.order->done_at) {
+    if (!engine.order || !engine.order->executed_at) {
         return;
     }
     const auto& order = engine.order->order;
     if (engine.served_version_of(order.trainer) >= order.version) {
         engine.order.reset();
         engine.order_failures = 0;
-    } else if (now - *engine.order->done_at >
+    } else if (now - *engine.order->executed_at >
                options_.order_confirmation_timeout) {
         // The engine reported the swap as done but serves another version.
         engine.order.reset();
--- a/packages/cluster/src/engine_table.cpp
+++ b/packages/cluster/src/engine_table.cpp
@@ -7,24 +7,24 @@
 
 int engine_entry::estimated_load() const {
     int sum = status.admitted;
-    for (const auto& [trainer, count] : placed_since_status) {
+    for (const auto& [trainer, count] : change_since_status) {
         sum += count;
     }
     return sum;
 }
 
 int engine_entry::estimated_load_of(const base::trainer_id& trainer) const {
-    const auto placed = placed_since_status.find(trainer);
-    int sum = placed == placed_since_status.end() ? 0 : placed->second;
+    const auto placed = change_since_status.find(trainer);
+    int sum = placed == change_since_status.end() ? 0 : placed->second;
     for (const auto& stream : status.streams) {
         sum += stream.trainer == trainer ? stream.admitted : 0;
     }
     return sum;
 }
 
-void engine_table::update_instances(const wire::instance_list& page) {
+void engine_table::update_instances(const wire::instance_list& instances) {
     std::set<base::engine_id> listed;
-    for (const auto& instance : page.instances) {
+    for (const auto& instance : instances.instances) {
         if (instance.role != wire::instance_role::engine) {
             continue;
         }
@@ -50,14 +50,14 @@
     }
     it->second.status = status;
     it->second.status_at = now;
-    it->second.placed_since_status.clear();
+    it->second.change_since_status.clear();
 }
 
 void engine_table::note_placed(const base::engine_id& engine,
                                const base::trainer_id& trainer) {
     const auto it = engines_.find(engine);
     if (it != engines_.end()) {
-        ++it->second.placed_since_status[trainer];
+        ++it->second.change_since_status[trainer];
     }
 }
 
@@ -65,7 +65,7 @@
                               const base::trainer_id& trainer) {
     const auto it = engines_.find(engine);
     if (it != engines_.end() && it->second.estimated_load_of(trainer) > 0) {
-        --it->second.placed_since_status[trainer];
+        --it->second.change_since_status[trainer];
     }
 }
 
--- a/packages/cluster/src/step_coordinator.cpp
+++ b/packages/cluster/src/step_coordinator.cpp
@@ -93,10 +93,10 @@
         for (const auto index : it->second.placed_slots()) {
             cancel_slot(it->second, index);
         }
-        const auto waiting = waiting_pulls_.find(it->first);
-        if (waiting != waiting_pulls_.end()) {
-            reject_pull(waiting->second, wire::reason::unknown_step);
-            waiting_pulls_.erase(waiting);
+        const auto pull = waiting_pulls_.find(it->first);
+        if (pull != waiting_pulls_.end()) {
+            reject_pull(pull->second, wire::reason::unknown_step);
+            waiting_pulls_.erase(pull);
         }
         last_dropped_steps_[trainer] = it->first.second;
         it = steps_.erase(it);
@@ -106,8 +106,8 @@
 void step_coordinator::pull_samples(base::millis now, waiter_id waiter,
                                     const wire::pull_step& message) {
     const step_key key{message.trainer, message.step};
-    waiting_pull waiting{waiter, key, message.request,
-                         now + message.request.wait_ms};
+    waiting_pull pull{waiter, key, message.request,
+                      now + message.request.wait_ms};
     update_newest_version(now, message.trainer, message.request.version);
     const auto earlier = waiting_pulls_.find(key);
     if (earlier != waiting_pulls_.end()) {
@@ -115,7 +115,7 @@
         // wrong order; the trainer only accepts the response to its latest
         // pull.
         if (earlier->second.request.pull > message.request.pull) {
-            reject_pull(waiting, wire::reason::superseded);
+            reject_pull(pull, wire::reason::superseded);
             return;
         }
         reject_pull(earlier->second, wire::reason::superseded);
@@ -123,12 +123,12 @@
     }
     const auto it = steps_.find(key);
     if (it == steps_.end()) {
-        reject_pull(waiting, wire::reason::unknown_step);
+        reject_pull(pull, wire::reason::unknown_step);
         return;
     }
     mark_received(now, it->second, message.request.received);
-    if (!try_respond(now, waiting)) {
-        waiting_pulls_.emplace(key, std::move(waiting));
+    if (!try_respond(now, pull)) {
+        waiting_pulls_.emplace(key, std::move(pull));
     }
 }
 
@@ -301,8 +301,8 @@
     const auto& slot = it->second.slots()[parts->slot];
     if (slot.phase == slot_phase::placed && slot.attempt == parts->attempt) {
         // The stream may be running although the home node that refused it does
-        // not know it. The slot gets a new attempt number, so that a report of
-        // the old stream cannot fill it.
+        // not know about it. The slot gets a new attempt number, so that a
+        // report of the old stream cannot fill it.
         if (slot.producing) {
             cancel_slot(it->second, parts->slot);
         }
@@ -381,7 +381,7 @@
     last_tick_at_ = now;
     for (auto& [key, step] : steps_) {
         if (step.missing_count() > 0) {
-            check_silent_streams(now, step);
+            check_unreported_streams(now, step);
             place_waiting_slots(now, step);
             handle_stragglers(now, step);
         }
@@ -394,8 +394,8 @@
     }
 }
 
-void step_coordinator::check_silent_streams(base::millis now,
-                                            step_state& step) {
+void step_coordinator::check_unreported_streams(base::millis now,
+                                                step_state& step) {
     while (const auto index = step.due_placed(now)) {
         const auto& slot = step.slots()[*index];
         if (slot.reported_at &&
@@ -450,36 +450,35 @@
     return !last_tick_at_ || now - *last_tick_at_ <= options_.pause_threshold;
 }
 
-bool step_coordinator::try_respond(base::millis now,
-                                   const waiting_pull& waiting) {
-    auto& step = steps_.at(waiting.step);
-    const bool deadline_passed = now >= waiting.deadline;
+bool step_coordinator::try_respond(base::millis now, const waiting_pull& pull) {
+    auto& step = steps_.at(pull.step);
+    const bool deadline_passed = now >= pull.deadline;
     if (step.finished_slots().empty() && step.missing_count() > 0 &&
         !deadline_passed) {
         return false;
     }
-    if (!check_deliverable(now, waiting)) {
+    if (!check_deliverable(now, pull)) {
         return true;
     }
     wire::pull_response response;
-    response.samples = collect_samples(now, step, waiting.request);
+    response.samples = collect_samples(now, step, pull.request);
     if (response.samples.empty() && step.missing_count() > 0 &&
         !deadline_passed) {
         return false;
     }
-    response.pull = waiting.request.pull;
+    response.pull = pull.request.pull;
     response.result = wire::outcome::completed;
     response.node = self_;
     response.missing = step.missing_count() -
                        static_cast<std::uint32_t>(response.samples.size());
-    effects_.push_back(send_pull_response{waiting.waiter, std::move(response)});
+    effects_.push_back(send_pull_response{pull.waiter, std::move(response)});
     return true;
 }
 
 bool step_coordinator::check_deliverable(base::millis now,
-                                         const waiting_pull& waiting) {
-    if (!staleness_bound_(waiting.step.first)) {
-        reject_pull(waiting, wire::reason::unknown_trainer);
+                                         const waiting_pull& pull) {
+    if (!staleness_bound_(pull.step.first)) {
+        reject_pull(pull, wire::reason::unknown_trainer);
         return false;
     }
     // A publisher waits for this node's acknowledgement no longer than a pull
@@ -487,12 +486,12 @@
     // one from its socket, without knowing the version that was published in
     // the meantime. The trainer would then receive a sample outside its
     // staleness bound.
-    if (now > waiting.deadline + options_.pull_margin) {
-        reject_pull(waiting, wire::reason::deadline_passed);
+    if (now > pull.deadline + options_.pull_margin) {
+        reject_pull(pull, wire::reason::deadline_passed);
         return false;
     }
     if (!ticked_recently(now) || now < deliver_not_before_) {
-        reject_pull(waiting, wire::reason::not_ready);
+        reject_pull(pull, wire::reason::not_ready);
         return false;
     }
     return true;
@@ -525,15 +524,15 @@
     }
 }
 
-void step_coordinator::reject_pull(const waiting_pull& waiting,
+void step_coordinator::reject_pull(const waiting_pull& pull,
                                    wire::reason reason) {
     wire::pull_response response;
-    response.pull = waiting.request.pull;
+    response.pull = pull.request.pull;
     response.result = wire::outcome::not_run;
     response.why = reason;
     response.retry_after_ms = options_.retry_delay;
     response.node = self_;
-    effects_.push_back(send_pull_response{waiting.waiter, std::move(response)});
+    effects_.push_back(send_pull_response{pull.waiter, std::move(response)});
 }
 
 std::vector<step_effect> step_coordinator::take_effects() {
--- a/packages/cluster/src/step_stragglers.cpp
+++ b/packages/cluster/src/step_stragglers.cpp
@@ -23,8 +23,8 @@
     if (std::holds_alternative<straggler_none>(policy)) {
         return;
     }
-    if (!step.stragglers_raised) {
-        step.stragglers_raised = true;
+    if (!step.straggler_priority_raised) {
+        step.straggler_priority_raised = true;
         for (const auto index : step.placed_slots()) {
             const auto& slot = step.slots()[index];
             if (slot.priority < straggler_priority) {
--- a/packages/cluster/src/step_table.cpp
+++ b/packages/cluster/src/step_table.cpp
@@ -14,18 +14,18 @@
 } // namespace
 
 step_state::step_state(base::trainer_id trainer, wire::step_number number,
-                       wire::step_request request, base::millis due)
+                       wire::step_request request, base::millis check_at)
     : trainer_(std::move(trainer)), number_(number),
       request_(std::move(request)) {
     for (std::uint32_t g = 0; g < request_.groups.size(); ++g) {
         slot_state slot;
         slot.group = g;
-        slot.check_at = due;
+        slot.check_at = check_at;
         slots_.insert(slots_.end(), request_.groups[g].samples, slot);
     }
     missing_count_ = static_cast<std::uint32_t>(slots_.size());
     for (wire::slot_index i = 0; i < slots_.size(); ++i) {
-        waiting_queue_.emplace_hint(waiting_queue_.end(), due, i);
+        waiting_queue_.emplace_hint(waiting_queue_.end(), check_at, i);
     }
 }
 
@@ -51,7 +51,7 @@
 std::vector<wire::slot_index> step_state::placed_slots() const {
     std::vector<wire::slot_index> indices;
     indices.reserve(placed_queue_.size());
-    for (const auto& [due, index] : placed_queue_) {
+    for (const auto& [check_at, index] : placed_queue_) {
         indices.push_back(index);
     }
     return indices;
@@ -76,7 +76,7 @@
     return slot;
 }
 
-void step_state::mark_waiting(wire::slot_index index, base::millis due) {
+void step_state::mark_waiting(wire::slot_index index, base::millis check_at) {
     auto& slot = leave_phase(index);
     if (slot.phase != slot_phase::waiting) {
         ++slot.attempt;
@@ -84,14 +84,14 @@
     slot.phase = slot_phase::waiting;
     slot.oldest_version.reset();
     slot.chunks.clear();
-    slot.check_at = due;
-    waiting_queue_.emplace(due, index);
+    slot.check_at = check_at;
+    waiting_queue_.emplace(check_at, index);
 }
 
 void step_state::mark_placed(wire::slot_index index,
                              const base::engine_id& engine,
                              std::uint32_t attempt, int priority,
-                             base::millis now, base::millis due) {
+                             base::millis now, base::millis check_at) {
     auto& slot = leave_phase(index);
     slot.phase = slot_phase::placed;
     slot.engine = engine;
@@ -100,19 +100,19 @@
     slot.requested_at = now;
     slot.reported_at.reset();
     slot.producing = false;
-    slot.check_at = due;
-    placed_queue_.emplace(due, index);
+    slot.check_at = check_at;
+    placed_queue_.emplace(check_at, index);
 }
 
-void step_state::schedule_check(wire::slot_index index, base::millis due) {
+void step_state::schedule_check(wire::slot_index index, base::millis check_at) {
     auto& slot = leave_phase(index);
-    slot.check_at = due;
-    placed_queue_.emplace(due, index);
+    slot.check_at = check_at;
+    placed_queue_.emplace(check_at, index);
 }
 
 void step_state::mark_requested(wire::slot_index index, int priority,
-                                base::millis now, base::millis due) {
-    schedule_check(index, due);
+                                base::millis now, base::millis check_at) {
+    schedule_check(index, check_at);
     auto& slot = slots_[index];
     slot.priority = priority;
     slot.requested_at = now;
--- a/packages/cluster/test/claim_coordinator_test.cpp
+++ b/packages/cluster/test/claim_coordinator_test.cpp
@@ -10,18 +10,18 @@
 constexpr base::millis deadline = 1000;
 
 /// A coordinator and the effects that it has requested so far.
-struct test_coordinator {
-    explicit test_coordinator(const std::string& name,
-                              std::uint64_t incarnation = 1)
+struct coordinator_harness {
+    explicit coordinator_harness(const std::string& name,
+                                 std::uint64_t incarnation = 1)
         : coordinator(base::node_id(name), incarnation, claim_options{}) {}
 
-    /// Ticks the coordinator at `now` and sorts its effects.
+    /// Ticks the coordinator at `now` and stores its effects.
     void tick(base::millis now) {
         coordinator.tick(now, wall + now);
         collect_effects();
     }
 
-    /// Sorts the effects by their kind.
+    /// Takes the pending effects and stores them by kind.
     void collect_effects() {
         for (auto& effect : coordinator.take_effects()) {
             if (auto* append = std::get_if<append_claims>(&effect)) {
@@ -36,7 +36,6 @@
         }
     }
 
-    /// Submits a request with the key `key` for `waiter`.
     void submit(base::millis now, claim_waiter_id waiter,
                 const std::string& key, base::millis deadline_ms = deadline) {
         wire::service_request request;
@@ -55,53 +54,53 @@
     std::map<claim_waiter_id, std::vector<wire::service_response>> responses;
 };
 
-/// Two coordinators, a and b, and the stream of one shard.
+/// Two coordinators, a and b, and the log of one shard.
 class claim_home_test : public ::testing::Test {
 protected:
-    /// Appends the last record that `node` sent to the stream and reports
-    /// success.
-    void append_last_sent(test_coordinator& node) {
-        stream_.push_back(node.sent.back().record);
+    /// Appends the last record that `node` sent to the log and reports success.
+    void append_last_sent(coordinator_harness& node) {
+        log_.push_back(node.sent.back().record);
         report_append_result(node, append_outcome::appended);
     }
 
     /// Reports the outcome of the last append of `node`.
-    void report_append_result(test_coordinator& node, append_outcome outcome,
+    void report_append_result(coordinator_harness& node, append_outcome outcome,
                               base::millis retry_at = 0) {
         node.coordinator.on_append_result(shard, node.sent.back().id, outcome,
                                           retry_at);
         node.collect_effects();
     }
 
-    /// Lets `node` read the stream to its end.
-    void read_stream(test_coordinator& node, base::millis now) {
-        for (std::size_t i = 0; i < stream_.size(); ++i) {
+    /// Lets `node` read the log to its end.
+    void read_log(coordinator_harness& node, base::millis now) {
+        for (std::size_t i = 0; i < log_.size(); ++i) {
             node.coordinator.apply_record(
-                now, shard, static_cast<wire::log_offset>(i), stream_[i]);
+                now, shard, static_cast<wire::log_offset>(i), log_[i]);
         }
         node.collect_effects();
     }
 
     /// Makes `node` the holder of the shard.
-    void acquire_shard(test_coordinator& node, base::millis now) {
+    void acquire_shard(coordinator_harness& node, base::millis now) {
         node.coordinator.assign_shards({shard});
         node.tick(now);
         append_last_sent(node);
-        read_stream(node, now);
+        read_log(node, now);
     }
 
     /// Submits and claims `key` for `waiter` and reads the claim back, which
     /// dispatches the request.
-    void start(test_coordinator& node, base::millis now, claim_waiter_id waiter,
-               const std::string& key, base::millis deadline_ms = deadline) {
+    void start(coordinator_harness& node, base::millis now,
+               claim_waiter_id waiter, const std::string& key,
+               base::millis deadline_ms = deadline) {
         node.submit(now, waiter, key, deadline_ms);
         node.tick(now);
         append_last_sent(node);
-        read_stream(node, now);
+        read_log(node, now);
     }
 
     /// Reports the outcome of the run of `key` at `node`.
-    static void finish(test_coordinator& node, const std::string& key,
+    static void finish(coordinator_harness& node, const std::string& key,
                        wire::outcome result) {
         wire::service_response response;
         response.id = base::request_id(key);
@@ -111,13 +110,13 @@
         node.collect_effects();
     }
 
-    std::vector<wire::claim_record> stream_;
-    test_coordinator a_{"a"};
-    test_coordinator b_{"b"};
+    std::vector<wire::claim_record> log_;
+    coordinator_harness a_{"a"};
+    coordinator_harness b_{"b"};
 };
 
-// The log refuses one append and then recovers. Callers retried after the
-// delay, but the shard kept rejecting them forever.
+// The log refuses one append and then recovers. Callers that retry after the
+// delay must be served, and not be rejected forever.
 TEST_F(claim_home_test, a_shard_serves_again_after_a_refused_append) {
     acquire_shard(a_, 0);
     a_.submit(10, 1, "k");
@@ -138,7 +137,7 @@
     a_.submit(10, 1, "k");
     a_.tick(20);
     append_last_sent(a_);
-    read_stream(a_, 30);
+    read_log(a_, 30);
     ASSERT_EQ(a_.responses[1].size(), 1U);
     EXPECT_EQ(a_.responses[1][0].result, wire::outcome::not_run);
     EXPECT_TRUE(a_.dispatched.empty());
@@ -153,12 +152,12 @@
     append_last_sent(a_);
     a_.tick(2100);
     ASSERT_TRUE(a_.sent.back().record.starts_epoch);
-    read_stream(a_, 2110);
+    read_log(a_, 2110);
     append_last_sent(a_);
     a_.submit(2120, 1, "k");
     a_.tick(2130);
     append_last_sent(a_);
-    read_stream(a_, 2140);
+    read_log(a_, 2140);
     ASSERT_EQ(a_.responses[1].size(), 1U);
     EXPECT_EQ(a_.responses[1][0].result, wire::outcome::not_run);
     EXPECT_TRUE(a_.dispatched.empty());
@@ -169,10 +168,10 @@
 TEST_F(claim_home_test, a_claim_carries_the_epoch_held_when_it_is_sent) {
     acquire_shard(a_, 0);
     a_.submit(5, 1, "k");
-    auto second_epoch = stream_.front();
+    auto second_epoch = log_.front();
     second_epoch.sequence = 100;
-    stream_.push_back(second_epoch);
-    read_stream(a_, 6);
+    log_.push_back(second_epoch);
+    read_log(a_, 6);
     a_.tick(20);
     ASSERT_FALSE(a_.sent.back().record.items.empty());
     EXPECT_EQ(a_.sent.back().record.items[0].epoch, 1);
@@ -188,7 +187,7 @@
     finish(a_, "k", wire::outcome::not_run);
     a_.tick(40);
     const auto sequence = a_.sent.back().record.sequence;
-    stream_.push_back(a_.sent.back().record);
+    log_.push_back(a_.sent.back().record);
     report_append_result(a_, append_outcome::unknown, 60);
     a_.tick(80);
     report_append_result(a_, append_outcome::refused, 100);
@@ -210,7 +209,8 @@
 }
 
 // The request has run, the response to the caller is lost, and the caller
-// retries before the outcome is in the log.
+// retries before the outcome is in the log. The retry must receive the outcome
+// of the first run.
 TEST_F(claim_home_test, a_retry_gets_an_outcome_that_is_not_yet_logged) {
     acquire_shard(a_, 0);
     start(a_, 10, 1, "k");
@@ -257,7 +257,7 @@
     finish(a_, "k", wire::outcome::completed);
     a_.tick(30);
     append_last_sent(a_);
-    read_stream(a_, 30);
+    read_log(a_, 30);
     a_.tick(5000);
     a_.coordinator.set_claim_retention(600000);
     a_.submit(5001, 2, "k");
@@ -279,7 +279,7 @@
     ASSERT_EQ(a_.responses[1].size(), 1U);
     append_last_sent(a_);
     ASSERT_FALSE(a_.coordinator.shards_to_read().empty());
-    read_stream(a_, 30);
+    read_log(a_, 30);
     a_.tick(40);
     EXPECT_TRUE(a_.dispatched.empty());
     ASSERT_EQ(a_.sent.back().record.items.size(), 1U);
@@ -299,7 +299,7 @@
 // A holder is paused after its claim was appended, and another node takes over.
 // When the old holder resumes, it reads its claim, which came first, and may
 // run the request. The new holder never does, and learns the outcome from the
-// stream.
+// log.
 TEST_F(claim_home_test, only_the_paused_holder_runs_the_claim_it_made_in_time) {
     acquire_shard(a_, 0);
     a_.submit(10, 1, "k", 60000);
@@ -309,12 +309,12 @@
     b_.submit(40, 2, "k");
     ASSERT_EQ(b_.responses[2].size(), 1U);
     EXPECT_EQ(b_.responses[2][0].result, wire::outcome::unknown);
-    read_stream(a_, 5000);
+    read_log(a_, 5000);
     EXPECT_EQ(a_.dispatched.size(), 1U);
     finish(a_, "k", wire::outcome::completed);
     a_.tick(5020);
     append_last_sent(a_);
-    read_stream(b_, 5030);
+    read_log(b_, 5030);
     b_.submit(5040, 3, "k");
     ASSERT_EQ(b_.responses[3].size(), 1U);
     EXPECT_EQ(b_.responses[3][0].result, wire::outcome::completed);
--- a/packages/cluster/test/claim_fuzz_test.cpp
+++ b/packages/cluster/test/claim_fuzz_test.cpp
@@ -48,7 +48,7 @@
 
 // The epoch record of a node is appended twice, the first copy is dropped
 // before it is read, and the snapshot no longer contains its writer. The node
-// held the shard at the same time as the actual holder, and a key ran twice.
+// must not become a second holder of the shard, which would run a key twice.
 // Found with seed 316960807.
 TEST(claim_fuzz_test,
      a_duplicate_epoch_record_after_truncation_makes_no_holder) {
@@ -72,8 +72,9 @@
 
 // A caller's deadline passes while its claim is in flight, and it retries. The
 // first claim is appended and dispatches the retry, whose own claim is still
-// queued. Sending that claim made the coordinator forget that the key was
-// running, and it responded `not_run`. Found with seed 1159348072.
+// queued. That claim must be dropped; sending it would reset the state of the
+// running key, and the caller would receive `not_run`. Found with seed
+// 1159348072.
 TEST(claim_fuzz_test, a_key_dispatched_by_an_earlier_claim_is_not_rejected) {
     EXPECT_EQ(run({{75, 280, 2, 0},
                    {87, 4, 0, 0},
--- a/packages/cluster/test/claim_model.hpp
+++ b/packages/cluster/test/claim_model.hpp
@@ -12,7 +12,7 @@
 
 /// Several claim coordinators on one log, driven by generated commands. Checks
 /// only what callers, the service and the log can observe: a key runs at most
-/// once, a request whose every attempt was answered `not_run` does not run, a
+/// once, a request whose every attempt received `not_run` does not run, a
 /// completed response carries the body of the one run, and no caller waits past
 /// its deadline.
 class claim_model {
@@ -59,7 +59,8 @@
         return violation_;
     }
 
-    /// Counts of what a run covered; a run that covers nothing proves nothing.
+    /// Counts of events in a fuzz run, which show that the run exercised the
+    /// claims.
     struct coverage {
         std::size_t attempts = 0;
         std::size_t runs = 0;
@@ -81,7 +82,7 @@
         std::size_t node = 0;
         std::uint64_t incarnation = 0;
         base::millis deadline = 0;
-        bool answered = false;
+        bool responded = false;
         bool not_run = false;
         /// True if the key ran at `node` while the attempt was pending there.
         bool ran = false;
@@ -129,7 +130,7 @@
         node.incarnation = ++last_incarnation_;
         claim_options options;
         options.claim_retention = 10000;
-        options.snapshot_interval_records = 6;
+        options.min_records_until_snapshot = 6;
         options.max_snapshot_age = 4000;
         node.coordinator = std::make_unique<claim_coordinator>(
             base::node_id("n" + std::to_string(n)), node.incarnation, options);
@@ -194,7 +195,7 @@
         for (const auto& attempt : attempts_) {
             if (attempt.node == n &&
                 attempt.incarnation == nodes_[n].incarnation &&
-                !attempt.answered && now_ >= attempt.deadline + grace) {
+                !attempt.responded && now_ >= attempt.deadline + grace) {
                 record_violation("the caller of " + attempt.key +
                                  " is waiting past its deadline");
             }
@@ -216,10 +217,10 @@
 
     void check_response(const send_response& effect) {
         auto& attempt = attempts_[effect.waiter];
-        if (attempt.answered) {
+        if (attempt.responded) {
             record_violation(attempt.key + " received two responses");
         }
-        attempt.answered = true;
+        attempt.responded = true;
         const auto result = effect.response.result;
         coverage_.completed += result == wire::outcome::completed ? 1U : 0U;
         coverage_.unknown += result == wire::outcome::unknown ? 1U : 0U;
@@ -238,21 +239,23 @@
         }
     }
 
-    /// Completes an append: the log accepts, loses, duplicates or refuses it.
+    /// Completes an append according to `fault_choice`: 0 to 5 append the
+    /// record, 6 and 7 append it and report `unknown`, 8 refuses it, and 9
+    /// reports `unknown` and appends it late or never.
     void finish_append(const testing::fuzz_command& command) {
         if (appends_.empty()) {
             return;
         }
         const auto i = static_cast<std::size_t>(command.a) % appends_.size();
         auto append = appends_[i];
-        const int choice = command.b % 10;
-        const bool is_appended = !outage_ && choice < 8;
+        const int fault_choice = command.b % 10;
+        const bool is_appended = !outage_ && fault_choice < 8;
         if (!append.awaits_response) {
             // A duplicate that was in flight all the time is appended late, or
             // never.
             appends_.erase(appends_.begin() + static_cast<std::ptrdiff_t>(i));
             if (is_appended) {
-                append_to_stream(append);
+                append_to_log(append);
             }
             return;
         }
@@ -261,12 +264,12 @@
         }
         auto outcome = append_outcome::appended;
         if (is_appended) {
-            append_to_stream(append);
-            outcome =
-                choice < 6 ? append_outcome::appended : append_outcome::unknown;
+            append_to_log(append);
+            outcome = fault_choice < 6 ? append_outcome::appended
+                                       : append_outcome::unknown;
         } else {
-            outcome =
-                choice == 9 ? append_outcome::unknown : append_outcome::refused;
+            outcome = fault_choice == 9 ? append_outcome::unknown
+                                        : append_outcome::refused;
         }
         if (!is_appended && outcome == append_outcome::unknown) {
             appends_[i].awaits_response = false;
@@ -281,7 +284,7 @@
         }
     }
 
-    void append_to_stream(const pending_append& append) {
+    void append_to_log(const pending_append& append) {
         logs_[append.effect.shard].records.push_back(append.effect.record);
     }
 
@@ -307,7 +310,8 @@
         collect_effects(n);
     }
 
-    /// Completes a dispatched request: the service runs it or not, and responds
+    /// Completes a dispatched request according to `fault_choice`: 0 to 2
+    /// complete it, 3 reports `not_run`, and 4 reports `unknown` whether it ran
     /// or not.
     void finish_run(const testing::fuzz_command& command) {
         if (runs_.empty()) {
@@ -321,13 +325,13 @@
             return;
         }
         runs_.erase(runs_.begin() + static_cast<std::ptrdiff_t>(i));
-        const int choice = command.b % 5;
+        const int fault_choice = command.b % 5;
         wire::service_response response;
         response.id = base::request_id(run.key);
-        response.result = choice < 3   ? wire::outcome::completed
-                          : choice < 4 ? wire::outcome::not_run
-                                       : wire::outcome::unknown;
-        if (choice < 3 || (choice == 4 && command.c % 2 == 0)) {
+        response.result = fault_choice < 3   ? wire::outcome::completed
+                          : fault_choice < 4 ? wire::outcome::not_run
+                                             : wire::outcome::unknown;
+        if (fault_choice < 3 || (fault_choice == 4 && command.c % 2 == 0)) {
             response.body = record_run(run);
         }
         if (is_same_process) {
@@ -348,14 +352,13 @@
             if (attempt.key == run.key) {
                 has_open_attempt = has_open_attempt || !attempt.not_run;
                 attempt.ran = attempt.ran ||
-                              (!attempt.answered && attempt.node == run.node &&
+                              (!attempt.responded && attempt.node == run.node &&
                                attempt.incarnation == run.incarnation);
             }
         }
         if (!has_open_attempt) {
-            record_violation(
-                run.key +
-                " ran without an attempt that was not answered not_run");
+            record_violation(run.key +
+                             " ran although every attempt received not_run");
         }
         return body;
     }
--- a/packages/cluster/test/claim_state_machine_test.cpp
+++ b/packages/cluster/test/claim_state_machine_test.cpp
@@ -41,7 +41,7 @@
 }
 
 // The old holder is paused between building its append and sending it. When it
-// resumes, the shard has a new holder, which may have answered that the key is
+// resumes, the shard has a new holder, which may have responded that the key is
 // not claimed.
 TEST_F(claim_fold_test, a_claim_under_an_old_epoch_is_ignored) {
     apply("a", 1, true, {});
@@ -94,7 +94,7 @@
     EXPECT_NE(restored.find(late.key), nullptr);
     ASSERT_NE(restored.current_epoch(), nullptr);
     EXPECT_EQ(restored.current_epoch()->number, 0);
-    EXPECT_EQ(restored.dropped_before(), 0);
+    EXPECT_EQ(restored.claims_dropped_before_ms(), 0);
 }
 
 // The log dropped records and has no complete snapshot of them. Any request
@@ -102,9 +102,9 @@
 TEST_F(claim_fold_test, lost_records_without_a_snapshot_reject_older_requests) {
     claim_state_machine restored;
     restored.handle_truncation(3, 4, 5000, {base::node_id("b"), 1, 0, 0});
-    EXPECT_EQ(restored.dropped_before(), 0);
+    EXPECT_EQ(restored.claims_dropped_before_ms(), 0);
     restored.apply(3, {base::node_id("b"), 1, 1, true, {}, std::nullopt});
-    EXPECT_EQ(restored.dropped_before(), 5000);
+    EXPECT_EQ(restored.claims_dropped_before_ms(), 5000);
     ASSERT_NE(restored.current_epoch(), nullptr);
     EXPECT_EQ(restored.current_epoch()->number, 3);
 }
--- a/packages/cluster/test/step_coordinator_test.cpp
+++ b/packages/cluster/test/step_coordinator_test.cpp
@@ -53,7 +53,7 @@
         collect_effects();
     }
 
-    /// Sorts the effects by their kind.
+    /// Takes the pending effects and stores them by kind.
     void collect_effects() {
         for (auto& effect : coordinator_.take_effects()) {
             if (auto* place = std::get_if<place_stream>(&effect)) {
@@ -164,7 +164,7 @@
 }
 
 // Two pulls of one step are pending at the same time. Only the trainer's latest
-// counts; the other one must end at once and not occupy a connection.
+// is served; the other one must end at once and not occupy a connection.
 TEST_F(step_home_test, a_later_pull_supersedes_a_waiting_one) {
     open(1, 1);
     advance_time(20);
@@ -235,8 +235,9 @@
 }
 
 // The home node is paused while a pull waits, and a publisher stops waiting for
-// it because the pull has timed out. When the node resumes, a report is in its
-// socket and its newest version is out of date.
+// it because the pull has timed out. When the node resumes, it first reads a
+// report that arrived during the pause and does not know the newest version. It
+// must not deliver the sample.
 TEST_F(step_home_test, a_home_that_wakes_after_a_pulls_end_delivers_nothing) {
     open(1, 1);
     advance_time(20);
@@ -304,7 +305,8 @@
 
 // An engine and its home node fail in the middle of a sample. The stream must
 // be requested again, and then the slot regenerated, or the step never ends.
-TEST_F(step_home_test, a_silent_stream_is_requested_again_then_regenerated) {
+TEST_F(step_home_test,
+       an_unreported_stream_is_requested_again_then_regenerated) {
     open(1, 1);
     advance_time(100);
     report(stream(0), running, {{0, 5, "a"}});
