--- a/packages/batch/include/hibiscus/batch/commit_plan.hpp
+++ b/packages/batch/include/hibiscus/batch/commit_plan.hpp
@@ -10,7 +10,7 @@
 
 namespace hibiscus::batch {
 
-/// Results that are to be listed together.
+/// Results of one job that will be committed together.
 struct planned_commit {
     job_id job;
     int position = 0;
@@ -19,26 +19,26 @@
     store::record texts_record;
 };
 
-/// Groups results into listings behind what the ledger has of their jobs. A
-/// record is begun anew once it holds `record_bytes` of text; `name` makes a
-/// name for each that was never used before.
+/// Groups results into commits that continue after the committed positions of
+/// their jobs. Starts a new record once one holds `max_record_bytes` of text.
+/// `make_name` must return a name that was never used before.
 std::vector<planned_commit>
-plan_commits(const job_table& l, std::vector<ready_result> results,
-             std::size_t record_bytes,
-             const std::function<std::string()>& name);
+plan_commits(const job_table& jobs, std::vector<ready_result> results,
+             std::size_t max_record_bytes,
+             const std::function<std::string()>& make_name);
 
 /// Returns the plan without the jobs whose texts could not all be stored. The
-/// store may refuse single partitions; left together, one job whose partition
-/// is away would hold up the results of all trainers.
+/// store may reject single partitions; without this, one job whose partition is
+/// unavailable would delay the results of all trainers.
 std::vector<planned_commit> exclude_jobs(std::vector<planned_commit> plan,
-                                         const std::set<job_id>& unstored);
-
-/// Returns true if the plan still follows on what the ledger has. Between
-/// planning and listing the texts are stored, and meanwhile an earlier append
-/// whose answer was lost may turn out to have listed the same items: a second
-/// listing at the same position would replace results that were read, or
-/// leave a gap.
-bool is_plan_current(const job_table& l,
+                                         const std::set<job_id>& unstored_jobs);
+
+/// Returns true if the plan still continues after the committed positions. The
+/// texts are stored between planning and committing. In that time an earlier
+/// append whose response was lost may turn out to have committed the same
+/// items; a second commit at the same position would replace results that were
+/// already read, or leave a gap.
+bool is_plan_current(const job_table& jobs,
                      const std::vector<planned_commit>& plan);
 
 } // namespace hibiscus::batch
--- a/packages/batch/include/hibiscus/batch/handover.hpp
+++ b/packages/batch/include/hibiscus/batch/handover.hpp
@@ -2,58 +2,61 @@
 
 #include "hibiscus/base/clock.hpp"
 
-/// How an owner that stops gives the jobs up.
+/// How a stopping owner hands over its jobs.
 namespace hibiscus::batch {
 
-/// Times of a hand-over, in ms.
+/// Times of a handover, in ms.
 struct handover_times {
-    /// How long texts under way may take to be saved; what is not saved by
-    /// then, the next owner runs again.
+    /// The time allowed for saving unfinished texts. The next owner generates
+    /// unsaved text again.
     base::millis save_timeout = 500;
-    /// After so long the owner stops without a record of it; the others take
-    /// over once they find it silent.
+    /// After this time the owner stops without a handover record; other nodes
+    /// take over after the lease timeout.
     base::millis total_timeout = 2000;
-    /// The pause after a record that the store did not take.
+    /// The delay after the store rejected the handover record.
     base::millis retry_interval = 20;
 };
 
-/// What to do about the hand-over now.
+/// The next action of a handover. `release` appends the handover record; `end`
+/// means that the process no longer acts as the owner.
 enum class handover_action { wait, release, end };
 
-/// Plans the hand-over of an owner that stops. It ends within a bounded time
-/// whatever the store does: an owner that is stuck in it starts no item and
-/// keeps all others from starting any.
+/// Plans the handover of an owner that stops. It ends within a bounded time
+/// whatever the store does: an owner stuck in a handover starts no items and
+/// keeps all other nodes from starting any.
 class handover {
 public:
     explicit handover(base::clock clock, handover_times times = {})
         : clock_(std::move(clock)), times_(times) {}
 
-    /// The process was told to stop.
+    /// Called when the process is told to stop.
     void begin();
 
-    /// The texts under way are saved, as far as the store took them.
+    /// Called when all unfinished texts are saved or the store rejected them.
     void on_texts_saved() { texts_saved_ = true; }
 
-    /// The store did not take the record that gives the jobs up.
+    /// Called when the store did not append the handover record.
     void on_record_rejected();
 
-    /// Returns what to do, given whether the process owns the jobs and whether
-    /// an append of it to the journal is under way.
-    handover_action next_action(bool owns, bool appending);
+    /// Returns what to do now. `is_owner` tells whether this process is the job
+    /// owner, `append_in_flight` whether one of its appends to the journal is
+    /// in flight.
+    handover_action next_action(bool is_owner, bool append_in_flight);
 
     bool has_begun() const { return has_begun_; }
 
-    /// Returns true from when the jobs may be given up: each other append to
-    /// the journal would renew the ownership.
+    /// Returns true once the handover record may be appended. The owner must
+    /// not append anything else to the journal from then on, since that would
+    /// renew its lease.
     bool may_release() const;
 
     /// Returns true once the process no longer acts as the owner.
     bool has_ended() const { return has_ended_; }
 
-    /// Returns how long it has lasted, in ms.
+    /// Returns the time since begin(), in ms.
     base::millis elapsed() const { return clock_.now() - begun_at_; }
 
-    /// Returns how often the store was asked to take the record.
+    /// Returns how often the handover record was sent to the store.
     int attempts() const { return attempts_; }
 
 private:
--- a/packages/batch/include/hibiscus/batch/item_scheduler.hpp
+++ b/packages/batch/include/hibiscus/batch/item_scheduler.hpp
@@ -15,20 +15,20 @@
 
 namespace hibiscus::batch {
 
-/// Numbers a run: one send of an item to one server.
+/// Identifies a run: one send of an item to one server.
 using run_number = std::uint64_t;
 
-/// What the route of a job says of its items.
+/// Settings from the route of a job that apply to its items.
 struct job_options {
     samplers::service_name service;
-    /// After so many failed answers an item is given up.
+    /// Number of failed runs after which an item is errored.
     int max_attempts = 1;
     bool single_version = false;
     base::millis target_ms = 0;
     base::millis item_expiry_ms = 0;
 };
 
-/// Send an item to a server.
+/// Effect: send an item to a server.
 struct start_run {
     run_number run = 0;
     samplers::sampler_id sampler;
@@ -37,19 +37,20 @@
     std::string host;
     std::string model;
     const item* content = nullptr;
-    /// Go on behind this event; empty for a start.
+    /// Id of the event after which the server resumes the text; empty to start
+    /// at the first event.
     std::string resume_after_event;
     int priority = 0;
     base::millis deadline_ms = 0;
 };
 
-/// Close the connection of a run.
+/// Effect: close the connection of a run.
 struct stop_run {
     run_number run = 0;
     const char* reason = "";
 };
 
-/// Have a complete text judged.
+/// Effect: make the reward call for a complete text.
 struct start_reward {
     job_id job;
     int item_index = 0;
@@ -59,43 +60,45 @@
 using effect = std::variant<start_run, stop_run, start_reward>;
 using effects = std::vector<effect>;
 
-/// How a server answered a run.
+/// How a run ended.
 enum class run_outcome {
-    complete,     ///< The stream came to its end.
-    cut,          ///< The connection ended before, or was silent.
-    not_run,      ///< The server said that it did not run the item.
-    other_server, ///< Another server has the address, or other weights.
-    failed,       ///< The run failed there; it counts as an attempt.
-    impossible,   ///< The item can never be done.
+    complete,     ///< The stream ended normally.
+    cut,          ///< The connection broke off or fell silent.
+    not_run,      ///< The server rejected the item without running it.
+    other_server, ///< The address belongs to another server or other weights.
+    failed,       ///< The server failed the run; counts as an attempt.
+    impossible,   ///< No server can ever run the item.
 };
 
-/// What a reward call came to.
+/// The outcome of a reward call.
 struct reward_score {
     std::string score;
 };
 struct reward_failure {
-    /// How many servers answered that the call failed there, and after how
-    /// many such answers to an item's calls it may be given up.
+    /// Number of servers that reported a failure of this call.
     int failed_responses = 0;
+    /// Number of such responses, over all calls for an item, after which the
+    /// item is errored.
     int max_failed_responses = 1;
 };
 using reward_outcome = std::variant<reward_score, reward_failure>;
 
-/// A result that is ready to be listed.
+/// A result that is ready to be committed.
 struct ready_result {
     job_id job;
     int item_index = 0;
     item_result result;
 };
 
-/// A part of a text to be saved, and what to call once it is.
+/// A part of a text that is not saved yet. Passed to on_part_saved() once the
+/// store has it.
 struct unsaved_part {
     job_id job;
     progress_part part;
 };
 
-/// The life of an item, in ms since its job was first seen; -1 stands for
-/// what has not come.
+/// Timeline of an item, in ms since its job was first seen. -1 stands for an
+/// event that has not happened yet.
 struct item_timeline {
     int item_index = 0;
     base::millis first_start_ms = -1;
@@ -106,12 +109,13 @@
     std::int64_t expected_output_tokens = 0;
 };
 
-/// The items that wait for the same places, and what keeps them from these.
+/// Items that wait for a slot with the same requirements, and the reasons why
+/// servers can't run them.
 struct waiting_group {
     std::string model;
     weight_version min_version = 0;
     int item_count = 0;
-    /// How long no server has worked on one of them at most, in ms.
+    /// The longest time, in ms, for which no server has run one of these items.
     base::millis longest_wait_ms = 0;
     samplers::server_counts servers;
 };
@@ -121,97 +125,109 @@
     std::uint64_t runs = 0;
     std::uint64_t moved_runs = 0;
     std::uint64_t silent_runs = 0;
-    /// Items that came again, those of them whose text could be used, and
-    /// the events of the texts that could not.
+    /// Items that a later job resubmitted and that had a cached text.
     std::uint64_t resubmitted_items = 0;
+    /// How many of these cached texts were reused.
     std::uint64_t reused_texts = 0;
+    /// Number of events in the cached texts that were not reused.
     std::uint64_t discarded_events = 0;
-    /// Items begun ahead of the job that will carry them.
+    /// Items started speculatively before a job resubmits them.
     std::uint64_t speculative_items = 0;
 };
 
-/// Runs the items of the jobs of one owner: which are waiting, running, being
-/// judged or ready. It sees neither sockets nor the store; what it wants done
-/// comes out as effects.
+/// Decides which item of which job runs on which server. Tracks the state of
+/// each item of the jobs that this instance owns: waiting, running, being
+/// scored or ready. It does no I/O: it returns the required actions as effects,
+/// which the caller executes.
 class item_scheduler {
 public:
-    /// How often tick() is to be called, in ms.
+    /// The interval at which tick() must be called, in ms.
     static constexpr base::millis tick_ms = 25;
 
     item_scheduler(base::clock clock, samplers::sampler_table& table);
 
-    /// Takes up a job, or what is left of it. `progress` holds the saved
-    /// parts of texts by item; `epoch` is that of the parts to come, higher
-    /// than all before.
+    /// Adds a job, or the remaining items of a job after a takeover. `progress`
+    /// holds the saved parts of texts by item index. `epoch` is the epoch of
+    /// the parts saved from now on and must be higher than all earlier ones.
     effects add_job(const job_row& row, std::vector<item> items,
                     const std::map<int, std::vector<progress_part>>& progress,
-                    const job_options& terms, std::int64_t epoch);
+                    const job_options& options, std::int64_t epoch);
 
-    /// A trainer named a version of a model's weights.
+    /// Called when a trainer announces a version of a model's weights.
     void announce_version(const std::string& model, weight_version version);
 
-    /// Returns true if the job has been taken up.
+    /// Returns true if the job was added and not removed since.
     bool has_job(const job_id& id) const { return jobs_.count(id) != 0; }
 
-    /// Returns the service that runs a job, which must have been taken up.
+    /// Returns the service that runs a job. The job must have been added.
     const samplers::service_name& job_service(const job_id& id) const {
         return jobs_.at(id).options.service;
     }
 
-    /// Runs of a job that begin from now on go to another service.
+    /// Sends the future runs of a job to another service.
     void set_job_service(const job_id& id,
                          const samplers::service_name& service) {
         jobs_.at(id).options.service = service;
     }
 
-    /// Stops all of a job, which has ended. Texts are kept for a later job
-    /// that carries the same items; those of its unfinished items that will
-    /// be too old for it are begun anew under the newest weights.
+    /// Removes a job that has ended and stops its runs. Caches the texts of its
+    /// incomplete groups, since a later job may resubmit their items. Long
+    /// texts whose weights would be too old for that job are restarted
+    /// speculatively under the newest weights.
     effects remove_job(const job_id& id);
 
-    /// Stops everything, since another process is the owner.
+    /// Removes all jobs and stops all runs. Called when another process became
+    /// the job owner.
     effects remove_all_jobs();
 
-    /// Items of a job stand in the ledger, whoever listed them.
-    effects on_committed(const job_id& id, const std::set<int>& numbers);
+    /// Called when the journal holds the results of these items, whichever
+    /// owner committed them.
+    effects on_committed(const job_id& id, const std::set<int>& item_indices);
 
-    /// Places what is waiting and moves what goes badly, if `may_start`: what
-    /// left its server then would have no other to go on at.
+    /// Places waiting items and moves runs away from silent, slow or draining
+    /// servers if `may_start`. Otherwise no run is moved either, since it could
+    /// not be restarted on another server. Also expires items, repeats reward
+    /// calls and ends speculative jobs.
     effects tick(bool may_start);
 
-    /// Places what is waiting, if `may_start`; less than tick() does.
+    /// Places waiting items if `may_start`. Cheaper than tick().
     effects place_waiting(bool may_start);
 
-    /// A server began to answer with the given weights.
+    /// Called when a server starts its response, with the weight version it
+    /// reports.
     effects on_response_started(run_number run, weight_version version);
-    /// An event came. `version` is set if the weights changed at it.
+    /// Called for each event of a run. `version` is set if the weights changed
+    /// with this event.
     effects on_event(run_number run, const std::string& id,
                      const std::string& data,
                      std::optional<weight_version> version);
-    effects on_run_ended(run_number run, run_outcome end);
-    effects on_reward_ended(const job_id& id, int number,
+    effects on_run_ended(run_number run, run_outcome outcome);
+    effects on_reward_ended(const job_id& id, int item_index,
                             const reward_outcome& outcome);
 
-    /// Returns the results that are ready, at most `bytes` of text, but those
-    /// of the jobs in `except`.
+    /// Returns results that are ready to be committed, except those of the jobs
+    /// in `excluded_jobs`. Stops after `max_bytes` of text; the last result may
+    /// exceed it.
     std::vector<ready_result>
-    ready_results(std::size_t bytes, const std::set<job_id>& except = {}) const;
+    ready_results(std::size_t max_bytes,
+                  const std::set<job_id>& excluded_jobs = {}) const;
 
-    /// Returns what has come since the last save, for runs with at least
-    /// `least` new events.
-    std::vector<unsaved_part> unsaved_parts(int least, std::size_t bytes) const;
+    /// Returns the unsaved parts of texts with at least `min_events` new
+    /// events. Stops after `max_bytes` of text; the last part may exceed it.
+    std::vector<unsaved_part> unsaved_parts(int min_events,
+                                            std::size_t max_bytes) const;
 
-    /// The part has been stored.
+    /// Called when the store has saved the part.
     void on_part_saved(const unsaved_part& part);
 
-    /// Returns the lives of a job's items, the one that took longest first.
+    /// Returns the timelines of a job's items, the slowest item first.
     std::vector<item_timeline> item_timelines(const job_id& id) const;
 
-    /// Returns how many free places the steps of each model need, so that the
-    /// next ones find a place for each item at once.
+    /// Returns, by model, how many free slots are needed so that each item of
+    /// the next steps can start at once.
     std::map<std::string, int> update_wanted_slots();
 
-    /// Returns what waits for a place, by what it needs.
+    /// Returns the items that wait for a slot, grouped by their requirements.
     std::vector<waiting_group> waiting_groups() const;
 
     int waiting_count() const;
@@ -243,17 +259,19 @@
         int saved_events = 0;
         std::size_t saved_bytes = 0;
         int failures = 0;
-        /// Where its runs failed, and until when it goes elsewhere.
+        /// The servers at which its runs failed, and the time until which other
+        /// servers are preferred.
         std::set<samplers::sampler_id> failed_servers;
         base::millis avoid_failed_servers_until = 0;
         int reward_failures = 0;
         base::millis not_before = 0;
-        /// When a server last worked on it, or it was taken up.
+        /// When a server last worked on the item; initially when its job was
+        /// added.
         base::millis last_served_at = 0;
         std::string score;
         item_timeline timeline;
-        /// It was an item of an earlier job, which ended without it; the
-        /// trainer waits for it whatever else is complete.
+        /// True if an earlier job ended without this item. The trainer needs it
+        /// whatever other items are complete.
         bool is_resubmitted = false;
         item_outcome outcome = item_outcome::succeeded;
     };
@@ -263,7 +281,7 @@
         job_options options;
         base::millis first_seen_at = 0;
         std::vector<item_row> items;
-        /// Set for what is begun ahead of a later job: when it is given up.
+        /// Set for a job of speculative items: when it expires.
         std::optional<base::millis> speculative_until;
     };
 
@@ -272,12 +290,12 @@
         int item_index = 0;
         samplers::sampler_id sampler;
         base::millis started_at = 0;
-        /// When its server was last heard, later by the time in which the
-        /// owner's thread was held up since.
-        base::millis last_heard_at = 0;
+        /// When the server last sent something, plus the time for which the
+        /// owner's own thread stalled since then.
+        base::millis last_activity_at = 0;
         weight_version version = 0;
         int event_count = 0;
-        /// What it counts for in its server's memory.
+        /// Tokens reserved for the run in its server's memory.
         std::int64_t reserved_tokens = 0;
     };
 
@@ -287,28 +305,29 @@
         base::millis cached_at = 0;
     };
 
-    void commit_item(const job_id& id, job_state& job, int number,
+    void commit_item(const job_id& id, job_state& job, int item_index,
                      effects& out);
     item_row* find_item(const run_row& run);
     void discount_stall();
     void place_items(effects& out);
     void move_runs(effects& out);
-    bool is_silent(const run_row& run, samplers::run_placement& places) const;
+    bool is_silent(const run_row& run,
+                   samplers::run_placement& placement) const;
     void move_silent_runs(effects& out);
     void move_slow_runs(effects& out);
     void move_long_runs(effects& out);
     bool is_worth_moving(const run_row& run);
     int priority_of(const item_row& row) const;
     std::optional<samplers::sampler_id>
-    choose_server(samplers::run_placement& places,
-                  const samplers::run_requirements& needs,
+    choose_server(samplers::run_placement& placement,
+                  const samplers::run_requirements& requirements,
                   const item_row& row) const;
     void move_run(run_number run, const char* reason, effects& out);
-    samplers::run_requirements needs_of(const job_state& job,
-                                        const item_row& row) const;
+    samplers::run_requirements requirements_of(const job_state& job,
+                                               const item_row& row) const;
     void cancel_run(run_number run, const char* reason, effects& out);
-    void requeue(item_row& row, base::millis pause);
-    void finish_text(const job_id& id, int number, effects& out);
+    void requeue(item_row& row, base::millis delay);
+    void finish_text(const job_id& id, int item_index, effects& out);
     void discard_output(item_row& row);
     void cache_texts(const job_state& job);
     static std::set<std::string> incomplete_groups(const job_state& job);
@@ -324,7 +343,8 @@
     std::map<run_number, run_row> runs_;
     std::map<item_id, cached_text> cached_texts_;
     std::map<std::string, weight_version> newest_versions_;
-    /// The most items that were open at a time, lately, by model.
+    /// The peak number of waiting and running items of a model within the last
+    /// max_peak_age_ms.
     struct open_items_peak {
         int item_count = 0;
         base::millis seen_at = 0;
@@ -332,7 +352,7 @@
     std::map<std::string, open_items_peak> open_items_peaks_;
     token_estimator token_estimator_;
     run_number last_run_number_ = 0;
-    /// When long runs may go on to faster servers again.
+    /// The earliest time of the next move of long runs to faster servers.
     base::millis next_long_move_at_ = 0;
     base::stall_detector stall_detector_;
     scheduler_counts counts_;
--- a/packages/batch/include/hibiscus/batch/job.hpp
+++ b/packages/batch/include/hibiscus/batch/job.hpp
@@ -11,19 +11,19 @@
 #include <utility>
 #include <vector>
 
-/// Batch jobs: many requests for tokens that are accepted at once, run later
-/// and read by position.
+/// Batch jobs: many requests for tokens that are accepted together, run later
+/// and whose results are read by position.
 namespace hibiscus::batch {
 
-/// Names a batch job; a repeated submission carries the same.
+/// Identifies a batch job; a retried submission carries the same id.
 using job_id = base::id<struct job_tag>;
-/// Names an item; a later job may carry it again.
+/// Identifies an item; a later job may resubmit it.
 using item_id = base::id<struct item_tag>;
 
-/// A number of weights, ever higher.
+/// Version number of a model's weights; increases with each new version.
 using weight_version = std::int64_t;
 
-/// The call that judges a complete text.
+/// The call that computes the score of a complete text.
 struct reward_call {
     std::string id;
     std::string host;
@@ -31,27 +31,26 @@
     std::string body;
 };
 
-/// One request for tokens.
+/// One request for tokens in a job.
 struct item {
     item_id id;
     std::string path;
     std::vector<std::pair<std::string, std::string>> header_fields;
     std::string body;
-    /// The most tokens that it reads and writes.
+    /// Upper bound of prompt and output tokens together.
     std::int64_t max_total_tokens = 0;
-    /// The tokens that it reads.
     std::int64_t prompt_tokens = 0;
-    /// The caller's guess of the tokens that will be written; half of the
-    /// guesses are too low.
+    /// The caller's estimate of the output tokens; half of these estimates are
+    /// too low.
     std::int64_t expected_output_tokens = 0;
     std::string group;
     std::optional<reward_call> reward;
 };
 
-/// What is known of a job without its items.
+/// The description of a job without its items.
 struct job_header {
     job_id id;
-    /// The host and path that it was submitted to; they name its route.
+    /// The host and path of the submission; they select the route.
     std::string host;
     std::string path;
     std::string model;
@@ -59,23 +58,23 @@
     weight_version min_version = 0;
     int required_groups = 0;
     int item_count = 0;
-    /// The number of records that hold the items.
+    /// The number of records that hold the job's items.
     int chunk_count = 0;
-    /// The time of day at its acceptance, in ms since 1970, by the clock of
-    /// the node that accepted it. Only a hint: clocks differ and jump.
+    /// Wall-clock time of the acceptance, in ms since 1970, by the clock of the
+    /// node that accepted the job. Only a hint: clocks differ between nodes and
+    /// may jump.
     base::millis accepted_wall_ms = 0;
 };
 
-/// A job as it was submitted.
 struct job {
     job_header header;
     std::vector<item> items;
 };
 
-/// What became of an item.
+/// The final outcome of an item.
 enum class item_outcome { succeeded, errored };
 
-/// What a reader gets for an item.
+/// The result of an item as readers receive it.
 struct item_result {
     item_id id;
     item_outcome outcome = item_outcome::succeeded;
@@ -84,21 +83,21 @@
     std::string score;
 };
 
-/// Text that has come since the last saved part.
+/// A part of an item's text, saved while the item runs.
 struct progress_part {
     int item_index = 0;
-    /// Grows with each owner and each start at the first event; parts of an
-    /// earlier epoch are void, so that a process that no longer is the owner
-    /// can't mix its parts with the owner's.
+    /// Increases with each owner and whenever the text restarts at its first
+    /// event. Parts of an earlier epoch are ignored, so that parts written by a
+    /// former owner are never mixed with those of the current one.
     std::int64_t epoch = 0;
-    /// The events before this part, and those in it.
+    /// The number of events before this part.
     int first_event = 0;
     int event_count = 0;
     std::string last_event;
     std::string text;
-    /// All versions up to the end of this part.
+    /// All weight versions used up to the end of this part.
     std::vector<weight_version> versions;
-    /// Failed answers so far.
+    /// The number of failed runs of the item so far.
     int failures = 0;
 };
 
--- a/packages/batch/include/hibiscus/batch/job_table.hpp
+++ b/packages/batch/include/hibiscus/batch/job_table.hpp
@@ -9,45 +9,46 @@
 
 namespace hibiscus::batch {
 
-/// A job as the journal has it.
+/// A job as recorded in the journal.
 struct job_row {
     std::optional<job_header> header;
-    /// What is listed, by the position of its first row.
+    /// Committed results by the position of their first row.
     std::map<int, result_commit> commits;
-    /// The numbers of the listed items.
+    /// Indices of the committed items.
     std::set<int> committed_items;
     bool has_ended = false;
     /// When this process first saw the job.
     base::millis first_seen_at = 0;
 
-    /// Returns the position behind the last listed one.
+    /// Returns the position after the last committed result.
     int next_position() const;
 };
 
-/// The owner, and when this process last saw it renew its record.
+/// The owner, and when this process last saw a renewal of its lease.
 struct owner_row {
     owner_record record;
     base::millis last_seen_at = 0;
 };
 
-/// All jobs, folded from the records of the journal. Every process that reads
-/// the journal comes to the same ledger.
+/// A view of all jobs, built from the records of the journal. Every process
+/// that reads the journal builds the same view.
 class job_table {
 public:
     explicit job_table(base::clock clock) : clock_(std::move(clock)) {}
 
-    /// Takes in a change. Returns the job that it concerns, or nothing if it
-    /// concerns none or can't be read.
-    std::optional<job_id> apply(const store::change& c);
+    /// Applies a change of the journal. Returns the job that the change
+    /// concerns, or nothing if it concerns no job or its key can't be parsed.
+    std::optional<job_id> apply(const store::change& change);
 
-    /// Returns a job, or null if it was never accepted.
+    /// Returns a job, or null if the journal holds no readable header of it.
     const job_row* find(const job_id& id) const;
 
     const std::map<job_id, job_row>& jobs() const { return jobs_; }
 
     const std::optional<owner_row>& owner() const { return owner_; }
 
-    /// Returns how many records were skipped because they can't be read.
+    /// Returns the number of records that were skipped because they could not
+    /// be decoded.
     std::uint64_t unreadable_records() const { return unreadable_records_; }
 
 private:
--- a/packages/batch/include/hibiscus/batch/owner_lease.hpp
+++ b/packages/batch/include/hibiscus/batch/owner_lease.hpp
@@ -6,65 +6,71 @@
 
 namespace hibiscus::batch {
 
-/// Times of the ownership, in ms.
+/// Times of the owner lease, in ms.
 struct owner_lease_times {
-    /// How often the owner renews its record.
+    /// The interval between two renewals.
     base::millis renew_interval = 200;
-    /// A renewal that is not stored after so long goes out by itself, however
-    /// the results fare that it rides with: two more tries fit before others
-    /// claim.
+    /// Renewals are normally appended together with committed results. If the
+    /// last successful renewal is older than this, the owner appends the next
+    /// one on its own; two more attempts fit in before other nodes claim the
+    /// lease.
     base::millis renewal_timeout = 400;
-    /// An owner that was not seen for so long is taken to be gone. A renewal
-    /// takes 10 ms on a sound store and half a second on one that is sixty
-    /// times slower; two of those fit.
+    /// An owner whose record was not renewed for this long is considered gone.
+    /// A renewal takes 10 ms with a healthy store and half a second with one
+    /// that is sixty times slower; two of the latter fit in.
     base::millis lease_timeout = 1000;
-    /// The most that a candidate waits besides, so that not all nodes append
-    /// at once; of those that do, the store lets one through.
+    /// Maximum random delay of a claim on top of the lease timeout, so that not
+    /// all nodes append at once. The store accepts only one of several
+    /// concurrent claims.
     base::millis max_jitter = 120;
-    /// How much longer a node waits that is too small to run all jobs well,
-    /// so that a larger one comes before it if there is one.
+    /// Additional claim delay of a node that is too small to run all jobs well,
+    /// so that a larger node claims first if there is one.
     base::millis small_node_delay = 500;
-    /// How long a node that gave the ownership up does not take it again.
+    /// The time for which a node doesn't claim the lease again after it gave it
+    /// up.
     base::millis cooldown = 6000;
 };
 
-/// What a node should do about the ownership.
+/// What a node should do about the lease.
 enum class lease_action { none, claim, renew };
 
-/// Decides when a node claims or renews the ownership. Safety never depends on
-/// it: a claim is appended on the condition that nothing came since the last
-/// record that was read, so that of two claims one loses, and an owner that
-/// was replaced finds its appends refused.
+/// Decides when a node claims or renews the owner lease. Safety doesn't depend
+/// on it: a claim is appended on the condition that the journal has no records
+/// beyond those the node has read, so one of two concurrent claims fails, and
+/// the appends of a replaced owner are rejected.
 class owner_lease {
 public:
-    /// `draw` is a random number from 0 to 1; `cpu_share` is the share of a
-    /// core that the node has.
+    /// `random_fraction` is a random number from 0 to 1 that sets the node's
+    /// jitter; `cpu_share` is the share of a core that the node has.
     owner_lease(base::clock clock, base::node_id node, std::string incarnation,
-                owner_lease_times times, double draw, double cpu_share);
+                owner_lease_times times, double random_fraction,
+                double cpu_share);
 
-    /// Returns true if this process is the owner by the ledger.
-    bool is_held(const job_table& l) const;
+    /// Returns true if this process is the job owner according to the job
+    /// table.
+    bool is_held(const job_table& jobs) const;
 
-    /// The store was lost or is heard again. Silence counts from then on: a
-    /// store that was away for all has kept the owner from renewing as well.
-    void set_store_reachable(bool up);
+    /// Called when the store becomes unreachable or reachable again. Only the
+    /// time since the store became reachable counts towards the lease timeout:
+    /// an outage of the store keeps the owner from renewing as well.
+    void set_store_reachable(bool reachable);
 
-    /// This process wrote the owner's record.
+    /// Called when the store has appended this process's owner record.
     void on_renewed();
 
-    /// Returns true if this process should have renewed its record by now.
+    /// Returns true if the last renewal is older than renewal_timeout.
     bool is_renewal_overdue() const;
 
-    /// This process gives the ownership up and leaves it to others for a
-    /// while.
+    /// Starts the cooldown after this process gave the lease up.
     void start_cooldown();
 
-    /// Returns what to do now. `current_at` is when the ledger was last known
-    /// to be current.
-    lease_action next_action(const job_table& l, base::millis current_at) const;
+    /// Returns what to do now. `current_as_of` is the latest time at which the
+    /// job table was known to be up to date.
+    lease_action next_action(const job_table& jobs,
+                             base::millis current_as_of) const;
 
 private:
-    bool is_claimable(const job_table& l, base::millis current_at) const;
+    bool is_claimable(const job_table& jobs, base::millis current_as_of) const;
 
     base::clock clock_;
     base::node_id node_;
--- a/packages/batch/include/hibiscus/batch/records.hpp
+++ b/packages/batch/include/hibiscus/batch/records.hpp
@@ -8,41 +8,42 @@
 #include <variant>
 #include <vector>
 
-/// How jobs lie in the store. One partition, the journal, holds what every
-/// node must know: who owns it, which jobs there are, which of their items
-/// are listed where, and which jobs have ended. What is large and seldom
-/// asked for (items, texts, texts under way) lies under keys of its own that
-/// begin with the job, and is read when it is needed: with all in one
-/// partition, nine nodes that started at once spent 3.3 s on reading 16 MB
-/// each before one of them could run a job.
+/// The stored form of jobs. One partition, the journal, holds what every node
+/// must know: the owner, the jobs, the committed items by position, and which
+/// jobs have ended. Large and rarely read data (items, texts, unfinished texts)
+/// is stored in other partitions under keys that begin with the job id, and
+/// read on demand. With all data in one partition, nine nodes that started
+/// together each spent 3.3 s reading 16 MB before one of them could run a job.
 namespace hibiscus::batch {
 
-/// Names the process that runs the jobs.
+/// Identifies the job owner: the process that runs the jobs.
 struct owner_record {
     base::node_id node;
-    /// Differs between two starts of a node.
+    /// Unique for each start of a node.
     std::string incarnation;
-    /// The place of the record by which it took over; grows with each owner.
+    /// The journal offset of the record with which the owner claimed the jobs;
+    /// increases with each owner.
     store::log_offset fencing_token = 0;
-    /// Counts its renewals.
+    /// The number of renewals so far.
     std::int64_t renewals = 0;
-    /// True in the record by which an owner that stops hands over.
+    /// True if the owner has handed over the jobs because it stops.
     bool handed_over = false;
 };
 
-/// Items that became readable together, from a position on.
+/// Results that are committed together and become readable at consecutive
+/// positions.
 struct result_commit {
     struct row {
         int item_index = 0;
         item_outcome outcome = item_outcome::succeeded;
     };
-    /// Names the record with the texts, so that one by another owner for the
-    /// same positions is never taken for it.
+    /// Identifies the record with the texts. Another owner may have stored
+    /// texts for the same positions; the name tells the two records apart.
     std::string texts_name;
     std::vector<row> rows;
 };
 
-/// The keys of the journal.
+/// The kinds of keys in the journal.
 struct owner_key {};
 struct header_key {
     job_id job;
@@ -56,24 +57,26 @@
 };
 using journal_key = std::variant<owner_key, header_key, commit_key, end_key>;
 
-/// Returns the text of a key, and the key that a text stands for.
+/// Converts a journal key to text and back. parse_key() returns nothing for a
+/// text that is no journal key.
 std::string format_key(const journal_key& key);
 std::optional<journal_key> parse_key(const std::string& text);
 
-/// The keys of what is read on demand. Each begins with job_prefix().
+/// Keys of the records that are read on demand. Each begins with job_prefix().
 std::string job_prefix(const job_id& job);
 std::string chunk_key(const job_id& job, int chunk);
 std::string texts_key(const job_id& job, int position,
-                      const std::string& texts);
-/// Returns a key directly before the one of these texts. Others may stand at
-/// the same position: those of appends whose answers were lost, which were
-/// never listed. Read from the position on, they would fill the answer before
-/// the texts that are asked for come.
+                      const std::string& texts_name);
+/// Returns a key that sorts directly before the key of these texts. Other texts
+/// may be stored at the same position, from appends whose responses were lost
+/// and which were never committed. A read that starts at the position alone
+/// could fill its response with those before it reaches the requested texts.
 std::string key_before_texts(const job_id& job, int position,
-                             const std::string& texts);
+                             const std::string& texts_name);
 std::string progress_key(const job_id& job, const progress_part& part);
 
-/// The values. Decoding returns nothing for bytes that are no such value.
+/// Encodes and decodes the values. The decoders return nothing if the bytes
+/// don't hold a value of that type.
 std::string encode(const owner_record& value);
 std::string encode(const job_header& value);
 std::string encode(const result_commit& value);
@@ -88,14 +91,14 @@
 decode_results(const std::string& bytes);
 std::optional<progress_part> decode_progress(const std::string& bytes);
 
-/// Cuts the items of a job into records of about `record_bytes`, and sets the
-/// number of these chunks in `header`. An item that is larger alone gets a
-/// record of its own, which the store takes in pieces.
+/// Splits the items of a job into records of at most about `max_record_bytes`
+/// and sets the number of these chunks in `header`. An item that is larger gets
+/// a record of its own, which the store splits into value chunks.
 std::vector<store::record> split_into_chunks(job_header& header,
                                              std::vector<item> items,
-                                             std::size_t record_bytes);
+                                             std::size_t max_record_bytes);
 
-/// Text that a takeover can go on from.
+/// The saved text from which an item resumes after a takeover.
 struct recovered_text {
     int event_count = 0;
     std::string last_event;
@@ -104,8 +107,8 @@
     int failures = 0;
 };
 
-/// Joins the saved parts of an item: those of its newest epoch that follow on
-/// each other from the first event. A gap ends the text.
+/// Joins the saved parts of an item: the contiguous parts of its newest epoch,
+/// starting at the first event. The text ends at the first gap.
 recovered_text join_progress_parts(std::vector<progress_part> parts);
 
 } // namespace hibiscus::batch
--- a/packages/batch/include/hibiscus/batch/token_estimator.hpp
+++ b/packages/batch/include/hibiscus/batch/token_estimator.hpp
@@ -4,20 +4,20 @@
 
 namespace hibiscus::batch {
 
-/// How many tokens an event has, by the texts that were seen.
+/// Estimates the number of tokens per event from completed texts.
 class token_estimator {
 public:
-    /// Returns the tokens of so many events.
-    std::int64_t estimate_tokens(int events) const;
+    /// Returns the estimated tokens of `event_count` events.
+    std::int64_t estimate_tokens(int event_count) const;
 
-    /// A text of which `expected_tokens` were guessed came to `events` events.
-    /// Half of the guesses are too low and half too high, some far off; the
-    /// estimate goes to the middle of them, and one guess moves it by two
-    /// hundredths however far off it is.
-    void add_sample(std::int64_t expected_tokens, int events);
+    /// Adds a completed text of `event_count` events whose length the caller
+    /// had estimated as `expected_tokens`. Half of these estimates are too low
+    /// and half too high, some by far. The result converges to their median;
+    /// each sample moves it by 2 %, however far off it is.
+    void add_sample(std::int64_t expected_tokens, int event_count);
 
 private:
-    /// 0 before the first text.
+    /// 0 until the first sample.
     double tokens_per_event_ = 0;
 };
 
--- a/packages/batch/src/commit_plan.cpp
+++ b/packages/batch/src/commit_plan.cpp
@@ -6,64 +6,66 @@
 namespace hibiscus::batch {
 
 std::vector<planned_commit>
-plan_commits(const job_table& l, std::vector<ready_result> results,
-             std::size_t record_bytes,
-             const std::function<std::string()>& name) {
-    std::vector<planned_commit> out;
-    std::map<job_id, int> next;
+plan_commits(const job_table& jobs, std::vector<ready_result> results,
+             std::size_t max_record_bytes,
+             const std::function<std::string()>& make_name) {
+    std::vector<planned_commit> plan;
+    std::map<job_id, int> next_positions;
     std::vector<item_result> texts;
-    std::size_t bytes = 0;
+    std::size_t text_bytes = 0;
     const auto flush = [&] {
         if (!texts.empty()) {
-            out.back().texts_record.value = encode(texts);
+            plan.back().texts_record.value = encode(texts);
         }
         texts.clear();
-        bytes = 0;
+        text_bytes = 0;
     };
     for (auto& r : results) {
-        const auto* row = l.find(r.job);
+        const auto* row = jobs.find(r.job);
         if (row == nullptr || row->committed_items.count(r.item_index) != 0) {
             continue;
         }
         auto& position =
-            next.emplace(r.job, row->next_position()).first->second;
-        if (out.empty() || out.back().job != r.job || bytes >= record_bytes) {
+            next_positions.emplace(r.job, row->next_position()).first->second;
+        if (plan.empty() || plan.back().job != r.job ||
+            text_bytes >= max_record_bytes) {
             flush();
-            const auto texts_name = name();
-            out.push_back({r.job,
-                           position,
-                           {texts_name, {}},
-                           {texts_key(r.job, position, texts_name), ""}});
+            const auto texts_name = make_name();
+            plan.push_back({r.job,
+                            position,
+                            {texts_name, {}},
+                            {texts_key(r.job, position, texts_name), ""}});
         }
         ++position;
-        bytes += r.result.text.size();
-        out.back().commit.rows.push_back({r.item_index, r.result.outcome});
+        text_bytes += r.result.text.size();
+        plan.back().commit.rows.push_back({r.item_index, r.result.outcome});
         texts.push_back(std::move(r.result));
     }
     flush();
-    return out;
+    return plan;
 }
 
-std::vector<planned_commit> exclude_jobs(std::vector<planned_commit> plan,
-                                         const std::set<job_id>& unstored) {
-    const auto is_unstored = [&unstored](const planned_commit& p) {
-        return unstored.count(p.job) != 0;
+std::vector<planned_commit>
+exclude_jobs(std::vector<planned_commit> plan,
+             const std::set<job_id>& unstored_jobs) {
+    const auto is_unstored = [&unstored_jobs](const planned_commit& p) {
+        return unstored_jobs.count(p.job) != 0;
     };
     plan.erase(std::remove_if(plan.begin(), plan.end(), is_unstored),
                plan.end());
     return plan;
 }
 
-bool is_plan_current(const job_table& l,
+bool is_plan_current(const job_table& jobs,
                      const std::vector<planned_commit>& plan) {
-    std::map<job_id, int> next;
+    std::map<job_id, int> next_positions;
     return std::all_of(plan.begin(), plan.end(), [&](const auto& p) {
-        const auto* row = l.find(p.job);
+        const auto* row = jobs.find(p.job);
         if (row == nullptr) {
             return false;
         }
         auto& position =
-            next.emplace(p.job, row->next_position()).first->second;
+            next_positions.emplace(p.job, row->next_position()).first->second;
         const bool follows = position == p.position;
         position += static_cast<int>(p.commit.rows.size());
         return follows && std::none_of(p.commit.rows.begin(),
--- a/packages/batch/src/handover.cpp
+++ b/packages/batch/src/handover.cpp
@@ -15,17 +15,17 @@
     return has_begun_ && (texts_saved_ || elapsed() >= times_.save_timeout);
 }
 
-handover_action handover::next_action(bool owns, bool appending) {
+handover_action handover::next_action(bool is_owner, bool append_in_flight) {
     if (!has_begun_ || has_ended_) {
         return handover_action::wait;
     }
-    // A claim that is under way may still make this process the owner.
-    const bool vacant = !owns && !appending;
-    if (vacant || elapsed() >= times_.total_timeout) {
+    // A claim in flight may still make this process the owner.
+    const bool is_released = !is_owner && !append_in_flight;
+    if (is_released || elapsed() >= times_.total_timeout) {
         has_ended_ = true;
         return handover_action::end;
     }
-    if (!owns || appending || !may_release() ||
+    if (!is_owner || append_in_flight || !may_release() ||
         clock_.now() < next_attempt_at_) {
         return handover_action::wait;
     }
--- a/packages/batch/src/item_scheduler.cpp
+++ b/packages/batch/src/item_scheduler.cpp
@@ -9,32 +9,34 @@
 
 namespace {
 
-/// The pause before an item goes out again after an answer that says nothing
-/// of the item, in ms; the server itself is left alone for longer.
-constexpr base::millis retry_pause_ms = 20;
+/// Delay before an item is sent again after a run that ended for reasons
+/// unrelated to the item, in ms. The server itself is avoided for longer.
+constexpr base::millis retry_delay_ms = 20;
 
-/// How long a server that refused is left alone, in ms: a load of weights
-/// takes 0.9 s, a full queue drains sooner.
-constexpr base::millis refusal_block_ms = 250;
+/// How long no run is sent to a server that rejected one, in ms: loading
+/// weights takes 0.9 s, a full queue drains sooner.
+constexpr base::millis rejection_block_ms = 250;
 
-/// How long a server that is another than expected is left alone, in ms: its
-/// entry is renewed each 1.2 s.
+/// How long no run is sent to an address that belongs to another server than
+/// expected, in ms: registry entries are renewed every 1.2 s.
 constexpr base::millis other_server_block_ms = 600;
 
-/// How long an item goes only to other servers than those at which its runs
-/// failed, in ms, if there are any.
+/// After a failed run, the item waits up to this long for a server at which it
+/// has not failed, in ms.
 constexpr base::millis avoid_failed_servers_ms = 500;
 
-/// The pause before a reward call is made again, in ms.
-constexpr base::millis reward_retry_pause_ms = 100;
+/// Delay before a reward call is repeated, in ms.
+constexpr base::millis reward_retry_delay_ms = 100;
 
-/// A tick that comes so long after the one before shows that the owner's
-/// thread was held up, in ms.
+/// A gap of this length between two ticks shows that the owner's thread
+/// stalled, in ms.
 constexpr base::millis late_tick_threshold_ms = 100;
 
-void add_version(std::vector<weight_version>& versions, weight_version v) {
-    if (std::find(versions.begin(), versions.end(), v) == versions.end()) {
-        versions.push_back(v);
+void add_version(std::vector<weight_version>& versions,
+                 weight_version version) {
+    if (std::find(versions.begin(), versions.end(), version) ==
+        versions.end()) {
+        versions.push_back(version);
     }
 }
 
@@ -50,7 +52,7 @@
 effects item_scheduler::add_job(
     const job_row& row, std::vector<item> items,
     const std::map<int, std::vector<progress_part>>& progress,
-    const job_options& terms, std::int64_t epoch) {
+    const job_options& options, std::int64_t epoch) {
     const auto id = row.header->id;
     if (has_job(id)) {
         return {};
@@ -58,30 +60,32 @@
     auto out = remove_speculative_jobs(row.header->model);
     auto& job = jobs_[id];
     job.header = *row.header;
-    job.options = terms;
+    job.options = options;
     job.first_seen_at = row.first_seen_at;
-    int number = 0;
-    for (auto& i : items) {
-        item_row r;
-        r.content = std::move(i);
-        r.epoch = epoch;
-        r.last_served_at = clock_.now();
-        if (row.committed_items.count(number) != 0) {
-            r.state = item_state::committed;
+    int item_index = 0;
+    for (auto& item : items) {
+        item_row added;
+        added.content = std::move(item);
+        added.epoch = epoch;
+        added.last_served_at = clock_.now();
+        if (row.committed_items.count(item_index) != 0) {
+            added.state = item_state::committed;
         } else {
-            reuse_cached_text(job, r);
+            reuse_cached_text(job, added);
         }
-        const auto parts = progress.find(number);
-        if (r.state == item_state::waiting && parts != progress.end()) {
-            auto s = join_progress_parts(parts->second);
-            r.failures = s.failures;
-            if (s.event_count > r.output.event_count) {
-                r.output = {std::move(s.text), s.event_count,
-                            std::move(s.last_event), std::move(s.versions)};
+        const auto saved_parts = progress.find(item_index);
+        if (added.state == item_state::waiting &&
+            saved_parts != progress.end()) {
+            auto saved = join_progress_parts(saved_parts->second);
+            added.failures = saved.failures;
+            if (saved.event_count > added.output.event_count) {
+                added.output = {std::move(saved.text), saved.event_count,
+                                std::move(saved.last_event),
+                                std::move(saved.versions)};
             }
         }
-        job.items.push_back(std::move(r));
-        ++number;
+        job.items.push_back(std::move(added));
+        ++item_index;
     }
     return out;
 }
@@ -94,29 +98,29 @@
 
 void item_scheduler::cancel_runs(const job_id& id, const char* reason,
                                  effects& out) {
-    std::vector<run_number> stopped;
+    std::vector<run_number> runs;
     for (const auto& [run, row] : runs_) {
         if (row.job == id) {
-            stopped.push_back(run);
+            runs.push_back(run);
         }
     }
-    for (const auto run : stopped) {
+    for (const auto run : runs) {
         cancel_run(run, reason, out);
     }
 }
 
 effects item_scheduler::remove_job(const job_id& id) {
     effects out;
-    const auto job = jobs_.find(id);
-    if (job == jobs_.end()) {
+    const auto found = jobs_.find(id);
+    if (found == jobs_.end()) {
         return out;
     }
     cancel_runs(id, "job_ended", out);
-    cache_texts(job->second);
-    const auto ended = std::move(job->second);
-    jobs_.erase(job);
+    cache_texts(found->second);
+    const auto ended_job = std::move(found->second);
+    jobs_.erase(found);
     if (table_.is_enabled(base::feature::run_ahead)) {
-        add_speculative_job(ended);
+        add_speculative_job(ended_job);
     }
     return out;
 }
@@ -132,31 +136,31 @@
 }
 
 effects item_scheduler::on_committed(const job_id& id,
-                                     const std::set<int>& numbers) {
+                                     const std::set<int>& item_indices) {
     effects out;
     const auto job = jobs_.find(id);
     if (job == jobs_.end()) {
         return out;
     }
-    for (const int n : numbers) {
-        if (n < static_cast<int>(job->second.items.size()) &&
-            job->second.items[static_cast<std::size_t>(n)].state !=
+    for (const int item_index : item_indices) {
+        if (item_index < static_cast<int>(job->second.items.size()) &&
+            job->second.items[static_cast<std::size_t>(item_index)].state !=
                 item_state::committed) {
-            commit_item(id, job->second, n, out);
+            commit_item(id, job->second, item_index, out);
         }
     }
     return out;
 }
 
-void item_scheduler::commit_item(const job_id& id, job_state& job, int number,
-                                 effects& out) {
+void item_scheduler::commit_item(const job_id& id, job_state& job,
+                                 int item_index, effects& out) {
     for (const auto& [run, row] : runs_) {
-        if (row.job == id && row.item_index == number) {
+        if (row.job == id && row.item_index == item_index) {
             cancel_run(run, "listed", out);
             break;
         }
     }
-    auto& row = job.items[static_cast<std::size_t>(number)];
+    auto& row = job.items[static_cast<std::size_t>(item_index)];
     row.state = item_state::committed;
 }
 
@@ -170,18 +174,19 @@
 
 void item_scheduler::cancel_run(run_number run, const char* reason,
                                 effects& out) {
-    const auto at = runs_.find(run);
-    if (at == runs_.end()) {
+    const auto found = runs_.find(run);
+    if (found == runs_.end()) {
         return;
     }
-    table_.on_request_ended(at->second.sampler, at->second.reserved_tokens);
+    table_.on_request_ended(found->second.sampler,
+                            found->second.reserved_tokens);
     out.push_back(stop_run{run, reason});
-    runs_.erase(at);
+    runs_.erase(found);
 }
 
-void item_scheduler::requeue(item_row& row, base::millis pause) {
+void item_scheduler::requeue(item_row& row, base::millis delay) {
     row.state = item_state::waiting;
-    row.not_before = clock_.now() + pause;
+    row.not_before = clock_.now() + delay;
 }
 
 void item_scheduler::discard_output(item_row& row) {
@@ -193,16 +198,16 @@
 
 void item_scheduler::discount_stall() {
     const auto now = clock_.now();
-    const auto held_up = stall_detector_.tick(now);
+    const auto stall_ms = stall_detector_.tick(now);
     for (auto& [number, run] : runs_) {
-        run.last_heard_at = std::min(now, run.last_heard_at + held_up);
+        run.last_activity_at = std::min(now, run.last_activity_at + stall_ms);
     }
 }
 
 effects item_scheduler::tick(bool may_start) {
     discount_stall();
-    // First of all what must not go on: a process that stood still would
-    // otherwise begin items of a job that ended long ago.
+    // Must come first: after a stall of the process, placing items would
+    // otherwise start items of jobs that ended long ago.
     auto out = remove_expired_speculative_jobs();
     if (may_start) {
         move_runs(out);
@@ -230,20 +235,22 @@
 effects item_scheduler::on_response_started(run_number run,
                                             weight_version version) {
     effects out;
-    const auto at = runs_.find(run);
-    if (at == runs_.end()) {
+    const auto found = runs_.find(run);
+    if (found == runs_.end()) {
         return out;
     }
-    at->second.version = version;
-    at->second.last_heard_at = clock_.now();
-    auto* item = find_item(at->second);
+    found->second.version = version;
+    found->second.last_activity_at = clock_.now();
+    auto* item = find_item(found->second);
     item->last_served_at = clock_.now();
-    const auto& job = jobs_.at(at->second.job);
-    table_.set_observed_version(at->second.sampler, job.header.model, version);
+    const auto& job = jobs_.at(found->second.job);
+    table_.set_observed_version(found->second.sampler, job.header.model,
+                                version);
     if (version < job.header.min_version) {
-        // The table was wrong about the server; the text would be too old.
+        // The table held a newer version for this server; the text would be too
+        // old for the job.
         cancel_run(run, "old_weights", out);
-        requeue(*item, retry_pause_ms);
+        requeue(*item, retry_delay_ms);
     }
     return out;
 }
@@ -252,26 +259,27 @@
                                  const std::string& data,
                                  std::optional<weight_version> version) {
     effects out;
-    const auto at = runs_.find(run);
-    if (at == runs_.end()) {
+    const auto found = runs_.find(run);
+    if (found == runs_.end()) {
         return out;
     }
-    auto& r = at->second;
-    auto& job = jobs_.at(r.job);
-    auto& row = *find_item(r);
+    auto& current = found->second;
+    auto& job = jobs_.at(current.job);
+    auto& row = *find_item(current);
     const auto now = clock_.now();
-    if (r.event_count > 0) {
-        table_.on_event(r.sampler, now - r.last_heard_at);
+    if (current.event_count > 0) {
+        table_.on_event(current.sampler, now - current.last_activity_at);
     }
-    r.last_heard_at = now;
+    current.last_activity_at = now;
     row.last_served_at = now;
-    ++r.event_count;
+    ++current.event_count;
     if (version) {
-        r.version = *version;
-        table_.set_observed_version(r.sampler, job.header.model, *version);
+        current.version = *version;
+        table_.set_observed_version(current.sampler, job.header.model,
+                                    *version);
     }
     if (job.options.single_version && !row.output.versions.empty() &&
-        row.output.versions.back() != r.version) {
+        row.output.versions.back() != current.version) {
         cancel_run(run, "mixed_versions", out);
         discard_output(row);
         requeue(row, 0);
@@ -283,46 +291,46 @@
     row.output.bytes += data;
     row.output.last_event = id;
     ++row.output.event_count;
-    add_version(row.output.versions, r.version);
+    add_version(row.output.versions, current.version);
     return out;
 }
 
-effects item_scheduler::on_run_ended(run_number run, run_outcome end) {
+effects item_scheduler::on_run_ended(run_number run, run_outcome outcome) {
     effects out;
-    const auto at = runs_.find(run);
-    if (at == runs_.end()) {
+    const auto found = runs_.find(run);
+    if (found == runs_.end()) {
         return out;
     }
-    const auto r = at->second;
-    runs_.erase(at);
-    table_.on_request_ended(r.sampler, r.reserved_tokens);
-    auto& row = *find_item(r);
-    const auto& terms = jobs_.at(r.job).options;
-    switch (end) {
+    const auto ended_run = found->second;
+    runs_.erase(found);
+    table_.on_request_ended(ended_run.sampler, ended_run.reserved_tokens);
+    auto& row = *find_item(ended_run);
+    const auto& options = jobs_.at(ended_run.job).options;
+    switch (outcome) {
     case run_outcome::complete:
-        finish_text(r.job, r.item_index, out);
+        finish_text(ended_run.job, ended_run.item_index, out);
         break;
     case run_outcome::cut:
-        table_.on_failure(r.sampler);
-        requeue(row, retry_pause_ms);
+        table_.on_failure(ended_run.sampler);
+        requeue(row, retry_delay_ms);
         break;
     case run_outcome::not_run:
-        table_.block(r.sampler, refusal_block_ms);
+        table_.block(ended_run.sampler, rejection_block_ms);
         requeue(row, 0);
         break;
     case run_outcome::other_server:
-        table_.block(r.sampler, other_server_block_ms);
+        table_.block(ended_run.sampler, other_server_block_ms);
         requeue(row, 0);
         break;
     case run_outcome::failed:
         ++row.failures;
-        row.failed_servers.insert(r.sampler);
+        row.failed_servers.insert(ended_run.sampler);
         row.avoid_failed_servers_until = clock_.now() + avoid_failed_servers_ms;
-        if (row.failures >= terms.max_attempts) {
+        if (row.failures >= options.max_attempts) {
             row.outcome = item_outcome::errored;
             row.state = item_state::ready;
         } else {
-            requeue(row, retry_pause_ms);
+            requeue(row, retry_delay_ms);
         }
         break;
     case run_outcome::impossible:
@@ -333,9 +341,10 @@
     return out;
 }
 
-void item_scheduler::finish_text(const job_id& id, int number, effects& out) {
+void item_scheduler::finish_text(const job_id& id, int item_index,
+                                 effects& out) {
     auto& job = jobs_.at(id);
-    auto& row = job.items[static_cast<std::size_t>(number)];
+    auto& row = job.items[static_cast<std::size_t>(item_index)];
     if (row.timeline.text_complete_ms < 0) {
         row.timeline.text_complete_ms = clock_.now() - job.first_seen_at;
         if (!row.is_resubmitted) {
@@ -345,35 +354,35 @@
     }
     if (row.content.reward) {
         row.state = item_state::reward_in_flight;
-        out.push_back(start_reward{id, number, &*row.content.reward});
+        out.push_back(start_reward{id, item_index, &*row.content.reward});
     } else {
         row.state = item_state::ready;
     }
 }
 
-effects item_scheduler::on_reward_ended(const job_id& id, int number,
+effects item_scheduler::on_reward_ended(const job_id& id, int item_index,
                                         const reward_outcome& outcome) {
     const auto job = jobs_.find(id);
     if (job == jobs_.end()) {
         return {};
     }
-    auto& row = job->second.items[static_cast<std::size_t>(number)];
+    auto& row = job->second.items[static_cast<std::size_t>(item_index)];
     if (row.state != item_state::reward_in_flight) {
         return {};
     }
     std::visit(base::overloaded{
-                   [&](const reward_score& r) {
-                       row.score = r.score;
+                   [&](const reward_score& success) {
+                       row.score = success.score;
                        row.state = item_state::ready;
                        row.timeline.ready_ms =
                            clock_.now() - job->second.first_seen_at;
                    },
-                   [&](const reward_failure& f) {
-                       // Sends that were refused or lost say
-                       // nothing of the text; only failed answers
-                       // count.
-                       row.reward_failures += f.failed_responses;
-                       if (row.reward_failures >= f.max_failed_responses) {
+                   [&](const reward_failure& failure) {
+                       // Only failed responses count: rejected or lost calls
+                       // say nothing about the text.
+                       row.reward_failures += failure.failed_responses;
+                       if (row.reward_failures >=
+                           failure.max_failed_responses) {
                            row.outcome = item_outcome::errored;
                            row.state = item_state::ready;
                            row.timeline.ready_ms =
@@ -381,64 +390,65 @@
                            return;
                        }
                        row.state = item_state::reward_pending;
-                       row.not_before = clock_.now() + reward_retry_pause_ms;
+                       row.not_before = clock_.now() + reward_retry_delay_ms;
                    }},
                outcome);
     return {};
 }
 
 std::vector<ready_result>
-item_scheduler::ready_results(std::size_t bytes,
-                              const std::set<job_id>& except) const {
-    std::vector<ready_result> out;
+item_scheduler::ready_results(std::size_t max_bytes,
+                              const std::set<job_id>& excluded_jobs) const {
+    std::vector<ready_result> results;
     std::size_t total = 0;
     for (const auto& [id, job] : jobs_) {
-        if (job.speculative_until || except.count(id) != 0) {
+        if (job.speculative_until || excluded_jobs.count(id) != 0) {
             continue;
         }
         for (std::size_t n = 0; n < job.items.size(); ++n) {
             const auto& row = job.items[n];
-            if (row.state != item_state::ready || total > bytes) {
+            if (row.state != item_state::ready || total > max_bytes) {
                 continue;
             }
-            const bool good = row.outcome == item_outcome::succeeded;
+            const bool succeeded = row.outcome == item_outcome::succeeded;
             total += row.output.bytes.size();
-            out.push_back(
-                {id,
-                 static_cast<int>(n),
-                 {row.content.id, row.outcome,
-                  good ? row.output.bytes : std::string(),
-                  good ? row.output.versions : std::vector<weight_version>(),
-                  row.score}});
+            results.push_back({id,
+                               static_cast<int>(n),
+                               {row.content.id, row.outcome,
+                                succeeded ? row.output.bytes : std::string(),
+                                succeeded ? row.output.versions
+                                          : std::vector<weight_version>(),
+                                row.score}});
         }
     }
-    return out;
+    return results;
 }
 
 std::vector<unsaved_part>
-item_scheduler::unsaved_parts(int least, std::size_t bytes) const {
-    std::vector<unsaved_part> out;
+item_scheduler::unsaved_parts(int min_events, std::size_t max_bytes) const {
+    std::vector<unsaved_part> parts;
     std::size_t total = 0;
     for (const auto& [id, job] : jobs_) {
         for (std::size_t n = 0; !job.speculative_until && n < job.items.size();
              ++n) {
             const auto& row = job.items[n];
-            const bool going = row.state == item_state::running ||
-                               row.state == item_state::waiting;
-            const int fresh = row.output.event_count - row.saved_events;
-            if (!going || fresh < least || total > bytes) {
+            const bool is_unfinished = row.state == item_state::running ||
+                                       row.state == item_state::waiting;
+            const int new_events = row.output.event_count - row.saved_events;
+            if (!is_unfinished || new_events < min_events ||
+                total > max_bytes) {
                 continue;
             }
-            const auto from = row.saved_bytes + (row.saved_events > 0 ? 1 : 0);
-            total += row.output.bytes.size() - from;
-            out.push_back(
+            const auto begin = row.saved_bytes + (row.saved_events > 0 ? 1 : 0);
+            total += row.output.bytes.size() - begin;
+            parts.push_back(
                 {id,
-                 {static_cast<int>(n), row.epoch, row.saved_events, fresh,
-                  row.output.last_event, row.output.bytes.substr(from),
+                 {static_cast<int>(n), row.epoch, row.saved_events, new_events,
+                  row.output.last_event, row.output.bytes.substr(begin),
                   row.output.versions, row.failures}});
         }
     }
-    return out;
+    return parts;
 }
 
 void item_scheduler::on_part_saved(const unsaved_part& part) {
@@ -459,28 +469,29 @@
 
 std::vector<item_timeline>
 item_scheduler::item_timelines(const job_id& id) const {
-    std::vector<item_timeline> out;
+    std::vector<item_timeline> timelines;
     const auto job = jobs_.find(id);
     if (job == jobs_.end()) {
-        return out;
+        return timelines;
     }
-    int number = 0;
+    int item_index = 0;
     for (const auto& row : job->second.items) {
-        auto life = row.timeline;
-        life.item_index = number++;
-        life.event_count = row.output.event_count;
-        life.expected_output_tokens = row.content.expected_output_tokens;
-        out.push_back(life);
-    }
-    const auto took = [](const item_timeline& l) {
-        // What is not ready took longer than all that is.
-        return l.ready_ms < 0 ? std::numeric_limits<base::millis>::max()
-                              : l.ready_ms;
+        auto timeline = row.timeline;
+        timeline.item_index = item_index++;
+        timeline.event_count = row.output.event_count;
+        timeline.expected_output_tokens = row.content.expected_output_tokens;
+        timelines.push_back(timeline);
+    }
+    const auto time_to_ready = [](const item_timeline& timeline) {
+        // Items that are not ready sort before all others.
+        return timeline.ready_ms < 0 ? std::numeric_limits<base::millis>::max()
+                                     : timeline.ready_ms;
     };
-    std::stable_sort(out.begin(), out.end(), [&](const auto& a, const auto& b) {
-        return took(a) > took(b);
-    });
-    return out;
+    std::stable_sort(timelines.begin(), timelines.end(),
+                     [&](const auto& a, const auto& b) {
+                         return time_to_ready(a) > time_to_ready(b);
+                     });
+    return timelines;
 }
 
 } // namespace hibiscus::batch
--- a/packages/batch/src/item_scheduler_limits.hpp
+++ b/packages/batch/src/item_scheduler_limits.hpp
@@ -1,9 +1,9 @@
 #pragma once
 
-/// Limits that several parts of `work` share.
+/// Limits shared by the source files of item_scheduler.
 namespace hibiscus::batch {
 
-/// A run with so many events is long: about twice the mean.
+/// A run with this many events is long: about twice the mean.
 constexpr int long_run_events = 45;
 
 } // namespace hibiscus::batch
--- a/packages/batch/src/item_scheduler_moves.cpp
+++ b/packages/batch/src/item_scheduler_moves.cpp
@@ -3,40 +3,43 @@
 
 #include <algorithm>
 
-/// Which runs leave their servers.
+/// Decides which runs move to another server.
 namespace hibiscus::batch {
 
 namespace {
 
-/// A run without its first event for so long has met a server that does not
-/// work, in ms. The first event comes 8 ms after the request, 1.1 s when two
-/// wait for a place that others had taken.
+/// A run without a first event after this time is at a server that doesn't
+/// work, in ms. The first event normally comes 8 ms after the request, or 1.1 s
+/// after it when two runs wait for a slot that others occupy.
 constexpr base::millis first_event_timeout_ms = 900;
 
-/// A run whose events stop for so many times the usual pause at its server has
-/// met one that does not work: more than the pause of a step that reads in a
-/// long prompt, and more than twice that of a server which has just become
-/// four times slower. Never sooner than the shortest bound, in ms: a delay of
-/// the process that its ticks do not show would make all servers silent.
+/// A run is silent if no event comes for this multiple of its server's event
+/// interval. This is longer than the pause while a server prefills a long
+/// prompt, and more than twice the pause of a server that has just become four
+/// times slower. It is never less than min_silence_ms: a stall of the own
+/// process that its ticks don't show would otherwise make all servers look
+/// silent.
 constexpr double silence_factor = 20;
 constexpr base::millis min_silence_ms = 300;
 
-/// The share of runs that may move at one tick: all at once would meet the
-/// same few free places.
+/// Maximum number of runs that leave slow or draining servers in one tick. If
+/// all moved at once, they would compete for the same few free slots.
 constexpr int max_slow_moves_per_tick = 6;
 
-/// A run stays at a server for so many events before it may wander on.
+/// Minimum number of events of a run at its server before it may move to a
+/// faster one.
 constexpr int min_events_before_move = 20;
 
-/// A run leaves a slow server after so many events there, which show that it
-/// still is slow, if its text is not short: less than a second on a sound one.
+/// Minimum number of events of a run at a slow server before it may leave; they
+/// show that the server still is slow. Short texts, which take less than a
+/// second on a healthy server, stay.
 constexpr int min_events_on_slow_server = 4;
 
 constexpr std::int64_t short_run_tokens = 1500;
 
-/// How many long runs may wander at a time, and how often, in ms: the first
-/// that comes to a server changes what the next one finds there, and to rank
-/// the servers for each model is dear in a large fleet.
+/// Maximum number of long runs that move at a time, and the interval of such
+/// moves, in ms. Each move changes the load that the next one sees, and ranking
+/// the servers for each model is expensive in a large fleet.
 constexpr int max_long_moves = 2;
 constexpr base::millis long_move_interval_ms = 100;
 
@@ -54,7 +57,7 @@
     }
 }
 
-/// Stops a run so that its item goes on elsewhere.
+/// Stops a run and queues its item for another server.
 void item_scheduler::move_run(run_number run, const char* reason,
                               effects& out) {
     const auto row = runs_.at(run);
@@ -65,22 +68,22 @@
 }
 
 bool item_scheduler::is_silent(const run_row& run,
-                               samplers::run_placement& places) const {
+                               samplers::run_placement& placement) const {
     const auto now = clock_.now();
-    const auto silence = now - run.last_heard_at;
+    const auto silence = now - run.last_activity_at;
     if (run.event_count == 0) {
         return silence > first_event_timeout_ms;
     }
     return silence > min_silence_ms &&
            static_cast<double>(silence) >
-               silence_factor * places.event_interval(run.sampler);
+               silence_factor * placement.event_interval(run.sampler);
 }
 
 void item_scheduler::move_silent_runs(effects& out) {
     std::vector<run_number> silent;
-    samplers::run_placement places(table_, clock_.now());
+    samplers::run_placement placement(table_, clock_.now());
     for (const auto& [run, row] : runs_) {
-        if (is_silent(row, places)) {
+        if (is_silent(row, placement)) {
             silent.push_back(run);
         }
     }
@@ -92,36 +95,38 @@
 }
 
 void item_scheduler::move_slow_runs(effects& out) {
-    samplers::run_placement places(table_, clock_.now());
-    const int queued = waiting_count();
-    std::vector<run_number> leaving;
+    samplers::run_placement placement(table_, clock_.now());
+    const int waiting = waiting_count();
+    std::vector<run_number> moving_runs;
     for (const auto& [run, row] : runs_) {
         const auto job = jobs_.find(row.job);
-        const int moves = static_cast<int>(leaving.size());
+        const int moves = static_cast<int>(moving_runs.size());
         if (job == jobs_.end() || moves >= max_slow_moves_per_tick) {
             continue;
         }
-        const auto& slow = places.slow_servers(job->second.options.service);
-        const auto* s = table_.find(row.sampler);
-        const bool drains = s != nullptr && s->registered.draining;
+        const auto& slow_servers =
+            placement.slow_servers(job->second.options.service);
+        const auto* server = table_.find(row.sampler);
+        const bool is_draining =
+            server != nullptr && server->registered.draining;
         const bool is_slow =
-            slow.count(row.sampler) != 0 && is_worth_moving(row);
-        if (!drains && !is_slow) {
+            slow_servers.count(row.sampler) != 0 && is_worth_moving(row);
+        if (!is_draining && !is_slow) {
             continue;
         }
-        if (places.free_slots(needs_of(job->second, *find_item(row)), slow) >
-            moves + queued) {
-            leaving.push_back(run);
+        if (placement.free_slots(requirements_of(job->second, *find_item(row)),
+                                 slow_servers) > moves + waiting) {
+            moving_runs.push_back(run);
         }
     }
-    for (const auto run : leaving) {
+    for (const auto run : moving_runs) {
         ++counts_.moved_runs;
         move_run(run, "moved", out);
     }
 }
 
-/// A short text ends soon on a slow server too, and no step waits for it;
-/// each move costs a connection.
+/// Returns false for short texts: they end soon on a slow server too, no step
+/// waits for them, and each move costs a connection.
 bool item_scheduler::is_worth_moving(const run_row& run) {
     const auto* item = find_item(run);
     return item != nullptr && run.event_count >= min_events_on_slow_server &&
@@ -129,40 +134,42 @@
             item->output.event_count >= min_events_before_move);
 }
 
-/// Long runs wander to faster servers while there are places for all that
-/// wait. Some always wait in a large fleet: for weights, or for a pause.
+/// Moves long runs to faster servers while there are more free slots than
+/// waiting items. In a large fleet some items always wait, for weights or for
+/// the end of a retry delay, so an empty queue is not required.
 void item_scheduler::move_long_runs(effects& out) {
     const auto now = clock_.now();
     if (now < next_long_move_at_) {
         return;
     }
     next_long_move_at_ = now + long_move_interval_ms;
-    samplers::run_placement places(table_, now);
-    const int queued = waiting_count();
-    std::vector<std::pair<int, run_number>> longest;
+    samplers::run_placement placement(table_, now);
+    const int waiting = waiting_count();
+    std::vector<std::pair<int, run_number>> candidates;
     for (const auto& [run, row] : runs_) {
         const auto* item = find_item(row);
         if (item != nullptr && row.event_count >= min_events_before_move &&
             item->output.event_count >= long_run_events) {
-            longest.emplace_back(-item->output.event_count, run);
+            candidates.emplace_back(-item->output.event_count, run);
         }
     }
-    std::sort(longest.begin(), longest.end());
+    std::sort(candidates.begin(), candidates.end());
     int moves = 0;
-    for (const auto& [events, run] : longest) {
+    for (const auto& [negated_length, run] : candidates) {
         const auto row = runs_.at(run);
-        const auto needs = needs_of(jobs_.at(row.job), *find_item(row));
+        const auto requirements =
+            requirements_of(jobs_.at(row.job), *find_item(row));
         if (moves >= max_long_moves) {
             return;
         }
-        if (places.free_slots(needs) <= moves + queued) {
+        if (placement.free_slots(requirements) <= moves + waiting) {
             continue;
         }
-        if (places.find_faster(needs, row.sampler)) {
+        if (placement.find_faster(requirements, row.sampler)) {
             ++moves;
             ++counts_.moved_runs;
             move_run(run, "to_faster", out);
-            places.update_server(row.sampler);
+            placement.update_server(row.sampler);
         }
     }
 }
--- a/packages/batch/src/item_scheduler_placement.cpp
+++ b/packages/batch/src/item_scheduler_placement.cpp
@@ -3,13 +3,15 @@
 #include <algorithm>
 #include <tuple>
 
-/// Which waiting items go where, and how many places they need.
+/// Decides which waiting item is placed on which server, and how many slots are
+/// needed.
 namespace hibiscus::batch {
 
 namespace {
 
-/// Runs that expect more tokens than this are long; they go first where
-/// memory is short, since a long run that is read in anew is late.
+/// Runs that expect more output tokens than this are long. Servers give them
+/// priority when memory is short: a long run that loses its memory must prefill
+/// its text again and finishes late.
 constexpr std::int64_t long_run_tokens = 3000;
 
 constexpr int resubmitted_priority = 1;
@@ -18,15 +20,14 @@
 
 constexpr int default_priority = 5;
 
-/// Puts what runs ahead behind all jobs, in ms: more than any job lasts.
+/// Sorts speculative items after all jobs, in ms: longer than any job lasts.
 constexpr base::millis speculative_delay_ms = 3600000;
 
-/// For how many times the items that were open at once there should be places:
-/// the models of other trainers take some of those that are free now.
+/// Wanted slots per item of the peak: other trainers' models may take some of
+/// the slots that are free now.
 constexpr double spare_slots_factor = 1.5;
 
-/// How long the most items that were open at once are remembered, in ms: some
-/// steps.
+/// How long a peak of open items is remembered, in ms: a few steps.
 constexpr base::millis max_peak_age_ms = 60000;
 
 } // namespace
@@ -41,11 +42,11 @@
 
 void item_scheduler::place_items(effects& out) {
     struct candidate {
-        base::millis due;
+        base::millis target_at;
         bool is_new;
-        std::int64_t left;
+        std::int64_t negated_length;
         const job_id* job;
-        int number;
+        int item_index;
     };
     const auto now = clock_.now();
     const bool longest_first = table_.is_enabled(base::feature::longest_first);
@@ -54,38 +55,42 @@
         for (std::size_t n = 0; n < job.items.size(); ++n) {
             const auto& row = job.items[n];
             if (row.state == item_state::waiting && now >= row.not_before) {
-                const auto due =
+                const auto target_at =
                     job.first_seen_at + job.options.target_ms +
                     (job.speculative_until ? speculative_delay_ms : 0);
-                const auto left =
+                const auto negated_length =
                     longest_first ? -row.content.expected_output_tokens : 0;
-                queue.push_back(
-                    {due, !row.is_resubmitted, left, &id, static_cast<int>(n)});
+                queue.push_back({target_at, !row.is_resubmitted, negated_length,
+                                 &id, static_cast<int>(n)});
             }
         }
     }
     std::sort(queue.begin(), queue.end(), [](const auto& a, const auto& b) {
-        return std::tie(a.due, a.is_new, a.left, a.number) <
-               std::tie(b.due, b.is_new, b.left, b.number);
+        return std::tie(a.target_at, a.is_new, a.negated_length, a.item_index) <
+               std::tie(b.target_at, b.is_new, b.negated_length, b.item_index);
     });
-    samplers::run_placement places(table_, now);
+    samplers::run_placement placement(table_, now);
     for (const auto& c : queue) {
         auto& job = jobs_.at(*c.job);
-        auto& row = job.items[static_cast<std::size_t>(c.number)];
-        const auto needs = needs_of(job, row);
-        const auto to = choose_server(places, needs, row);
-        if (!to) {
-            // Jobs differ in the weights that they admit; others may fit.
+        auto& row = job.items[static_cast<std::size_t>(c.item_index)];
+        const auto requirements = requirements_of(job, row);
+        const auto server = choose_server(placement, requirements, row);
+        if (!server) {
+            // Other jobs may accept older weights, so later candidates may
+            // still fit.
             continue;
         }
         const auto run = ++last_run_number_;
-        runs_[run] = {*c.job, c.number, *to, now,
-                      now,    0,        0,   needs.expected_tokens};
-        table_.on_request_started(*to, needs.expected_tokens);
-        places.update_server(*to);
+        runs_[run] = {*c.job,  c.item_index,
+                      *server, now,
+                      now,     0,
+                      0,       requirements.expected_tokens};
+        table_.on_request_started(*server, requirements.expected_tokens);
+        placement.update_server(*server);
         row.state = item_state::running;
-        if (row.failed_servers.count(*to) != 0) {
-            // All that are left have failed it: each has its turn again.
+        if (row.failed_servers.count(*server) != 0) {
+            // The item has failed at every remaining server, so each may be
+            // tried again.
             row.failed_servers.clear();
         }
         ++row.timeline.run_count;
@@ -94,26 +99,30 @@
         }
         ++counts_.runs;
         out.push_back(start_run{
-            run, *to, *c.job, c.number, job.header.host, job.header.model,
-            &row.content, row.output.last_event, priority_of(row),
+            run, *server, *c.job, c.item_index, job.header.host,
+            job.header.model, &row.content, row.output.last_event,
+            priority_of(row),
             std::max<base::millis>(
                 1000, job.first_seen_at + job.options.item_expiry_ms - now)});
     }
 }
 
-/// A server may fail each run that it gets while all others would serve it;
-/// the cheapest place is then at that server again.
+/// Returns the best server for an item. Prefers servers at which it has not
+/// failed: a server that fails every run frees its slots at once and would be
+/// the cheapest choice again and again.
 std::optional<samplers::sampler_id>
-item_scheduler::choose_server(samplers::run_placement& places,
-                              const samplers::run_requirements& needs,
+item_scheduler::choose_server(samplers::run_placement& placement,
+                              const samplers::run_requirements& requirements,
                               const item_row& row) const {
     if (row.failed_servers.empty()) {
-        return places.find_best(needs);
+        return placement.find_best(requirements);
     }
-    auto other = places.find_best(needs, row.failed_servers);
-    const bool waits = clock_.now() < row.avoid_failed_servers_until &&
-                       places.has_server(needs, row.failed_servers);
-    return other || waits ? other : places.find_best(needs);
+    auto preferred = placement.find_best(requirements, row.failed_servers);
+    const bool should_wait =
+        clock_.now() < row.avoid_failed_servers_until &&
+        placement.has_server(requirements, row.failed_servers);
+    return preferred || should_wait ? preferred
+                                    : placement.find_best(requirements);
 }
 
 int item_scheduler::priority_of(const item_row& row) const {
@@ -128,83 +137,87 @@
                : default_priority;
 }
 
-samplers::run_requirements item_scheduler::needs_of(const job_state& job,
-                                                    const item_row& row) const {
-    const auto written = std::max<std::int64_t>(
+samplers::run_requirements
+item_scheduler::requirements_of(const job_state& job,
+                                const item_row& row) const {
+    const auto output_tokens = std::max<std::int64_t>(
         row.content.expected_output_tokens,
         token_estimator_.estimate_tokens(row.output.event_count));
     return {job.options.service, job.header.model, job.header.min_version,
-            row.content.prompt_tokens + written};
+            row.content.prompt_tokens + output_tokens};
 }
 
 std::map<std::string, int> item_scheduler::update_wanted_slots() {
-    struct count {
+    struct item_counts {
         int open = 0;
         int running = 0;
     };
-    std::map<std::string, count> now_open;
+    std::map<std::string, item_counts> counts_by_model;
     for (const auto& [id, job] : jobs_) {
-        auto& c = now_open[job.header.model];
+        auto& counts = counts_by_model[job.header.model];
         for (const auto& row : job.items) {
-            c.running += row.state == item_state::running ? 1 : 0;
-            c.open += row.state == item_state::running ||
-                      row.state == item_state::waiting;
+            counts.running += row.state == item_state::running ? 1 : 0;
+            counts.open += row.state == item_state::running ||
+                           row.state == item_state::waiting;
         }
     }
     const auto now = clock_.now();
-    std::map<std::string, int> out;
-    for (const auto& [model, c] : now_open) {
+    std::map<std::string, int> wanted_slots;
+    for (const auto& [model, counts] : counts_by_model) {
         auto& peak = open_items_peaks_[model];
-        if (c.open >= peak.item_count || now - peak.seen_at > max_peak_age_ms) {
-            peak = {c.open, now};
+        if (counts.open >= peak.item_count ||
+            now - peak.seen_at > max_peak_age_ms) {
+            peak = {counts.open, now};
         }
-        out[model] =
-            static_cast<int>(spare_slots_factor * peak.item_count) - c.running;
+        wanted_slots[model] =
+            static_cast<int>(spare_slots_factor * peak.item_count) -
+            counts.running;
     }
-    return out;
+    return wanted_slots;
 }
 
 std::vector<waiting_group> item_scheduler::waiting_groups() const {
     const auto now = clock_.now();
-    const samplers::run_placement places(table_, now);
+    const samplers::run_placement placement(table_, now);
     std::map<std::tuple<samplers::service_name, std::string, weight_version>,
              waiting_group>
-        kinds;
+        groups;
     for (const auto& [id, job] : jobs_) {
         for (const auto& row : job.items) {
             if (row.state != item_state::waiting || job.speculative_until) {
                 continue;
             }
-            const auto needs = needs_of(job, row);
-            auto& kind = kinds[{needs.service, needs.model, needs.min_version}];
-            if (kind.item_count++ == 0) {
-                kind.model = needs.model;
-                kind.min_version = needs.min_version;
-                kind.servers = places.count_servers(needs);
+            const auto requirements = requirements_of(job, row);
+            auto& group = groups[{requirements.service, requirements.model,
+                                  requirements.min_version}];
+            if (group.item_count++ == 0) {
+                group.model = requirements.model;
+                group.min_version = requirements.min_version;
+                group.servers = placement.count_servers(requirements);
             }
-            kind.longest_wait_ms =
-                std::max(kind.longest_wait_ms, now - row.last_served_at);
+            group.longest_wait_ms =
+                std::max(group.longest_wait_ms, now - row.last_served_at);
         }
     }
-    std::vector<waiting_group> out;
-    out.reserve(kinds.size());
-    for (auto& kind : kinds) {
-        out.push_back(std::move(kind.second));
+    std::vector<waiting_group> result;
+    result.reserve(groups.size());
+    for (auto& group : groups) {
+        result.push_back(std::move(group.second));
     }
-    return out;
+    return result;
 }
 
 int item_scheduler::waiting_count() const {
-    int n = 0;
+    int count = 0;
     for (const auto& [id, job] : jobs_) {
         if (job.speculative_until) {
             continue;
         }
-        n += static_cast<int>(std::count_if(
+        count += static_cast<int>(std::count_if(
             job.items.begin(), job.items.end(),
             [](const auto& r) { return r.state == item_state::waiting; }));
     }
-    return n;
+    return count;
 }
 
 } // namespace hibiscus::batch
--- a/packages/batch/src/item_scheduler_texts.cpp
+++ b/packages/batch/src/item_scheduler_texts.cpp
@@ -3,48 +3,51 @@
 
 #include <algorithm>
 
-/// The texts of items that come again in a later job.
+/// Cached texts of resubmitted items, and speculative jobs.
 namespace hibiscus::batch {
 
 namespace {
 
-/// How long items run ahead of the job that will carry them, in ms: training
-/// takes up to a second, and a trainer that is late by more may not carry them
-/// at all. The same bounds when they begin; an ended job's items must not
-/// start later than a few seconds after its end.
+/// How long speculative items run before a job resubmits them, in ms. Training
+/// takes up to a second; a trainer that takes much longer may not resubmit them
+/// at all. This also limits how late they may start: items of an ended job must
+/// not start more than a few seconds after its end.
 constexpr base::millis speculative_job_ttl_ms = 2000;
 
-/// Texts of ended jobs are kept for so long, in ms: groups that were not
-/// complete come again in the trainer's next job, some seconds later.
+/// How long texts of ended jobs are cached, in ms. Trainers resubmit incomplete
+/// groups in their next job, some seconds later.
 constexpr base::millis cached_text_ttl_ms = 30000;
 
 } // namespace
 
 void item_scheduler::reuse_cached_text(job_state& job, item_row& row) {
-    const auto old = cached_texts_.find(row.content.id);
-    if (old == cached_texts_.end()) {
+    const auto cached = cached_texts_.find(row.content.id);
+    if (cached == cached_texts_.end()) {
         return;
     }
     ++counts_.resubmitted_items;
-    const auto& versions = old->second.output.versions;
-    const bool fits =
-        std::all_of(versions.begin(), versions.end(),
-                    [&](auto v) { return v >= job.header.min_version; });
-    // That it outlasted its step before says more of its length than the
-    // caller's guess.
-    row.content.expected_output_tokens = std::max<std::int64_t>(
-        row.content.expected_output_tokens,
-        2 * token_estimator_.estimate_tokens(old->second.output.event_count));
+    const auto& versions = cached->second.output.versions;
+    const bool is_admitted =
+        std::all_of(versions.begin(), versions.end(), [&](auto version) {
+            return version >= job.header.min_version;
+        });
+    // The earlier step ended without this item, which says more about its
+    // length than the caller's estimate.
+    row.content.expected_output_tokens =
+        std::max<std::int64_t>(row.content.expected_output_tokens,
+                               2 * token_estimator_.estimate_tokens(
+                                       cached->second.output.event_count));
     row.is_resubmitted = true;
-    const bool usable = fits && table_.is_enabled(base::feature::reuse_texts);
+    const bool usable =
+        is_admitted && table_.is_enabled(base::feature::reuse_texts);
     if (!usable || versions.empty()) {
         counts_.discarded_events +=
-            static_cast<std::uint64_t>(old->second.output.event_count);
+            static_cast<std::uint64_t>(cached->second.output.event_count);
         return;
     }
     ++counts_.reused_texts;
-    row.output = old->second.output;
-    if (old->second.complete) {
+    row.output = cached->second.output;
+    if (cached->second.complete) {
         row.state = item_state::reward_pending;
         row.not_before = clock_.now();
     }
@@ -52,78 +55,80 @@
 
 void item_scheduler::cache_texts(const job_state& job) {
     const auto now = clock_.now();
-    for (auto t = cached_texts_.begin(); t != cached_texts_.end();) {
-        t = now - t->second.cached_at > cached_text_ttl_ms
-                ? cached_texts_.erase(t)
-                : std::next(t);
+    for (auto text = cached_texts_.begin(); text != cached_texts_.end();) {
+        text = now - text->second.cached_at > cached_text_ttl_ms
+                   ? cached_texts_.erase(text)
+                   : std::next(text);
     }
-    const auto open = incomplete_groups(job);
+    const auto incomplete = incomplete_groups(job);
     for (const auto& row : job.items) {
         const bool complete = row.state != item_state::running &&
                               row.state != item_state::waiting;
-        if (row.output.event_count == 0 || open.count(row.content.group) == 0 ||
+        if (row.output.event_count == 0 ||
+            incomplete.count(row.content.group) == 0 ||
             row.outcome == item_outcome::errored) {
             continue;
         }
-        const auto known = cached_texts_.find(row.content.id);
-        // Of two texts of an item the one under newer weights is of use.
-        if (known == cached_texts_.end() ||
-            known->second.output.versions.front() <=
+        const auto earlier = cached_texts_.find(row.content.id);
+        // Keep the text with the newer weights.
+        if (earlier == cached_texts_.end() ||
+            earlier->second.output.versions.front() <=
                 row.output.versions.front()) {
             cached_texts_[row.content.id] = {row.output, complete, now};
         }
     }
 }
 
-/// Returns the groups that are not listed whole: their trainer may carry them,
-/// with all their items.
+/// Returns the groups with uncommitted items. The trainer may resubmit these
+/// groups with all their items.
 std::set<std::string> item_scheduler::incomplete_groups(const job_state& job) {
-    std::set<std::string> out;
+    std::set<std::string> groups;
     for (const auto& row : job.items) {
         if (row.state != item_state::committed) {
-            out.insert(row.content.group);
+            groups.insert(row.content.group);
         }
     }
-    return out;
+    return groups;
 }
 
-/// The groups that a trainer did not wait for come again in a step that admits
-/// only weights which were not there when they began, and which then waits for
-/// them whatever else is complete. While the trainer trains, places are free:
-/// the longest of them begin at once under the newest weights. A step of 7.2 s
-/// ends sooner by the time of training, 0.5 to 1 s.
+/// A trainer that ends a step without waiting for some groups resubmits these
+/// in a step that requires newer weights, and then waits for them whatever
+/// other groups are complete. While the trainer trains, slots are free, so the
+/// long items of these groups are started at once under the newest weights.
+/// This shortens a step of 7.2 s by the training time of 0.5 to 1 s.
 void item_scheduler::add_speculative_job(const job_state& job) {
     const auto newest = newest_versions_.find(job.header.model);
     if (newest == newest_versions_.end()) {
         return;
     }
     const job_id id(job.header.id.str() + "~");
-    job_state ahead;
-    ahead.header = job.header;
-    ahead.header.id = id;
-    ahead.header.min_version = newest->second;
-    ahead.options = job.options;
-    ahead.first_seen_at = clock_.now();
-    ahead.speculative_until = ahead.first_seen_at + speculative_job_ttl_ms;
-    const auto open = incomplete_groups(job);
+    job_state speculative;
+    speculative.header = job.header;
+    speculative.header.id = id;
+    speculative.header.min_version = newest->second;
+    speculative.options = job.options;
+    speculative.first_seen_at = clock_.now();
+    speculative.speculative_until =
+        speculative.first_seen_at + speculative_job_ttl_ms;
+    const auto incomplete = incomplete_groups(job);
     for (const auto& row : job.items) {
-        const bool is_void = !row.output.versions.empty() &&
-                             row.output.versions.front() < newest->second;
-        if (open.count(row.content.group) == 0 || !is_void ||
+        const bool is_too_old = !row.output.versions.empty() &&
+                                row.output.versions.front() < newest->second;
+        if (incomplete.count(row.content.group) == 0 || !is_too_old ||
             row.output.event_count < long_run_events ||
             row.outcome == item_outcome::errored) {
             continue;
         }
-        item_row r;
-        r.content = row.content;
-        r.content.reward.reset();
-        r.content.expected_output_tokens =
+        item_row restarted;
+        restarted.content = row.content;
+        restarted.content.reward.reset();
+        restarted.content.expected_output_tokens =
             2 * token_estimator_.estimate_tokens(row.output.event_count);
-        ahead.items.push_back(std::move(r));
+        speculative.items.push_back(std::move(restarted));
         ++counts_.speculative_items;
     }
-    if (!ahead.items.empty()) {
-        jobs_[id] = std::move(ahead);
+    if (!speculative.items.empty()) {
+        jobs_[id] = std::move(speculative);
     }
 }
 
--- a/packages/batch/src/job_table.cpp
+++ b/packages/batch/src/job_table.cpp
@@ -24,14 +24,14 @@
     return last.first + static_cast<int>(last.second.rows.size());
 }
 
-std::optional<job_id> job_table::apply(const store::change& c) {
-    const auto key = parse_key(c.key);
+std::optional<job_id> job_table::apply(const store::change& change) {
+    const auto key = parse_key(change.key);
     if (!key) {
         ++unreadable_records_;
         return std::nullopt;
     }
-    if (c.value) {
-        apply_value(*key, *c.value);
+    if (change.value) {
+        apply_value(*key, *change.value);
     } else {
         apply_erasure(*key);
     }
@@ -39,45 +39,45 @@
 }
 
 job_row& job_table::find_or_add(const job_id& id) {
-    auto& r = jobs_[id];
-    if (r.first_seen_at == 0) {
-        r.first_seen_at = clock_.now();
+    auto& row = jobs_[id];
+    if (row.first_seen_at == 0) {
+        row.first_seen_at = clock_.now();
     }
-    return r;
+    return row;
 }
 
 void job_table::apply_value(const journal_key& key, const std::string& value) {
     std::visit(
         base::overloaded{
             [&](const owner_key&) {
-                if (auto o = decode_owner(value)) {
-                    owner_ = owner_row{std::move(*o), clock_.now()};
+                if (auto owner = decode_owner(value)) {
+                    owner_ = owner_row{std::move(*owner), clock_.now()};
                 } else {
                     ++unreadable_records_;
                 }
             },
             [&](const header_key& k) {
-                auto h = decode_header(value);
-                if (!h) {
+                auto header = decode_header(value);
+                if (!header) {
                     ++unreadable_records_;
                     return;
                 }
-                auto& r = find_or_add(k.job);
-                if (!r.header) {
-                    r.header = std::move(h);
+                auto& row = find_or_add(k.job);
+                if (!row.header) {
+                    row.header = std::move(header);
                 }
             },
             [&](const commit_key& k) {
-                auto l = decode_commit(value);
-                if (!l) {
+                auto commit = decode_commit(value);
+                if (!commit) {
                     ++unreadable_records_;
                     return;
                 }
-                auto& r = find_or_add(k.job);
-                for (const auto& item : l->rows) {
-                    r.committed_items.insert(item.item_index);
+                auto& row = find_or_add(k.job);
+                for (const auto& item : commit->rows) {
+                    row.committed_items.insert(item.item_index);
                 }
-                r.commits[k.position] = std::move(*l);
+                row.commits[k.position] = std::move(*commit);
             },
             [&](const end_key& k) { find_or_add(k.job).has_ended = true; }},
         key);
--- a/packages/batch/src/records.cpp
+++ b/packages/batch/src/records.cpp
@@ -17,7 +17,7 @@
 
 constexpr char separator = '/';
 
-/// The bytes of a record besides its value: the key and its framing.
+/// The size of a record without its value: the key and its framing.
 constexpr std::size_t record_overhead_bytes = 512;
 
 std::string zero_padded(int number) {
@@ -55,7 +55,8 @@
     return out;
 }
 
-/// Decodes a value; anything that is not as `read` expects it is no value.
+/// Decodes a value with `read`. Returns nothing if the bytes are not CBOR or
+/// don't have the form that `read` expects.
 template <class T, class F>
 std::optional<T> from_cbor(const std::string& bytes, F read) {
     const auto value = json::from_cbor(bytes, true, false);
@@ -169,14 +170,15 @@
 }
 
 std::string texts_key(const job_id& job, int position,
-                      const std::string& texts) {
-    return job_prefix(job) + zero_padded(position) + separator + texts;
+                      const std::string& texts_name) {
+    return job_prefix(job) + zero_padded(position) + separator + texts_name;
 }
 
 std::string key_before_texts(const job_id& job, int position,
-                             const std::string& texts) {
-    // The greatest of the texts that begin with a smaller last character.
-    auto key = texts_key(job, position, texts);
+                             const std::string& texts_name) {
+    // '~' sorts after all characters of these names, so the returned key sorts
+    // after every key whose last character is smaller.
+    auto key = texts_key(job, position, texts_name);
     --key.back();
     return key + '~';
 }
@@ -263,15 +265,15 @@
 
 std::optional<result_commit> decode_commit(const std::string& bytes) {
     return from_cbor<result_commit>(bytes, [](const json& in) {
-        result_commit l;
-        l.texts_name = in.at("texts").get<std::string>();
+        result_commit commit;
+        commit.texts_name = in.at("texts").get<std::string>();
         for (const auto& r : in.at("rows")) {
             const auto outcome = base::from_name<item_outcome>(
                 r.at(1).get_ref<const std::string&>());
-            l.rows.push_back(
+            commit.rows.push_back(
                 {r.at(0).get<int>(), outcome.value_or(item_outcome::errored)});
         }
-        return l;
+        return commit;
     });
 }
 
@@ -334,54 +336,54 @@
 
 std::vector<store::record> split_into_chunks(job_header& header,
                                              std::vector<item> items,
-                                             std::size_t record_bytes) {
+                                             std::size_t max_record_bytes) {
     header.item_count = static_cast<int>(items.size());
     header.chunk_count = 0;
-    std::vector<store::record> out;
+    std::vector<store::record> records;
     std::vector<item> chunk;
-    std::size_t in_chunk = 0;
+    std::size_t chunk_bytes = 0;
     const auto flush = [&] {
         if (chunk.empty()) {
             return;
         }
-        out.push_back(
+        records.push_back(
             {chunk_key(header.id, header.chunk_count++), encode(chunk)});
         chunk.clear();
-        in_chunk = 0;
+        chunk_bytes = 0;
     };
     for (auto& i : items) {
         const auto size = to_cbor(to_json(i)).size();
-        if (in_chunk + size + record_overhead_bytes > record_bytes) {
+        if (chunk_bytes + size + record_overhead_bytes > max_record_bytes) {
             flush();
         }
-        in_chunk += size;
+        chunk_bytes += size;
         chunk.push_back(std::move(i));
     }
     flush();
-    return out;
+    return records;
 }
 
 recovered_text join_progress_parts(std::vector<progress_part> parts) {
-    recovered_text out;
+    recovered_text result;
     std::sort(parts.begin(), parts.end(), [](const auto& a, const auto& b) {
         return std::tie(b.epoch, a.first_event) <
                std::tie(a.epoch, b.first_event);
     });
     for (const auto& part : parts) {
-        out.failures = std::max(out.failures, part.failures);
+        result.failures = std::max(result.failures, part.failures);
         if (part.epoch != parts.front().epoch ||
-            part.first_event != out.event_count || part.event_count == 0) {
+            part.first_event != result.event_count || part.event_count == 0) {
             continue;
         }
-        if (out.event_count > 0) {
-            out.text += '\n';
+        if (result.event_count > 0) {
+            result.text += '\n';
         }
-        out.text += part.text;
-        out.event_count += part.event_count;
-        out.last_event = part.last_event;
-        out.versions = part.versions;
+        result.text += part.text;
+        result.event_count += part.event_count;
+        result.last_event = part.last_event;
+        result.versions = part.versions;
     }
-    return out;
+    return result;
 }
 
 } // namespace hibiscus::batch
--- a/packages/batch/src/retention.cpp
+++ b/packages/batch/src/retention.cpp
@@ -2,10 +2,11 @@
 
 namespace hibiscus::batch {
 
-std::optional<job_id> find_expired_job(const job_table& l, base::millis now,
-                                       base::millis keep_ms) {
-    for (const auto& [id, row] : l.jobs()) {
-        if (row.header && row.has_ended && now - row.first_seen_at > keep_ms) {
+std::optional<job_id> find_expired_job(const job_table& jobs, base::millis now,
+                                       base::millis retention_ms) {
+    for (const auto& [id, row] : jobs.jobs()) {
+        if (row.header && row.has_ended &&
+            now - row.first_seen_at > retention_ms) {
             return id;
         }
     }
@@ -14,13 +15,13 @@
 
 std::vector<store::record> make_journal_erasures(const job_id& id,
                                                  const job_row& row) {
-    std::vector<store::record> out;
-    for (const auto& l : row.commits) {
-        out.push_back({format_key(commit_key{id, l.first}), ""});
+    std::vector<store::record> erasures;
+    for (const auto& commit : row.commits) {
+        erasures.push_back({format_key(commit_key{id, commit.first}), ""});
     }
-    out.push_back({format_key(end_key{id}), ""});
-    out.push_back({format_key(header_key{id}), ""});
-    return out;
+    erasures.push_back({format_key(end_key{id}), ""});
+    erasures.push_back({format_key(header_key{id}), ""});
+    return erasures;
 }
 
 } // namespace hibiscus::batch
--- a/packages/batch/test/owner_lease_test.cpp
+++ b/packages/batch/test/owner_lease_test.cpp
@@ -10,108 +10,112 @@
 
 class owner_lease_test : public testing::Test {
 protected:
-    void write(const std::string& node, const std::string& incarnation,
-               bool left = false) {
-        ledger_.apply({format_key(owner_key{}),
-                       encode(owner_record{base::node_id(node), incarnation, 1,
-                                           ++beats_, left}),
-                       at_++});
+    void write_owner(const std::string& node, const std::string& incarnation,
+                     bool handed_over = false) {
+        jobs_.apply({format_key(owner_key{}),
+                     encode(owner_record{base::node_id(node), incarnation, 1,
+                                         ++renewal_count_, handed_over}),
+                     next_offset_++});
     }
 
-    lease_action next() { return mine_.next_action(ledger_, time_->now()); }
+    lease_action next_action() {
+        return lease_.next_action(jobs_, time_->now());
+    }
 
     std::shared_ptr<base::manual_time> time_ =
         std::make_shared<base::manual_time>();
     base::clock clock_{time_};
-    job_table ledger_{clock_};
-    owner_lease mine_{clock_, base::node_id("n1"), "x", {}, 0.5, 1};
-    std::int64_t beats_ = 0;
-    store::log_offset at_ = 0;
+    job_table jobs_{clock_};
+    owner_lease lease_{clock_, base::node_id("n1"), "x", {}, 0.5, 1};
+    std::int64_t renewal_count_ = 0;
+    store::log_offset next_offset_ = 0;
 };
 
-TEST_F(owner_lease_test, claims_what_nobody_owns) {
+TEST_F(owner_lease_test, claims_if_there_is_no_owner) {
     time_->advance(60);
-    EXPECT_EQ(next(), lease_action::claim);
+    EXPECT_EQ(next_action(), lease_action::claim);
 }
 
-TEST_F(owner_lease_test, renews_what_it_owns) {
-    write("n1", "x");
-    mine_.on_renewed();
-    EXPECT_EQ(next(), lease_action::none);
+TEST_F(owner_lease_test, renews_a_held_lease) {
+    write_owner("n1", "x");
+    lease_.on_renewed();
+    EXPECT_EQ(next_action(), lease_action::none);
     time_->advance(200);
-    EXPECT_EQ(next(), lease_action::renew);
+    EXPECT_EQ(next_action(), lease_action::renew);
 }
 
-TEST_F(owner_lease_test, a_renewal_that_does_not_come_through_is_overdue) {
-    // Renewals ride with the listing of results. While the store takes no
-    // texts from the owner, nothing is listed; the others would take the jobs
-    // from an owner that lives.
-    write("n1", "x");
-    mine_.on_renewed();
+TEST_F(owner_lease_test, a_renewal_that_is_not_stored_becomes_overdue) {
+    // Renewals are appended together with committed results. While the store
+    // rejects texts of the owner, nothing is committed, and other nodes would
+    // claim the lease of a live owner.
+    write_owner("n1", "x");
+    lease_.on_renewed();
     time_->advance(399);
-    EXPECT_FALSE(mine_.is_renewal_overdue());
+    EXPECT_FALSE(lease_.is_renewal_overdue());
     time_->advance(1);
-    EXPECT_TRUE(mine_.is_renewal_overdue());
-    mine_.on_renewed();
-    EXPECT_FALSE(mine_.is_renewal_overdue());
+    EXPECT_TRUE(lease_.is_renewal_overdue());
+    lease_.on_renewed();
+    EXPECT_FALSE(lease_.is_renewal_overdue());
 }
 
-TEST_F(owner_lease_test, claims_from_an_owner_that_is_silent) {
-    write("n2", "y");
+TEST_F(owner_lease_test, claims_after_the_lease_timeout) {
+    write_owner("n2", "y");
     time_->advance(1059);
-    EXPECT_EQ(next(), lease_action::none);
+    EXPECT_EQ(next_action(), lease_action::none);
     time_->advance(1);
-    EXPECT_EQ(next(), lease_action::claim);
+    EXPECT_EQ(next_action(), lease_action::claim);
 }
 
-TEST_F(owner_lease_test, an_outage_of_the_store_is_not_the_owners_silence) {
-    // While the store is down no owner can renew. If all nodes claimed at its
-    // return, each outage would cost the runs that the owner has under way.
-    write("n2", "y");
+TEST_F(owner_lease_test, a_store_outage_does_not_expire_the_lease) {
+    // No owner can renew during a store outage. If all nodes claimed
+    // afterwards, each outage would cost the owner's runs in flight.
+    write_owner("n2", "y");
     time_->advance(10000);
-    mine_.set_store_reachable(true);
-    EXPECT_EQ(next(), lease_action::none);
+    lease_.set_store_reachable(true);
+    EXPECT_EQ(next_action(), lease_action::none);
     time_->advance(1060);
-    EXPECT_EQ(next(), lease_action::claim);
+    EXPECT_EQ(next_action(), lease_action::claim);
 }
 
-TEST_F(owner_lease_test, an_old_view_shows_no_silence) {
-    write("n2", "y");
+TEST_F(owner_lease_test, a_stale_view_does_not_expire_the_lease) {
+    write_owner("n2", "y");
     time_->advance(5000);
-    EXPECT_EQ(mine_.next_action(ledger_, 500), lease_action::none);
+    EXPECT_EQ(lease_.next_action(jobs_, 500), lease_action::none);
 }
 
-TEST_F(owner_lease_test, claims_at_once_after_a_restart_of_the_owner_itself) {
-    // All nodes are killed and start again. Nobody could own the jobs for a
-    // second if the former owner's node waited for itself.
-    write("n1", "before");
-    EXPECT_EQ(next(), lease_action::claim);
+TEST_F(owner_lease_test, claims_at_once_after_its_own_node_restarted) {
+    // All nodes are killed and restarted. If the former owner's node waited for
+    // its own lease to expire, no node would own the jobs for a second.
+    write_owner("n1", "before");
+    EXPECT_EQ(next_action(), lease_action::claim);
 }
 
-TEST_F(owner_lease_test, claims_soon_from_an_owner_that_left) {
-    write("n2", "y", true);
+TEST_F(owner_lease_test, claims_soon_after_a_handover) {
+    write_owner("n2", "y", true);
     time_->advance(60);
-    EXPECT_EQ(next(), lease_action::claim);
+    EXPECT_EQ(next_action(), lease_action::claim);
 }
 
-TEST_F(owner_lease_test, a_small_node_lets_larger_ones_go_first) {
-    // A node with an eighth of a core takes over the jobs of a large fleet:
-    // it can't keep up with the events of a step's beginning.
-    const owner_lease small(clock_, base::node_id("n3"), "x", {}, 0.5, 0.12);
-    write("n2", "y");
+TEST_F(owner_lease_test, a_small_node_claims_later_than_a_larger_one) {
+    // Guards against a node with an eighth of a core that takes over the jobs
+    // of a large fleet: it can't keep up with the events at the start of a
+    // step.
+    const owner_lease small_node(clock_, base::node_id("n3"), "x", {}, 0.5,
+                                 0.12);
+    write_owner("n2", "y");
     time_->advance(1060);
-    EXPECT_EQ(next(), lease_action::claim);
-    EXPECT_EQ(small.next_action(ledger_, time_->now()), lease_action::none);
+    EXPECT_EQ(next_action(), lease_action::claim);
+    EXPECT_EQ(small_node.next_action(jobs_, time_->now()), lease_action::none);
     time_->advance(500);
-    EXPECT_EQ(small.next_action(ledger_, time_->now()), lease_action::claim);
+    EXPECT_EQ(small_node.next_action(jobs_, time_->now()), lease_action::claim);
 }
 
-TEST_F(owner_lease_test, leaves_it_to_others_after_giving_it_up) {
-    mine_.start_cooldown();
+TEST_F(owner_lease_test, does_not_claim_during_the_cooldown) {
+    lease_.start_cooldown();
     time_->advance(5999);
-    EXPECT_EQ(next(), lease_action::none);
+    EXPECT_EQ(next_action(), lease_action::none);
     time_->advance(1);
-    EXPECT_EQ(next(), lease_action::claim);
+    EXPECT_EQ(next_action(), lease_action::claim);
 }
 
 } // namespace
--- a/packages/batch/test/owner_partition_test.cpp
+++ b/packages/batch/test/owner_partition_test.cpp
@@ -14,31 +14,33 @@
 
 namespace {
 
-/// An owner, its link and the store in virtual time. The store serves other
-/// nodes all the while.
+/// A job owner, its store router and the store in virtual time. Other nodes can
+/// always reach the store.
 class owner_partition_test : public testing::Test {
 protected:
-    static constexpr base::millis answer_ms = 8;
-    static constexpr base::millis relayed_ms = 12;
-    static constexpr base::millis call_ms = 1000;
+    static constexpr base::millis direct_response_ms = 8;
+    static constexpr base::millis relayed_response_ms = 12;
+    static constexpr base::millis call_timeout_ms = 1000;
     static constexpr base::millis tick_ms = 25;
 
-    /// A call under way to the store, or anything else that is to be done at a
-    /// time.
+    /// A call in flight to the store, or another scheduled action.
     struct call {
-        /// It goes to the store itself rather than through another node.
+        /// True if the call goes directly to the store rather than through a
+        /// peer.
         bool direct = false;
-        /// When it ends, and what is done then.
-        base::millis due = 0;
-        std::function<void()> answered;
-        /// What is done if it is given up.
-        std::function<void()> unanswered;
+        /// When the call ends, and the action that runs then.
+        base::millis due_at = 0;
+        std::function<void()> on_response;
+        /// The action that runs if the call is given up.
+        std::function<void()> on_give_up;
     };
 
     owner_partition_test() {
-        port_.append = [this](const auto&, const auto& records,
-                              const store::log_offset* at, auto done) {
-            const auto end = at == nullptr ? journal_.size() : *at;
+        log_store_.append = [this](const auto&, const auto& records,
+                                   const store::log_offset* expected_end,
+                                   auto done) {
+            const auto end =
+                expected_end == nullptr ? journal_.size() : *expected_end;
             send(
                 0,
                 [this, records, end, done] {
@@ -54,119 +56,120 @@
                 },
                 [done] { done(store::outcome_unknown{}); });
         };
-        port_.read = [this](const auto&, store::log_offset from,
-                            base::millis wait, auto done) {
-            // Records that are there already are answered with at once.
+        log_store_.read = [this](const auto&, store::log_offset first_offset,
+                                 base::millis wait, auto done) {
+            // Existing records are returned at once.
             send(
-                from < journal_.size() ? 0 : wait,
-                [this, from, done] {
-                    store::fetched_records out;
-                    out.end = journal_.size();
-                    for (auto n = from; n < journal_.size(); ++n) {
-                        out.records.push_back({n, journal_[n]});
+                first_offset < journal_.size() ? 0 : wait,
+                [this, first_offset, done] {
+                    store::fetched_records fetched;
+                    fetched.end = journal_.size();
+                    for (auto n = first_offset; n < journal_.size(); ++n) {
+                        fetched.records.push_back({n, journal_[n]});
                     }
-                    done(store::read_result(std::move(out)));
+                    done(store::read_result(std::move(fetched)));
                 },
                 [done] { done(store::outcome_unknown{}); });
         };
-        port_.read_latest = [this](const auto&, const auto&, auto done) {
+        log_store_.read_latest = [this](const auto&, const auto&, auto done) {
             send(
                 0, [done] { done(store::latest_page{}); },
                 [done] { done(store::outcome_unknown{}); });
         };
     }
 
-    /// Sends a call that the store may keep for `wait` ms. While the node is
-    /// cut off, one that goes to the store itself hangs until its time is over.
-    void send(base::millis wait, std::function<void()> answered,
-              std::function<void()> unanswered) {
-        const auto route = link_.begin_call(wait, {"journal", 0});
-        const bool hangs = cut_ && !route.relayed;
-        const auto lasts =
-            hangs ? wait + call_ms
-                  : wait + (route.relayed ? relayed_ms : answer_ms);
+    /// Sends a call that the store may hold for `wait` ms. While the node is
+    /// isolated, a direct call hangs until its timeout.
+    void send(base::millis wait, std::function<void()> on_response,
+              std::function<void()> on_give_up) {
+        const auto route = router_.begin_call(wait, {"journal", 0});
+        const bool hangs = is_isolated_ && !route.relayed;
+        const auto duration = hangs
+                                  ? wait + call_timeout_ms
+                                  : wait + (route.relayed ? relayed_response_ms
+                                                          : direct_response_ms);
         call c;
         c.direct = !route.relayed;
-        c.due = time_->now() + lasts;
-        c.unanswered = [this, route, f = std::move(unanswered)] {
-            link_.end_call(route, false, false);
+        c.due_at = time_->now() + duration;
+        c.on_give_up = [this, route, f = std::move(on_give_up)] {
+            router_.end_call(route, false, false);
             f();
         };
-        c.answered = [this, route, hangs, f = std::move(answered),
-                      none = c.unanswered] {
+        c.on_response = [this, route, hangs, f = std::move(on_response),
+                         give_up = c.on_give_up] {
             if (hangs) {
-                none();
+                give_up();
                 return;
             }
-            link_.end_call(route, true, true);
+            router_.end_call(route, true, true);
             f();
         };
         calls_.push_back(std::move(c));
     }
 
-    void later(base::millis ms, std::function<void()> f) {
+    void run_after(base::millis ms, std::function<void()> f) {
         calls_.push_back({false, time_->now() + ms, std::move(f), {}});
     }
 
-    /// The store has fallen silent: what it was asked is given up.
+    /// Gives up all direct calls, since the store is unreachable.
     void give_up_direct_calls() {
-        later(0, [this] {
+        run_after(0, [this] {
             for (auto& c : calls_) {
                 if (c.direct) {
-                    c.answered = c.unanswered;
-                    c.due = time_->now();
+                    c.on_response = c.on_give_up;
+                    c.due_at = time_->now();
                 }
             }
         });
     }
 
-    /// Ends all calls whose time has come, and those that these begin.
+    /// Runs all actions that are due, including those that these add.
     void run_due() {
         for (;;) {
-            const auto due =
-                std::find_if(calls_.begin(), calls_.end(),
-                             [this](auto& c) { return c.due <= time_->now(); });
-            if (due == calls_.end()) {
+            const auto next_call =
+                std::find_if(calls_.begin(), calls_.end(), [this](auto& c) {
+                    return c.due_at <= time_->now();
+                });
+            if (next_call == calls_.end()) {
                 return;
             }
-            const auto f = std::move(due->answered);
-            calls_.erase(due);
+            const auto f = std::move(next_call->on_response);
+            calls_.erase(next_call);
             f();
         }
     }
 
-    /// Renews as an owner does that lists nothing.
+    /// Renews as an owner that has no results to commit.
     void tick() {
-        // A node looks for overdue calls many times a second.
-        static_cast<void>(link_.check_unreachable());
-        const auto step =
-            owner_.next_action(ledger_, follower_.current_as_of());
-        const bool due =
-            step == lease_action::renew || owner_.is_renewal_overdue();
-        if (!appending_ && due) {
+        // A node checks for overdue calls many times a second.
+        static_cast<void>(router_.check_unreachable());
+        const auto action = lease_.next_action(jobs_, watcher_.current_as_of());
+        const bool is_due =
+            action == lease_action::renew || lease_.is_renewal_overdue();
+        if (!appending_ && is_due) {
             appending_ = true;
-            const auto at = follower_.next_offset();
+            const auto expected_end = watcher_.next_offset();
             const auto sent_at = time_->now();
             const std::vector<store::record> records{own_record()};
-            port_.append(
-                {"journal", 0}, records, &at,
+            log_store_.append(
+                {"journal", 0}, records, &expected_end,
                 [this, records, sent_at](const store::append_result& r) {
                     appending_ = false;
                     if (const auto* a = base::value_if(r)) {
-                        owner_.on_renewed();
-                        follower_.apply_own_append(a->first, records, sent_at);
+                        lease_.on_renewed();
+                        watcher_.apply_own_append(a->first, records, sent_at);
                     }
                 });
         }
     }
 
     store::record own_record() {
-        return {
-            format_key(owner_key{}),
-            encode(owner_record{base::node_id("n1"), "x", 1, ++beats_, false})};
+        return {format_key(owner_key{}),
+                encode(owner_record{base::node_id("n1"), "x", 1,
+                                    ++renewal_count_, false})};
     }
 
-    void play(base::millis until) {
+    void run_until(base::millis until) {
         while (time_->now() < until) {
             run_due();
             if (time_->now() % tick_ms == 0) {
@@ -176,8 +179,8 @@
         }
     }
 
-    /// Returns the longest time in which the owner renewed nothing.
-    base::millis longest_silence() const {
+    /// Returns the longest time without a renewal.
+    base::millis longest_renewal_gap() const {
         base::millis longest = 0;
         for (std::size_t n = 1; n < renewals_.size(); ++n) {
             longest = std::max(longest, renewals_[n] - renewals_[n - 1]);
@@ -188,59 +191,60 @@
     std::shared_ptr<base::manual_time> time_ =
         std::make_shared<base::manual_time>();
     base::clock clock_{time_};
-    bool cut_ = false;
+    bool is_isolated_ = false;
     std::vector<call> calls_;
     std::vector<store::record> journal_;
     std::vector<base::millis> renewals_;
-    store::log_store port_;
-    store::store_router link_{
+    store::log_store log_store_;
+    store::store_router router_{
         clock_,
         {"10.0.0.1", 1},
         [] {
             return std::vector<base::endpoint>{{"10.0.0.2", 2}};
         },
         [this] { give_up_direct_calls(); }};
-    job_table ledger_{clock_};
-    owner_lease owner_{clock_, base::node_id("n1"), "x", {}, 0.5, 1};
-    store::partition_watcher follower_{
-        port_,
+    job_table jobs_{clock_};
+    owner_lease lease_{clock_, base::node_id("n1"), "x", {}, 0.5, 1};
+    store::partition_watcher watcher_{
+        log_store_,
         {"journal", 0},
         clock_,
         [this](base::millis ms, std::function<void()> f) {
-            later(ms, std::move(f));
+            run_after(ms, std::move(f));
         },
         {150, 100, {}},
         {[this](const auto& changes) {
              for (const auto& c : changes) {
-                 ledger_.apply(c);
+                 jobs_.apply(c);
              }
          },
          {}}};
     bool appending_ = false;
-    std::int64_t beats_ = 0;
+    std::int64_t renewal_count_ = 0;
 };
 
-// A partition parts the owner of the jobs from the store, which goes on to
-// serve the other nodes. A job comes in at another node just then, so that the
-// owner must read the journal before it can append to it. Its read hangs; if it
-// waits for that, the others take the jobs, and every trainer waits for texts
-// that are begun anew.
-TEST_F(owner_partition_test, renews_through_others_before_they_claim) {
+// The job owner is isolated from the store, which still serves the other nodes.
+// A job submitted at another node makes the owner read the journal before it
+// can append again. If it waited for the hanging read, its lease would expire,
+// and all unfinished texts would be generated again.
+TEST_F(owner_partition_test,
+       an_isolated_owner_renews_through_peers_before_they_claim) {
     journal_.push_back(own_record());
     renewals_.push_back(0);
-    follower_.start();
-    for (base::millis cut_after = 0; cut_after < 200; cut_after += 20) {
-        const auto begun = time_->now();
-        play(begun + 1000 + cut_after);
-        cut_ = true;
-        play(time_->now() + 60);
+    watcher_.start();
+    for (base::millis isolated_after = 0; isolated_after < 200;
+         isolated_after += 20) {
+        const auto round_start = time_->now();
+        run_until(round_start + 1000 + isolated_after);
+        is_isolated_ = true;
+        run_until(time_->now() + 60);
         journal_.push_back({format_key(header_key{job_id("j")}), "-"});
-        play(time_->now() + 3000);
-        cut_ = false;
-        link_.mark_reachable(answer_ms);
-        play(time_->now() + 1500);
+        run_until(time_->now() + 3000);
+        is_isolated_ = false;
+        router_.mark_reachable(direct_response_ms);
+        run_until(time_->now() + 1500);
     }
-    EXPECT_LT(longest_silence(), owner_lease_times().lease_timeout);
+    EXPECT_LT(longest_renewal_gap(), owner_lease_times().lease_timeout);
 }
 
 } // namespace
--- a/packages/batch/test/owners_fuzz_test.cpp
+++ b/packages/batch/test/owners_fuzz_test.cpp
@@ -17,30 +17,34 @@
 constexpr int items = 12;
 const store::partition journal{"journal", 0};
 
-/// What readers saw at each position, at any node. It must never change.
+/// Records what readers at any node saw at each position. This must never
+/// change.
 class reader_oracle {
 public:
-    /// Looks at a ledger as a reader would; returns what is wrong, or "".
-    std::string check(const job_table& l) {
-        const auto* row = l.find(job);
+    /// Reads a job table as a reader would. Returns a violation, or "".
+    std::string check(const job_table& jobs) {
+        const auto* row = jobs.find(job);
         if (row == nullptr) {
             return "";
         }
         int position = 0;
-        std::set<int> seen;
-        for (const auto& [first, listing] : row->commits) {
+        std::set<int> item_indices;
+        for (const auto& [first, commit] : row->commits) {
             if (first != position) {
-                return "a gap or an overlap at " + std::to_string(first);
+                return "gap or overlap at position " + std::to_string(first);
             }
-            for (const auto& r : listing.rows) {
-                if (!seen.insert(r.item_index).second) {
-                    return "item listed twice: " + std::to_string(r.item_index);
+            for (const auto& r : commit.rows) {
+                if (!item_indices.insert(r.item_index).second) {
+                    return "item committed twice: " +
+                           std::to_string(r.item_index);
                 }
-                const auto what =
-                    listing.texts_name + "/" + std::to_string(r.item_index);
-                const auto known = positions_.emplace(position++, what).first;
-                if (known->second != what) {
-                    return "a result changed: " + known->second + " " + what;
+                const auto content =
+                    commit.texts_name + "/" + std::to_string(r.item_index);
+                const auto inserted =
+                    positions_.emplace(position++, content).first;
+                if (inserted->second != content) {
+                    return "a result changed: " + inserted->second + " " +
+                           content;
                 }
             }
         }
@@ -51,73 +55,76 @@
     std::map<int, std::string> positions_;
 };
 
-/// A node that follows the journal and lists results while it owns the jobs,
-/// with every time-out of its own and no care for others.
+/// A node that watches the journal and commits results while it owns the jobs.
+/// Its timers fire at any time, and it does not coordinate with other nodes.
 class fuzz_node {
 public:
     fuzz_node(int number, testing::memory_store& store,
               std::shared_ptr<base::manual_time> time)
-        : store_(store), time_(std::move(time)), clock_(time_), ledger_(clock_),
+        : store_(store), time_(std::move(time)), clock_(time_), jobs_(clock_),
           name_("n" + std::to_string(number)),
-          ownership_(clock_, base::node_id(name_), "x", {}, 0.1 * number, 1),
-          follower_(store.client(), journal, clock_,
-                    [this](base::millis, std::function<void()> f) {
-                        later_.push_back(std::move(f));
+          lease_(clock_, base::node_id(name_), "x", {}, 0.1 * number, 1),
+          watcher_(store.client(), journal, clock_,
+                   [this](base::millis, std::function<void()> f) {
+                       timers_.push_back(std::move(f));
+                   },
+                   {},
+                   {[this](const auto& changes) {
+                        for (const auto& c : changes) {
+                            jobs_.apply(c);
+                        }
                     },
-                    {},
-                    {[this](const auto& changes) {
-                         for (const auto& c : changes) {
-                             ledger_.apply(c);
-                         }
-                     },
-                     [this](bool up) { ownership_.set_store_reachable(up); }}) {
-        follower_.start();
+                    [this](bool reachable) {
+                        lease_.set_store_reachable(reachable);
+                    }}) {
+        watcher_.start();
     }
 
-    const job_table& jobs() const { return ledger_; }
+    const job_table& jobs() const { return jobs_; }
 
     void run_timers() {
-        for (const auto& f : std::exchange(later_, {})) {
+        for (const auto& f : std::exchange(timers_, {})) {
             f();
         }
     }
 
-    /// Claims or renews, as the product does; `hasty` claims without cause.
-    void claim_or_renew(bool hasty) {
-        if (appending_ || !follower_.is_loaded()) {
+    /// Claims or renews as the product does; `force_claim` also claims without
+    /// a reason.
+    void claim_or_renew(bool force_claim) {
+        if (appending_ || !watcher_.is_loaded()) {
             return;
         }
-        const auto step =
-            ownership_.next_action(ledger_, follower_.current_as_of());
-        const bool mine = ownership_.is_held(ledger_);
-        if (step == lease_action::none && (mine || !hasty)) {
+        const auto action = lease_.next_action(jobs_, watcher_.current_as_of());
+        const bool is_owner = lease_.is_held(jobs_);
+        if (action == lease_action::none && (is_owner || !force_claim)) {
             return;
         }
-        const auto fence = mine ? ledger_.owner()->record.fencing_token
-                                : follower_.next_offset();
+        const auto fencing_token = is_owner
+                                       ? jobs_.owner()->record.fencing_token
+                                       : watcher_.next_offset();
         append({{format_key(owner_key{}),
-                 encode(owner_record{base::node_id(name_), "x", fence, ++beats_,
-                                     false})}});
+                 encode(owner_record{base::node_id(name_), "x", fencing_token,
+                                     ++renewal_count_, false})}});
     }
 
-    /// Plans results of `count` items from `from` on.
-    void plan(int from, int count) {
+    /// Plans a commit of `count` results, starting with item `first`.
+    void plan(int first, int count) {
         std::vector<ready_result> results;
         results.reserve(static_cast<std::size_t>(count));
         for (int n = 0; n < count; ++n) {
-            const int item = (from + n) % items;
+            const int item = (first + n) % items;
             results.push_back(
                 {job, item, {item_id(std::to_string(item)), {}, "t", {1}, ""}});
         }
-        plan_ = plan_commits(ledger_, results, 1000, [this] {
-            return name_ + "-" + std::to_string(++names_);
+        plan_ = plan_commits(jobs_, results, 1000, [this] {
+            return name_ + "-" + std::to_string(++name_count_);
         });
     }
 
-    /// Lists what was planned, perhaps long ago.
+    /// Commits the planned results; the plan may be stale.
     void commit_plan() {
-        if (appending_ || plan_.empty() || !ownership_.is_held(ledger_) ||
-            !is_plan_current(ledger_, plan_)) {
+        if (appending_ || plan_.empty() || !lease_.is_held(jobs_) ||
+            !is_plan_current(jobs_, plan_)) {
             return;
         }
         std::vector<store::record> records;
@@ -132,15 +139,15 @@
 private:
     void append(const std::vector<store::record>& records) {
         appending_ = true;
-        const auto at = follower_.next_offset();
+        const auto expected_end = watcher_.next_offset();
         const auto sent_at = clock_.now();
         store_.client().append(
-            journal, records, &at,
+            journal, records, &expected_end,
             [this, records, sent_at](const store::append_result& r) {
                 appending_ = false;
                 if (const auto* a = base::value_if(r)) {
-                    ownership_.on_renewed();
-                    follower_.apply_own_append(a->first, records, sent_at);
+                    lease_.on_renewed();
+                    watcher_.apply_own_append(a->first, records, sent_at);
                 }
             });
     }
@@ -148,18 +155,19 @@
     testing::memory_store& store_;
     std::shared_ptr<base::manual_time> time_;
     base::clock clock_;
-    job_table ledger_;
+    job_table jobs_;
     std::string name_;
-    owner_lease ownership_;
-    std::vector<std::function<void()>> later_;
-    store::partition_watcher follower_;
+    owner_lease lease_;
+    std::vector<std::function<void()>> timers_;
+    store::partition_watcher watcher_;
     std::vector<planned_commit> plan_;
-    std::int64_t beats_ = 0;
-    int names_ = 0;
+    std::int64_t renewal_count_ = 0;
+    int name_count_ = 0;
     bool appending_ = false;
 };
 
-/// Plays commands on three nodes. Returns what a reader saw that must not be.
+/// Applies commands to three nodes. Returns a violation that a reader saw, or
+/// "".
 std::string run_commands(const std::vector<testing::fuzz_command>& commands) {
     testing::memory_store store;
     auto time = std::make_shared<base::manual_time>();
@@ -200,15 +208,15 @@
             store.apply_late_appends();
         }
         for (const auto& n : nodes) {
-            if (auto wrong = oracle.check(n->jobs()); !wrong.empty()) {
-                return wrong;
+            if (auto violation = oracle.check(n->jobs()); !violation.empty()) {
+                return violation;
             }
         }
     }
     return "";
 }
 
-TEST(owners_fuzz_test, a_reader_never_sees_a_result_change_or_twice) {
+TEST(owners_fuzz_test, readers_never_see_a_changed_or_duplicate_result) {
     testing::fuzz("owners", 400, run_commands);
 }
 
--- a/packages/batch/test/records_test.cpp
+++ b/packages/batch/test/records_test.cpp
@@ -10,7 +10,7 @@
 
 const job_id job("9c41d07b");
 
-TEST(records_test, keys_of_the_journal_are_read_as_they_were_written) {
+TEST(records_test, journal_keys_round_trip) {
     for (const journal_key& key :
          {journal_key(owner_key{}), journal_key(header_key{job}),
           journal_key(commit_key{job, 17}), journal_key(end_key{job})}) {
@@ -23,37 +23,37 @@
               17);
 }
 
-TEST(records_test, other_keys_are_no_keys) {
+TEST(records_test, malformed_keys_are_rejected) {
     for (const char* text :
          {"", "a", "/h", "a/b", "a/l/x", "a/l/-1", "a/h/1"}) {
         EXPECT_FALSE(parse_key(text)) << text;
     }
 }
 
-TEST(records_test, bytes_that_are_no_value_are_none) {
+TEST(records_test, malformed_values_are_rejected) {
     EXPECT_FALSE(decode_owner("x"));
     EXPECT_FALSE(decode_header(encode(result_commit{})));
     EXPECT_FALSE(decode_items(encode(job_header{})));
     EXPECT_FALSE(decode_progress(""));
 }
 
-TEST(records_test, texts_are_found_whatever_else_stands_at_their_position) {
-    // Answers to appends are lost while the node is cut off from the store, so
-    // the same results are stored several times under other names. A reader
-    // that went by the position alone found nothing but those, and the job
-    // could never be read again.
-    const auto listed = texts_key(job, 0, "81-3");
+TEST(records_test, texts_are_found_among_others_at_their_position) {
+    // While a node is isolated from the store, responses to appends are lost,
+    // and the same results are stored several times under other names. A read
+    // from the position alone returned only those, and the job could never be
+    // read again.
+    const auto committed = texts_key(job, 0, "81-3");
     const auto before = key_before_texts(job, 0, "81-3");
-    EXPECT_LT(before, listed);
+    EXPECT_LT(before, committed);
     for (const char* other : {"81-1", "81-2", "81-29", "80-9"}) {
         const auto key = texts_key(job, 0, other);
-        EXPECT_TRUE(key < before || key > listed) << other;
+        EXPECT_TRUE(key < before || key > committed) << other;
     }
 }
 
-TEST(records_test, parts_of_a_former_owner_are_not_mixed_with_the_new_ones) {
-    // An owner that was cut off saves a part late, after its successor began
-    // to save the same text anew.
+TEST(records_test, parts_of_a_former_owner_are_ignored) {
+    // An isolated owner saves a part late, after its successor began to save
+    // the same text from the start.
     progress_part a;
     a.epoch = 1000;
     a.event_count = 3;
@@ -72,9 +72,9 @@
     EXPECT_EQ(joined.text, "new\nnext");
 }
 
-/// Returns what is lost when items with bodies of the given sizes are cut into
-/// records and read again, or "".
-std::string cut_and_read(const std::vector<testing::fuzz_command>& sizes) {
+/// Splits items with bodies of the given sizes into records and reads them
+/// back. Returns a violation, or "".
+std::string round_trip_items(const std::vector<testing::fuzz_command>& sizes) {
     std::vector<item> items;
     for (const auto& size : sizes) {
         item i;
@@ -108,20 +108,21 @@
     for (const auto& r : store::join_chunks(stored)) {
         const auto decoded = decode_items(r.value);
         if (r.key != chunk_key(job, chunks++) || !decoded) {
-            return "a wrong record: " + r.key;
+            return "unexpected record: " + r.key;
         }
         for (const auto& i : *decoded) {
             if (i.body != items[read++].body) {
-                return "an item came back with another body";
+                return "an item has another body after the round trip";
             }
         }
     }
-    const bool all = read == items.size() && header.chunk_count == chunks;
-    return all ? "" : "items are missing";
+    const bool is_complete =
+        read == items.size() && header.chunk_count == chunks;
+    return is_complete ? "" : "items are missing";
 }
 
-TEST(records_fuzz_test, items_survive_being_cut_into_records) {
-    testing::fuzz("records", 200, cut_and_read);
+TEST(records_fuzz_test, items_round_trip_through_records) {
+    testing::fuzz("records", 200, round_trip_items);
 }
 
 } // namespace
--- a/packages/batch/test/step_simulation.hpp
+++ b/packages/batch/test/step_simulation.hpp
@@ -11,25 +11,27 @@
 #include <string>
 #include <vector>
 
-/// Plays trainers and backend servers in virtual time against the decisions of
-/// an owner: what runs where, and which server loads which weights when.
+/// Simulates trainers and backend servers in virtual time around a real
+/// item_scheduler and weight_rollout: which item runs where, and which server
+/// loads which weights when.
 namespace hibiscus::batch::simulation {
 
-/// What servers do. Times in ms.
+/// Properties of the simulated servers. Times in ms.
 struct server_config {
     int server_count = 11;
     int slots = 12;
     double event_ms = 34.5;
-    /// By which share each further run makes the events of all slower.
+    /// Each additional run slows the events of all runs at a server by this
+    /// share.
     double slowdown_per_run = 0.015;
     double load_ms = 900;
-    /// So many loads don't slow each other down.
+    /// Number of concurrent loads that don't slow each other down.
     int full_speed_loads = 2;
-    /// How long a server's report lags behind the end of a load.
+    /// Delay between the end of a load and the server's report of it.
     base::millis report_lag_ms = 0;
 };
 
-/// What a trainer asks for. Times in ms.
+/// The steps that a simulated trainer submits. Times in ms.
 struct trainer_config {
     int groups = 9;
     int group_size = 8;
@@ -37,23 +39,24 @@
     double mean_events = 24;
     int max_events = 174;
     double train_ms = 500;
-    /// The trainer begins so much later than the others.
+    /// The trainer's first step is submitted this long after the start.
     base::millis start_delay_ms = 0;
 };
 
 constexpr base::millis step_interval_ms = 4000;
 constexpr base::millis target_ms = 7500;
-/// Callers read about twice a second.
+/// Trainers read results about twice a second.
 constexpr base::millis read_interval_ms = 500;
 constexpr base::millis tick_ms = 5;
 constexpr std::int64_t tokens_per_event = 57;
 
-/// What a trainer got.
+/// Step counts of one trainer.
 struct trainer_result {
     int submitted_steps = 0;
     int ended_steps = 0;
     int steps_in_time = 0;
-    /// Servers that had the weights of a step when it was asked for, summed up.
+    /// Number of servers that had a step's weights at its submission, summed
+    /// over all steps.
     int ready_server_sum = 0;
 };
 
@@ -82,39 +85,39 @@
         }
     }
 
-    /// Plays so many ms and returns what each trainer got.
-    std::vector<trainer_result> run(base::millis length) {
-        while (clock_.now() < length) {
+    /// Simulates `duration` ms and returns the result of each trainer.
+    std::vector<trainer_result> run(base::millis duration) {
+        while (clock_.now() < duration) {
             time_->advance(tick_ms);
-            step_loads();
-            step_runs();
-            step_trainers();
-            apply_effects(work_.tick(true));
+            advance_loads();
+            advance_runs();
+            advance_trainers();
+            apply_effects(scheduler_.tick(true));
             commit_results();
         }
-        std::vector<trainer_result> out;
+        std::vector<trainer_result> results;
         for (const auto& t : trainers_) {
-            out.push_back(t.result);
+            results.push_back(t.result);
         }
-        return out;
+        return results;
     }
 
-    /// Returns how many loads were ordered.
+    /// Returns the number of ordered loads.
     int load_count() const { return load_count_; }
 
 private:
     struct server {
         std::map<std::string, std::int64_t> versions;
         int run_count = 0;
-        /// What is loaded, and how much of the load is left, in ms at full
-        /// speed; nothing is if the model is empty.
+        /// The model that is being loaded, or empty, and the remaining duration
+        /// of the load in ms at full speed.
         std::string loading_model;
         std::int64_t target_version = 0;
         double load_left_ms = 0;
         base::millis loaded_at = 0;
     };
 
-    struct run_state {
+    struct simulated_run {
         start_run start;
         int events_left = 0;
         int next_event = 1;
@@ -134,12 +137,12 @@
         trainer_config config;
         std::string model;
         std::int64_t next_step = 0;
-        /// When the trainer has trained on all that it has read.
+        /// When the trainer will have trained on all results that it has read.
         base::millis trained_at = 0;
         std::vector<simulated_job> open_jobs;
         trainer_result result;
-        /// The newest version, and those that training will bring. Steps up
-        /// to the newest version may be asked for.
+        /// The newest announced version. Steps with a number up to this one may
+        /// be submitted.
         std::int64_t newest_version = 1;
         std::map<base::millis, std::int64_t> pending_versions;
     };
@@ -154,41 +157,44 @@
         }
     }
 
-    void begin_run(const start_run& s) {
-        auto& at = servers_.at(s.sampler);
-        if (at.loading_model == s.model ||
-            at.run_count >= server_config_.slots) {
-            apply_effects(work_.on_run_ended(s.run, run_outcome::not_run));
+    void begin_run(const start_run& start) {
+        auto& server = servers_.at(start.sampler);
+        if (server.loading_model == start.model ||
+            server.run_count >= server_config_.slots) {
+            apply_effects(
+                scheduler_.on_run_ended(start.run, run_outcome::not_run));
             return;
         }
-        ++at.run_count;
-        const auto done =
-            s.resume_after_event.empty() ? 0 : std::stoi(s.resume_after_event);
-        runs_[s.run] = {s, event_counts_.at(s.content->id) - done, done + 1,
-                        10};
-        apply_effects(
-            work_.on_response_started(s.run, at.versions.at(s.model)));
+        ++server.run_count;
+        const auto skipped_events = start.resume_after_event.empty()
+                                        ? 0
+                                        : std::stoi(start.resume_after_event);
+        runs_[start.run] = {
+            start, event_counts_.at(start.content->id) - skipped_events,
+            skipped_events + 1, 10};
+        apply_effects(scheduler_.on_response_started(
+            start.run, server.versions.at(start.model)));
     }
 
     void end_run(run_number run) {
-        const auto at = runs_.find(run);
-        if (at != runs_.end()) {
-            --servers_.at(at->second.start.sampler).run_count;
-            runs_.erase(at);
+        const auto found = runs_.find(run);
+        if (found != runs_.end()) {
+            --servers_.at(found->second.start.sampler).run_count;
+            runs_.erase(found);
         }
     }
 
-    void step_runs() {
+    void advance_runs() {
         std::vector<run_number> numbers;
         for (const auto& [number, run] : runs_) {
             numbers.push_back(number);
         }
         for (const auto number : numbers) {
-            const auto at = runs_.find(number);
-            if (at == runs_.end()) {
+            const auto found = runs_.find(number);
+            if (found == runs_.end()) {
                 continue;
             }
-            auto& run = at->second;
+            auto& run = found->second;
             const auto& server = servers_.at(run.start.sampler);
             run.ms_until_event -=
                 tick_ms /
@@ -199,17 +205,17 @@
             run.ms_until_event += server_config_.event_ms;
             const auto version = server.versions.at(run.start.model);
             const auto id = std::to_string(run.next_event++);
-            const bool last = --run.events_left <= 0;
-            apply_effects(work_.on_event(number, id, "e", version));
-            if (last && runs_.count(number) != 0) {
+            const bool is_last = --run.events_left <= 0;
+            apply_effects(scheduler_.on_event(number, id, "e", version));
+            if (is_last && runs_.count(number) != 0) {
                 end_run(number);
                 apply_effects(
-                    work_.on_run_ended(number, run_outcome::complete));
+                    scheduler_.on_run_ended(number, run_outcome::complete));
             }
         }
     }
 
-    void step_loads() {
+    void advance_loads() {
         const auto active =
             std::count_if(servers_.begin(), servers_.end(), [](const auto& s) {
                 return !s.second.loading_model.empty();
@@ -240,8 +246,8 @@
                 }
             }
         }
-        for (const auto& [model, places] : work_.update_wanted_slots()) {
-            rollout_.set_wanted_slots(model, places);
+        for (const auto& [model, slots] : scheduler_.update_wanted_slots()) {
+            rollout_.set_wanted_slots(model, slots);
         }
         for (const auto& order : rollout_.take_due_orders(table_)) {
             ++load_count_;
@@ -255,7 +261,7 @@
         }
     }
 
-    void step_trainers() {
+    void advance_trainers() {
         const auto now = clock_.now();
         for (auto& t : trainers_) {
             while (!t.pending_versions.empty() &&
@@ -263,7 +269,7 @@
                 t.newest_version = t.pending_versions.begin()->second;
                 t.pending_versions.erase(t.pending_versions.begin());
                 rollout_.announce_version(t.model, t.newest_version);
-                work_.announce_version(t.model, t.newest_version);
+                scheduler_.announce_version(t.model, t.newest_version);
             }
             if (now >=
                     t.config.start_delay_ms + t.next_step * step_interval_ms &&
@@ -273,7 +279,8 @@
         }
     }
 
-    /// Step k admits the weights of version k - 1 and newer.
+    /// Submits the next step. Step k accepts the weights of version k - 1 and
+    /// newer.
     void submit_step(trainer& t) {
         job_row row;
         job_header header;
@@ -294,10 +301,10 @@
         header.item_count = static_cast<int>(items.size());
         row.header = header;
         row.first_seen_at = clock_.now();
-        job_options terms;
-        terms.service = service_;
-        terms.target_ms = target_ms;
-        terms.item_expiry_ms = 40000;
+        job_options options;
+        options.service = service_;
+        options.target_ms = target_ms;
+        options.item_expiry_ms = 40000;
         item_groups_[header.id] = {};
         for (const auto& i : items) {
             item_groups_[header.id].push_back(i.group);
@@ -307,7 +314,8 @@
                 return s.second.loading_model != t.model &&
                        s.second.versions.at(t.model) >= header.min_version;
             }));
-        apply_effects(work_.add_job(row, std::move(items), {}, terms, 1000));
+        apply_effects(
+            scheduler_.add_job(row, std::move(items), {}, options, 1000));
         t.open_jobs.push_back(std::move(j));
         ++t.result.submitted_steps;
         ++t.next_step;
@@ -315,35 +323,39 @@
 
     item draw_item(const trainer& t, const job_id& job,
                    const std::string& group, int number) {
-        std::lognormal_distribution<double> spread(-0.405, 0.9);
-        std::lognormal_distribution<double> guess(0, 0.5);
+        std::lognormal_distribution<double> length_factor(-0.405, 0.9);
+        std::lognormal_distribution<double> estimate_factor(0, 0.5);
         std::bernoulli_distribution is_long(0.08);
-        const double events = t.config.mean_events * spread(random_) *
-                              (is_long(random_) ? 5 : 0.74);
+        const double drawn_events = t.config.mean_events *
+                                    length_factor(random_) *
+                                    (is_long(random_) ? 5 : 0.74);
         item i;
         i.id = item_id(job.str() + "/" + std::to_string(number));
-        const int length =
-            std::clamp(static_cast<int>(events), 1, t.config.max_events);
-        event_counts_[i.id] = length;
+        const int event_count =
+            std::clamp(static_cast<int>(drawn_events), 1, t.config.max_events);
+        event_counts_[i.id] = event_count;
         i.prompt_tokens = 1000;
         i.expected_output_tokens = static_cast<std::int64_t>(
-            static_cast<double>(length * tokens_per_event) * guess(random_));
+            static_cast<double>(event_count * tokens_per_event) *
+            estimate_factor(random_));
         i.group = group;
         return i;
     }
 
-    /// Lists what is ready, and ends the steps whose trainers have read enough.
+    /// Commits ready results, and ends the steps whose trainers have read
+    /// enough groups.
     void commit_results() {
-        std::map<job_id, std::set<int>> listed;
-        for (const auto& r : work_.ready_results(std::size_t{1} << 30U)) {
-            listed[r.job].insert(r.item_index);
+        std::map<job_id, std::set<int>> ready_items;
+        for (const auto& r : scheduler_.ready_results(std::size_t{1} << 30U)) {
+            ready_items[r.job].insert(r.item_index);
         }
-        for (const auto& [id, numbers] : listed) {
-            apply_effects(work_.on_committed(id, numbers));
+        for (const auto& [id, item_indices] : ready_items) {
+            apply_effects(scheduler_.on_committed(id, item_indices));
             for (auto& t : trainers_) {
                 for (auto& j : t.open_jobs) {
                     if (j.id == id) {
-                        j.unread_items.insert(numbers.begin(), numbers.end());
+                        j.unread_items.insert(item_indices.begin(),
+                                              item_indices.end());
                     }
                 }
             }
@@ -355,9 +367,10 @@
         }
     }
 
-    /// Returns true if the step has ended.
-    bool read_results(trainer& t, std::size_t n) {
-        auto& j = t.open_jobs[n];
+    /// Lets a trainer read new results of a step. Returns true if the step has
+    /// ended.
+    bool read_results(trainer& t, std::size_t job_index) {
+        auto& j = t.open_jobs[job_index];
         const auto now = clock_.now();
         if (now < j.next_read_at || j.unread_items.empty()) {
             return false;
@@ -368,10 +381,10 @@
                 j.id)[static_cast<std::size_t>(item)]];
         }
         j.unread_items.clear();
-        const auto whole = std::count_if(
+        const auto complete_groups = std::count_if(
             j.items_left_in_group.begin(), j.items_left_in_group.end(),
             [](const auto& g) { return g.second == 0; });
-        if (whole < t.config.required_groups) {
+        if (complete_groups < t.config.required_groups) {
             return false;
         }
         ++t.result.ended_steps;
@@ -379,8 +392,8 @@
         t.trained_at = std::max(now, t.trained_at) +
                        static_cast<base::millis>(t.config.train_ms);
         t.pending_versions[t.trained_at] = j.step + 2;
-        apply_effects(work_.remove_job(j.id));
-        t.open_jobs.erase(t.open_jobs.begin() + static_cast<long>(n));
+        apply_effects(scheduler_.remove_job(j.id));
+        t.open_jobs.erase(t.open_jobs.begin() + static_cast<long>(job_index));
         return true;
     }
 
@@ -391,11 +404,11 @@
     base::clock clock_{time_};
     samplers::sampler_table table_{clock_};
     samplers::weight_rollout rollout_{clock_};
-    item_scheduler work_{clock_, table_};
+    item_scheduler scheduler_{clock_, table_};
     const samplers::service_name service_{"engines"};
     int load_count_ = 0;
     std::map<samplers::sampler_id, server> servers_;
-    std::map<run_number, run_state> runs_;
+    std::map<run_number, simulated_run> runs_;
     std::map<item_id, int> event_counts_;
     std::map<job_id, std::vector<std::string>> item_groups_;
     std::vector<trainer> trainers_;
--- a/packages/batch/test/token_estimator_test.cpp
+++ b/packages/batch/test/token_estimator_test.cpp
@@ -6,28 +6,29 @@
 
 namespace {
 
-TEST(token_estimator_test, goes_to_the_middle_of_the_guesses) {
-    // Events have 20 tokens, a third of what was thought at first; callers
-    // guess half too low and half too high, and some ten times too high. By
-    // the mean of the guesses runs would count for twice the memory they take,
-    // and servers that have room would be left empty.
-    token_estimator size;
+TEST(token_estimator_test, converges_to_the_median_estimate) {
+    // Events have 20 tokens, a third of the initial estimate. Half of the
+    // callers' estimates are too low and half too high, some ten times. With
+    // their mean, runs would reserve twice the memory that they use, and
+    // servers with free memory would get no runs.
+    token_estimator estimator;
     for (int n = 0; n < 200; ++n) {
-        const int events = 30;
-        const std::int64_t right = events * std::int64_t{20};
-        size.add_sample(n % 2 == 0 ? right / 2 : right * (n % 3 == 0 ? 10 : 2),
-                        events);
+        const int event_count = 30;
+        const std::int64_t true_tokens = event_count * std::int64_t{20};
+        estimator.add_sample(n % 2 == 0 ? true_tokens / 2
+                                        : true_tokens * (n % 3 == 0 ? 10 : 2),
+                             event_count);
     }
-    EXPECT_GT(size.estimate_tokens(100), 900);
-    EXPECT_LT(size.estimate_tokens(100), 4500);
+    EXPECT_GT(estimator.estimate_tokens(100), 900);
+    EXPECT_LT(estimator.estimate_tokens(100), 4500);
 }
 
-TEST(token_estimator_test, texts_without_a_guess_or_an_event_say_nothing) {
-    token_estimator size;
-    const auto before = size.estimate_tokens(10);
-    size.add_sample(0, 10);
-    size.add_sample(100, 0);
-    EXPECT_EQ(size.estimate_tokens(10), before);
+TEST(token_estimator_test, samples_without_an_estimate_or_events_are_ignored) {
+    token_estimator estimator;
+    const auto before = estimator.estimate_tokens(10);
+    estimator.add_sample(0, 10);
+    estimator.add_sample(100, 0);
+    EXPECT_EQ(estimator.estimate_tokens(10), before);
 }
 
 } // namespace
--- a/packages/batch/test/wait_simulation.hpp
+++ b/packages/batch/test/wait_simulation.hpp
@@ -14,8 +14,9 @@
 #include <utility>
 #include <vector>
 
-/// Plays an owner whose servers, jobs and store are in trouble, in virtual
-/// time, and measures how long items wait although a place for them is free.
+/// Simulates a job owner with faulty servers, owner changes and store outages
+/// in virtual time. Measures how long items wait although a slot for them is
+/// free.
 namespace hibiscus::batch::simulation {
 
 class wait_simulation {
@@ -23,16 +24,16 @@
     static constexpr int models = 2;
     static constexpr base::millis tick_ms = 25;
 
-    /// A server as it is, whatever the owner believes.
+    /// The true state of a server, whatever the owner assumes.
     struct server {
         samplers::registration registration;
         bool alive = true;
-        /// Neither answers nor closes a connection.
+        /// Neither responds nor closes connections.
         bool frozen = false;
         bool rejects_runs = false;
         bool fails_runs = false;
-        /// Its entry can't be renewed.
-        bool heartbeats_lost = false;
+        /// Its registry entry is not renewed.
+        bool renewals_lost = false;
         bool acknowledges_orders = true;
         int slowdown = 1;
         std::string loading_model;
@@ -67,7 +68,8 @@
             ->second;
     }
 
-    /// A process ends; its connections are reset unless the machine is lost.
+    /// Ends a server process. Its connections are reset unless the machine is
+    /// lost.
     void crash(server& s, bool lost) {
         s.alive = false;
         s.loading_model.clear();
@@ -76,7 +78,7 @@
         }
     }
 
-    /// A process starts, under the id that it had.
+    /// Starts the server process again with the same id.
     void restart(server& s) {
         reset_connections(s);
         s.alive = true;
@@ -92,7 +94,7 @@
         s.runs.clear();
     }
 
-    /// Ends all trouble.
+    /// Ends all faults.
     void clear_faults() {
         may_start_ = true;
         store_available_ = true;
@@ -101,32 +103,31 @@
             if (!s.alive) {
                 restart(s);
             }
-            s.frozen = s.rejects_runs = s.fails_runs = s.heartbeats_lost =
-                false;
+            s.frozen = s.rejects_runs = s.fails_runs = s.renewals_lost = false;
             s.acknowledges_orders = true;
             s.registration.draining = false;
             s.slowdown = 1;
         }
     }
 
-    void set_may_start(bool may) { may_start_ = may; }
+    void set_may_start(bool may_start) { may_start_ = may_start; }
 
-    /// While the store is away no entry is renewed and lapsed ones stay in
-    /// doubt.
-    void set_store_up(bool up) {
-        if (up && !store_available_) {
+    /// While the store is unavailable no registry entry is renewed, and expired
+    /// entries are marked as unlisted instead of being removed.
+    void set_store_available(bool available) {
+        if (available && !store_available_) {
             table_.remove_unlisted();
         }
-        store_available_ = up;
+        store_available_ = available;
     }
 
     void announce_version(int m) {
         const auto version = ++announced_versions_[model(m)];
         rollout_.announce_version(model(m), version + 1);
-        work_.announce_version(model(m), version + 1);
+        scheduler_.announce_version(model(m), version + 1);
     }
 
-    /// A trainer asks for a step that admits the newest two versions.
+    /// Submits a job that accepts the newest two versions.
     void submit_job(int m, int items) {
         if (jobs_.size() >= max_jobs) {
             return;
@@ -153,21 +154,21 @@
         add_job(jobs_.at(id));
     }
 
-    /// A trainer ends the oldest step.
+    /// Ends the oldest job, as its trainer would.
     void end_oldest_job() {
         if (!jobs_.empty()) {
             const auto id = jobs_.begin()->first;
             jobs_.erase(jobs_.begin());
-            apply_effects(work_.remove_job(id));
+            apply_effects(scheduler_.remove_job(id));
         }
     }
 
-    /// The owner loses the jobs and gets them again.
+    /// Takes all jobs from the owner and gives them to a new one.
     void change_owner() {
-        apply_effects(work_.remove_all_jobs());
+        apply_effects(scheduler_.remove_all_jobs());
         rollout_.reset();
         table_.clear_all_loading();
-        ++fence_;
+        ++owner_epoch_;
         for (auto& [id, j] : jobs_) {
             add_job(j);
         }
@@ -180,15 +181,15 @@
                 f();
             }
             renew_entries();
-            step_loads();
-            step_runs();
-            apply_effects(work_.tick(may_start_));
+            advance_loads();
+            advance_runs();
+            apply_effects(scheduler_.tick(may_start_));
             commit_results();
             measure_waits();
         }
     }
 
-    /// Returns how long an item has waited at most while a place was free.
+    /// Returns the longest time for which an item waited while a slot was free.
     base::millis longest_wait() const { return longest_wait_; }
     void reset_waits() {
         longest_wait_ = 0;
@@ -197,7 +198,8 @@
 
     bool has_no_jobs() const { return jobs_.empty(); }
 
-    /// Returns the servers whose runs are not counted as they are.
+    /// Returns a description of a server whose count of runs in flight is
+    /// wrong, or "".
     std::string find_miscount() const {
         std::map<samplers::sampler_id, int> running;
         for (const auto& [run, r] : runs_) {
@@ -245,13 +247,13 @@
     void defer(std::function<void()> f) { deferred_.push_back(std::move(f)); }
 
     void add_job(simulated_job& j) {
-        job_options terms;
-        terms.service = service();
-        terms.max_attempts = 1000000;
-        terms.target_ms = 7500;
-        terms.item_expiry_ms = 10000000;
-        apply_effects(
-            work_.add_job(j.row, j.items, j.saved, terms, fence_ * 1000));
+        job_options options;
+        options.service = service();
+        options.max_attempts = 1000000;
+        options.target_ms = 7500;
+        options.item_expiry_ms = 10000000;
+        apply_effects(scheduler_.add_job(j.row, j.items, j.saved, options,
+                                         owner_epoch_ * 1000));
     }
 
     void apply_effects(const effects& all) {
@@ -267,9 +269,9 @@
 
     void begin_run(const start_run& r) {
         auto& s = servers_.at(r.sampler);
-        const auto done =
+        const auto skipped_events =
             r.resume_after_event.empty() ? 0 : std::stoi(r.resume_after_event);
-        runs_[r.run] = {r, events_per_run - done, done + 1,
+        runs_[r.run] = {r, events_per_run - skipped_events, skipped_events + 1,
                         now() + event_interval_ms};
         if (!s.alive) {
             defer([this, run = r.run] { end_run(run, run_outcome::cut); });
@@ -283,35 +285,36 @@
         } else {
             s.runs.insert(r.run);
             defer([this, run = r.run] {
-                const auto at = runs_.find(run);
-                if (at != runs_.end()) {
-                    const auto& there = servers_.at(at->second.start.sampler);
-                    apply_effects(work_.on_response_started(
-                        run, there.registration.versions.at(
-                                 at->second.start.model)));
+                const auto found = runs_.find(run);
+                if (found != runs_.end()) {
+                    const auto& server =
+                        servers_.at(found->second.start.sampler);
+                    apply_effects(scheduler_.on_response_started(
+                        run, server.registration.versions.at(
+                                 found->second.start.model)));
                 }
             });
         }
     }
 
-    void end_run(run_number run, run_outcome how) {
+    void end_run(run_number run, run_outcome outcome) {
         if (runs_.count(run) != 0) {
             forget_run(run);
-            apply_effects(work_.on_run_ended(run, how));
+            apply_effects(scheduler_.on_run_ended(run, outcome));
         }
     }
 
     void forget_run(run_number run) {
-        const auto at = runs_.find(run);
-        if (at != runs_.end()) {
-            servers_.at(at->second.start.sampler).runs.erase(run);
-            runs_.erase(at);
+        const auto found = runs_.find(run);
+        if (found != runs_.end()) {
+            servers_.at(found->second.start.sampler).runs.erase(run);
+            runs_.erase(found);
         }
     }
 
     void renew_entries() {
         for (auto& [id, s] : servers_) {
-            if (s.is_serving() && !s.heartbeats_lost && store_available_ &&
+            if (s.is_serving() && !s.renewals_lost && store_available_ &&
                 now() >= s.next_renewal_at) {
                 s.next_renewal_at = now() + renewal_interval_ms;
                 s.last_renewed_at = now();
@@ -327,7 +330,7 @@
         }
     }
 
-    void step_loads() {
+    void advance_loads() {
         for (auto& [id, s] : servers_) {
             if (!s.loading_model.empty() && now() >= s.load_end_at) {
                 s.registration.versions[s.loading_model] = s.loading_version;
@@ -343,8 +346,8 @@
                 finish_load(id, s);
             }
         }
-        for (const auto& [model, places] : work_.update_wanted_slots()) {
-            rollout_.set_wanted_slots(model, places);
+        for (const auto& [model, slots] : scheduler_.update_wanted_slots()) {
+            rollout_.set_wanted_slots(model, slots);
         }
         for (const auto& order : rollout_.take_due_orders(table_)) {
             send_order(order, servers_.at(order.sampler));
@@ -383,7 +386,7 @@
         }
     }
 
-    void step_runs() {
+    void advance_runs() {
         std::vector<run_number> ready;
         for (const auto& [run, r] : runs_) {
             const auto& s = servers_.at(r.start.sampler);
@@ -393,25 +396,26 @@
             }
         }
         for (const auto run : ready) {
-            const auto at = runs_.find(run);
-            if (at == runs_.end()) {
+            const auto found = runs_.find(run);
+            if (found == runs_.end()) {
                 continue;
             }
-            auto& r = at->second;
+            auto& r = found->second;
             const auto& s = servers_.at(r.start.sampler);
             r.event_at = now() + event_interval_ms * s.slowdown;
             const auto id = std::to_string(r.next_event++);
             if (--r.events_left >= 0) {
                 const auto version = s.registration.versions.at(r.start.model);
-                apply_effects(work_.on_event(run, id, "e", version));
+                apply_effects(scheduler_.on_event(run, id, "e", version));
             }
             if (runs_.count(run) != 0 && r.events_left <= 0) {
                 complete_run(run);
             }
         }
-        for (const auto& p : work_.unsaved_parts(6, std::size_t{1} << 30U)) {
+        for (const auto& p :
+             scheduler_.unsaved_parts(6, std::size_t{1} << 30U)) {
             jobs_.at(p.job).saved[p.part.item_index].push_back(p.part);
-            work_.on_part_saved(p);
+            scheduler_.on_part_saved(p);
         }
     }
 
@@ -426,27 +430,29 @@
 
     void commit_results() {
         std::map<job_id, std::set<int>> ready;
-        for (const auto& r : work_.ready_results(std::size_t{1} << 30U)) {
+        for (const auto& r : scheduler_.ready_results(std::size_t{1} << 30U)) {
             ready[r.job].insert(r.item_index);
         }
-        for (const auto& [id, numbers] : ready) {
+        for (const auto& [id, item_indices] : ready) {
             auto& j = jobs_.at(id);
-            j.row.committed_items.insert(numbers.begin(), numbers.end());
-            apply_effects(work_.on_committed(id, numbers));
+            j.row.committed_items.insert(item_indices.begin(),
+                                         item_indices.end());
+            apply_effects(scheduler_.on_committed(id, item_indices));
             if (j.row.committed_items.size() == j.items.size()) {
                 jobs_.erase(id);
-                apply_effects(work_.remove_job(id));
+                apply_effects(scheduler_.remove_job(id));
             }
         }
     }
 
-    /// Returns true if a server that is listed would run an item of the job.
+    /// Returns true if a listed server with a free slot would run an item of
+    /// the job.
     bool has_server_for(const job_header& h) const {
         return std::any_of(
             servers_.begin(), servers_.end(), [&](const auto& row) {
                 const auto& s = row.second;
                 return s.is_serving() && !s.rejects_runs && !s.fails_runs &&
-                       !s.heartbeats_lost && !s.registration.draining &&
+                       !s.renewals_lost && !s.registration.draining &&
                        s.loading_model != h.model &&
                        now() <= s.last_renewed_at + renewal_interval_ms &&
                        s.runs.size() < slots &&
@@ -464,14 +470,14 @@
         }
         std::map<item_key, base::millis> waits;
         for (const auto& [id, j] : jobs_) {
-            const bool place = has_server_for(*j.row.header);
+            const bool has_server = has_server_for(*j.row.header);
             for (int n = 0; n < static_cast<int>(j.items.size()); ++n) {
                 const item_key key{id, n};
-                if (place && at_server.count(key) == 0 &&
+                if (has_server && at_server.count(key) == 0 &&
                     j.row.committed_items.count(n) == 0) {
-                    const auto known = waiting_since_.find(key);
+                    const auto since = waiting_since_.find(key);
                     waits[key] =
-                        known == waiting_since_.end() ? now() : known->second;
+                        since == waiting_since_.end() ? now() : since->second;
                     longest_wait_ = std::max(longest_wait_, now() - waits[key]);
                 }
             }
@@ -483,7 +489,7 @@
         std::make_shared<base::manual_time>();
     base::clock clock_{time_};
     samplers::sampler_table table_{clock_};
-    item_scheduler work_{clock_, table_};
+    item_scheduler scheduler_{clock_, table_};
     samplers::weight_rollout rollout_{clock_};
     std::map<samplers::sampler_id, server> servers_;
     std::map<job_id, simulated_job> jobs_;
@@ -492,7 +498,7 @@
     std::deque<std::function<void()>> deferred_;
     std::map<item_key, base::millis> waiting_since_;
     base::millis longest_wait_ = 0;
-    std::int64_t fence_ = 1;
+    std::int64_t owner_epoch_ = 1;
     int job_count_ = 0;
     bool may_start_ = true;
     bool store_available_ = true;
--- a/packages/batch/test/waiting_fuzz_test.cpp
+++ b/packages/batch/test/waiting_fuzz_test.cpp
@@ -14,29 +14,31 @@
 constexpr int runs_per_test = 60;
 constexpr std::size_t max_commands = 200;
 
-/// Commands below the first number leave the owner and the store alone.
-constexpr int server_commands = 93;
-constexpr int all_commands = 100;
+/// Command kinds below the first number affect only servers and jobs; the
+/// others also affect the owner and the store.
+constexpr int server_command_kinds = 93;
+constexpr int all_command_kinds = 100;
 
-/// All servers are listed from then on.
+/// After this time all servers are listed.
 constexpr base::millis start_ms = 1500;
 
-/// Within this time each server is seen to be sound, in ms: its entry is
-/// renewed, and its pause after failures is over.
+/// Time until every server is known to be healthy after the last fault, in ms:
+/// its entry is renewed, and its backoff after failures is over.
 constexpr base::millis recovery_ms = 2500;
 
 constexpr base::millis fault_free_ms = 20000;
 constexpr base::millis max_fault_free_wait_ms = 2500;
 constexpr base::millis max_faulty_wait_ms = 5000;
 
-void inject_server_fault(wait_simulation& w, const testing::fuzz_command& c) {
-    auto& s = w.server_at(c.a);
+void inject_server_fault(wait_simulation& simulation,
+                         const testing::fuzz_command& c) {
+    auto& s = simulation.server_at(c.a);
     switch (c.b % 11) {
     case 0:
-        w.crash(s, c.c % 2 == 0);
+        simulation.crash(s, c.c % 2 == 0);
         break;
     case 1:
-        w.restart(s);
+        simulation.restart(s);
         break;
     case 2:
         s.frozen = true;
@@ -51,7 +53,7 @@
         s.fails_runs = !s.fails_runs;
         break;
     case 6:
-        s.heartbeats_lost = !s.heartbeats_lost;
+        s.renewals_lost = !s.renewals_lost;
         break;
     case 7:
         s.registration.draining = !s.registration.draining;
@@ -63,88 +65,96 @@
         s.acknowledges_orders = !s.acknowledges_orders;
         break;
     default:
-        w.reset_connections(s);
+        simulation.reset_connections(s);
         break;
     }
 }
 
-void apply_command(wait_simulation& w, const testing::fuzz_command& c) {
+void apply_command(wait_simulation& simulation,
+                   const testing::fuzz_command& c) {
     if (c.kind < 45) {
-        w.run(c.b * (c.a % 5 == 0 ? 8 : 1));
+        simulation.run(c.b * (c.a % 5 == 0 ? 8 : 1));
     } else if (c.kind < 80) {
-        inject_server_fault(w, c);
+        inject_server_fault(simulation, c);
     } else if (c.kind < 85) {
-        w.announce_version(c.a);
+        simulation.announce_version(c.a);
     } else if (c.kind < 91) {
-        w.submit_job(c.a, 1 + c.b % 24);
+        simulation.submit_job(c.a, 1 + c.b % 24);
     } else if (c.kind < 93) {
-        w.end_oldest_job();
+        simulation.end_oldest_job();
     } else if (c.kind < 95) {
-        w.change_owner();
+        simulation.change_owner();
     } else if (c.kind < 97) {
-        w.set_may_start(c.a % 3 != 0);
+        simulation.set_may_start(c.a % 3 != 0);
     } else {
-        w.set_store_up(c.a % 3 != 0);
+        simulation.set_store_available(c.a % 3 != 0);
     }
 }
 
-/// Plays commands up to one of a kind; returns what was wrong.
-std::string apply_commands(wait_simulation& w,
+/// Applies the commands of a kind below `kind_limit`. Returns a violation, or
+/// "".
+std::string apply_commands(wait_simulation& simulation,
                            const std::vector<testing::fuzz_command>& commands,
-                           int kinds) {
-    w.run(start_ms);
-    const auto played = std::min(commands.size(), max_commands);
-    for (std::size_t n = 0; n < played; ++n) {
-        if (commands[n].kind < kinds) {
-            apply_command(w, commands[n]);
+                           int kind_limit) {
+    simulation.run(start_ms);
+    const auto command_count = std::min(commands.size(), max_commands);
+    for (std::size_t n = 0; n < command_count; ++n) {
+        if (commands[n].kind < kind_limit) {
+            apply_command(simulation, commands[n]);
         }
-        if (auto wrong = w.find_miscount(); !wrong.empty()) {
-            return wrong;
+        if (auto violation = simulation.find_miscount(); !violation.empty()) {
+            return violation;
         }
     }
     return "";
 }
 
-std::string check_wait(const wait_simulation& w, base::millis most) {
-    return w.longest_wait() <= most
+std::string check_wait(const wait_simulation& simulation,
+                       base::millis max_wait_ms) {
+    return simulation.longest_wait() <= max_wait_ms
                ? ""
-               : "an item waited " + std::to_string(w.longest_wait()) +
-                     " ms while a place was free";
+               : "an item waited " + std::to_string(simulation.longest_wait()) +
+                     " ms while a slot was free";
 }
 
-TEST(waiting_fuzz_test, no_item_waits_long_once_all_is_calm) {
+TEST(waiting_fuzz_test, no_item_waits_long_after_faults_end) {
     testing::fuzz("calm", runs_per_test, [](const auto& commands) {
-        wait_simulation w(servers);
-        if (auto wrong = apply_commands(w, commands, all_commands);
-            !wrong.empty()) {
-            return wrong;
+        wait_simulation simulation(servers);
+        if (auto violation =
+                apply_commands(simulation, commands, all_command_kinds);
+            !violation.empty()) {
+            return violation;
         }
-        w.submit_job(0, 16);
-        w.clear_faults();
-        w.run(recovery_ms);
-        w.reset_waits();
-        w.run(fault_free_ms);
-        if (auto wrong = check_wait(w, max_fault_free_wait_ms);
-            !wrong.empty()) {
-            return wrong;
+        simulation.submit_job(0, 16);
+        simulation.clear_faults();
+        simulation.run(recovery_ms);
+        simulation.reset_waits();
+        simulation.run(fault_free_ms);
+        if (auto violation = check_wait(simulation, max_fault_free_wait_ms);
+            !violation.empty()) {
+            return violation;
         }
-        return w.has_no_jobs() ? w.find_miscount() : "a job did not end";
+        return simulation.has_no_jobs() ? simulation.find_miscount()
+                                        : "a job did not end";
     });
 }
 
 std::string
 run_server_faults(const std::vector<testing::fuzz_command>& commands) {
-    wait_simulation w(servers);
-    auto wrong = apply_commands(w, commands, server_commands);
-    return wrong.empty() ? check_wait(w, max_faulty_wait_ms) : wrong;
+    wait_simulation simulation(servers);
+    auto violation = apply_commands(simulation, commands, server_command_kinds);
+    return violation.empty() ? check_wait(simulation, max_faulty_wait_ms)
+                             : violation;
 }
 
-TEST(waiting_fuzz_test, no_item_waits_long_whatever_servers_do) {
+TEST(waiting_fuzz_test, no_item_waits_long_during_server_faults) {
     testing::fuzz("servers", runs_per_test, run_server_faults);
 }
 
-TEST(waiting_fuzz_test, refusals_do_not_keep_items_from_a_server_that_failed) {
-    // Guards against items that wait while the server that failed is sound.
+TEST(waiting_fuzz_test,
+     rejections_do_not_keep_items_from_a_server_that_failed) {
+    // Guards against items that wait although the server at which they failed
+    // is healthy again.
     EXPECT_EQ(run_server_faults({{45, 77, 137, 0},
                                  {45, 478, 103, 0},
                                  {85, 0, 60, 0},
@@ -157,9 +167,9 @@
               "");
 }
 
-TEST(waiting_fuzz_test,
-     an_item_does_not_go_to_and_fro_between_failing_servers) {
-    // Guards against items that go between failing servers past a sound one.
+TEST(waiting_fuzz_test, an_item_does_not_alternate_between_failing_servers) {
+    // Guards against items that alternate between failing servers although a
+    // healthy one is free.
     EXPECT_EQ(run_server_faults({{45, 0, 0, 0},
                                  {45, 6, 0, 0},
                                  {45, 2, 115, 0},
@@ -170,8 +180,8 @@
               "");
 }
 
-TEST(waiting_fuzz_test, an_item_that_all_servers_failed_goes_to_each_again) {
-    // Guards against items that all go back to the one server that still fails.
+TEST(waiting_fuzz_test, an_item_that_failed_at_all_servers_is_retried_at_each) {
+    // Guards against items that all return to the one server that still fails.
     EXPECT_EQ(run_server_faults({{45, 834, 829, 0},
                                  {45, 48, 0, 0},
                                  {45, 0, 0, 0},
