--- a/packages/batch/include/hibiscus/batch/commit_plan.hpp
+++ b/packages/batch/include/hibiscus/batch/commit_plan.hpp
@@ -20,8 +20,9 @@
 };
 
 /// Groups results into commits that continue after the committed positions of
-/// their jobs. Starts a new record once one holds `max_record_bytes` of text.
-/// `make_name` must return a name that was never used before.
+/// their jobs. Omits items that are already committed. Starts a new record once
+/// one holds `max_record_bytes` of text. `make_name` must return a name that
+/// was never used before.
 std::vector<planned_commit>
 plan_commits(const job_table& jobs, std::vector<ready_result> results,
              std::size_t max_record_bytes,
--- a/packages/batch/include/hibiscus/batch/handover.hpp
+++ b/packages/batch/include/hibiscus/batch/handover.hpp
@@ -35,7 +35,8 @@
     /// Called when all unfinished texts are saved or the store rejected them.
     void on_texts_saved() { texts_saved_ = true; }
 
-    /// Called when the store did not append the handover record.
+    /// Called when an append of the handover record did not succeed, also if
+    /// its outcome is unknown.
     void on_record_rejected();
 
     /// Returns what to do now. `is_owner` tells whether this process is the job
--- a/packages/batch/include/hibiscus/batch/item_scheduler.hpp
+++ b/packages/batch/include/hibiscus/batch/item_scheduler.hpp
@@ -21,7 +21,7 @@
 /// Settings from the route of a job that apply to its items.
 struct job_options {
     samplers::service_name service;
-    /// Number of failed runs after which an item is errored.
+    /// Number of failed runs after which an item ends as errored.
     int max_attempts = 1;
     bool single_version = false;
     base::millis target_ms = 0;
@@ -40,6 +40,7 @@
     /// Id of the event after which the server resumes the text; empty to start
     /// at the first event.
     std::string resume_after_event;
+    /// Lower is more urgent.
     int priority = 0;
     base::millis deadline_ms = 0;
 };
@@ -75,10 +76,11 @@
     std::string score;
 };
 struct reward_failure {
-    /// Number of servers that reported a failure of this call.
+    /// Number of failed responses to this call, which may have been sent to
+    /// several servers.
     int failed_responses = 0;
-    /// Number of such responses, over all calls for an item, after which the
-    /// item is errored.
+    /// Number of failed responses, over all calls for an item, after which the
+    /// item ends as errored.
     int max_failed_responses = 1;
 };
 using reward_outcome = std::variant<reward_score, reward_failure>;
@@ -98,11 +100,13 @@
 };
 
 /// Timeline of an item, in ms since its job was first seen. -1 stands for an
-/// event that has not happened yet.
+/// event that has not happened.
 struct item_timeline {
     int item_index = 0;
     base::millis first_start_ms = -1;
     base::millis text_complete_ms = -1;
+    /// Set when the reward call ends. Stays -1 for an item without a reward
+    /// call, and for one that fails or expires before.
     base::millis ready_ms = -1;
     int run_count = 0;
     int event_count = 0;
@@ -146,9 +150,10 @@
 
     item_scheduler(base::clock clock, samplers::sampler_table& table);
 
-    /// Adds a job, or the remaining items of a job after a takeover. `progress`
-    /// holds the saved parts of texts by item index. `epoch` is the epoch of
-    /// the parts saved from now on and must be higher than all earlier ones.
+    /// Adds a job, after a takeover with its saved progress. `items` holds all
+    /// items of the job, also the committed ones. `progress` holds the saved
+    /// parts of texts by item index. `epoch` is the epoch of the parts saved
+    /// from now on and must be higher than all earlier ones of the job.
     effects add_job(const job_row& row, std::vector<item> items,
                     const std::map<int, std::vector<progress_part>>& progress,
                     const job_options& options, std::int64_t epoch);
@@ -156,7 +161,7 @@
     /// Called when a trainer announces a version of a model's weights.
     void announce_version(const std::string& model, weight_version version);
 
-    /// Returns true if the job was added and not removed since.
+    /// Returns true if the job has been added and not removed since.
     bool has_job(const job_id& id) const { return jobs_.count(id) != 0; }
 
     /// Returns the service that runs a job. The job must have been added.
@@ -171,9 +176,9 @@
     }
 
     /// Removes a job that has ended and stops its runs. Caches the texts of its
-    /// incomplete groups, since a later job may resubmit their items. Long
-    /// texts whose weights would be too old for that job are restarted
-    /// speculatively under the newest weights.
+    /// incomplete groups, since a later job may resubmit their items. If the
+    /// feature run_ahead is on, long texts of these groups that began under
+    /// older weights than the newest are restarted speculatively.
     effects remove_job(const job_id& id);
 
     /// Removes all jobs and stops all runs. Called when another process became
@@ -184,14 +189,14 @@
     /// owner committed them.
     effects on_committed(const job_id& id, const std::set<int>& item_indices);
 
-    /// Places waiting items and moves runs away from silent, slow or draining
-    /// servers if `may_start`. Otherwise no run is moved either, since it could
-    /// not be restarted on another server. Also expires items, repeats reward
-    /// calls and ends speculative jobs.
-    effects tick(bool may_start);
+    /// If `may_start_runs`, places waiting items and moves runs away from
+    /// silent, slow or draining servers and to faster ones. If not, no run is
+    /// moved, since it could not be started elsewhere. Always expires waiting
+    /// items, repeats reward calls and removes expired speculative jobs.
+    effects tick(bool may_start_runs);
 
-    /// Places waiting items if `may_start`. Cheaper than tick().
-    effects place_waiting(bool may_start);
+    /// Places waiting items if `may_start_runs`. Cheaper than tick().
+    effects place_waiting(bool may_start_runs);
 
     /// Called when a server starts its response, with the weight version it
     /// reports.
@@ -223,8 +228,8 @@
     /// Returns the timelines of a job's items, the slowest item first.
     std::vector<item_timeline> item_timelines(const job_id& id) const;
 
-    /// Returns, by model, how many free slots are needed so that each item of
-    /// the next steps can start at once.
+    /// Returns, for each model with a job, how many free slots are needed so
+    /// that each item of the next steps can start at once.
     std::map<std::string, int> update_wanted_slots();
 
     /// Returns the items that wait for a slot, grouped by their requirements.
@@ -327,7 +332,8 @@
                                                const item_row& row) const;
     void cancel_run(run_number run, const char* reason, effects& out);
     void requeue(item_row& row, base::millis delay);
-    void finish_text(const job_id& id, int item_index, effects& out);
+    void request_reward_or_finish(const job_id& id, int item_index,
+                                  effects& out);
     void discard_output(item_row& row);
     void cache_texts(const job_state& job);
     static std::set<std::string> incomplete_groups(const job_state& job);
@@ -343,8 +349,8 @@
     std::map<run_number, run_row> runs_;
     std::map<item_id, cached_text> cached_texts_;
     std::map<std::string, weight_version> newest_versions_;
-    /// The peak number of waiting and running items of a model within the last
-    /// max_peak_age_ms.
+    /// The highest number of waiting and running items of a model since the
+    /// peak was last reset. It is reset once it is a minute old.
     struct open_items_peak {
         int item_count = 0;
         base::millis seen_at = 0;
--- a/packages/batch/include/hibiscus/batch/job.hpp
+++ b/packages/batch/include/hibiscus/batch/job.hpp
@@ -11,8 +11,8 @@
 #include <utility>
 #include <vector>
 
-/// Batch jobs: many requests for tokens that are accepted together, run later
-/// and whose results are read by position.
+/// Batch jobs: many text-generation requests that are accepted together and run
+/// later, and whose results are read by position.
 namespace hibiscus::batch {
 
 /// Identifies a batch job; a retried submission carries the same id.
@@ -31,13 +31,13 @@
     std::string body;
 };
 
-/// One request for tokens in a job.
+/// One text-generation request of a job.
 struct item {
     item_id id;
     std::string path;
     std::vector<std::pair<std::string, std::string>> header_fields;
     std::string body;
-    /// Upper bound of prompt and output tokens together.
+    /// Upper bound on the sum of prompt and output tokens.
     std::int64_t max_total_tokens = 0;
     std::int64_t prompt_tokens = 0;
     /// The caller's estimate of the output tokens; half of these estimates are
--- a/packages/batch/include/hibiscus/batch/owner_lease.hpp
+++ b/packages/batch/include/hibiscus/batch/owner_lease.hpp
@@ -55,7 +55,8 @@
     /// an outage of the store keeps the owner from renewing as well.
     void set_store_reachable(bool reachable);
 
-    /// Called when the store has appended this process's owner record.
+    /// Called when the store has appended this process's owner record, for a
+    /// claim or a renewal.
     void on_renewed();
 
     /// Returns true if the last renewal is older than renewal_timeout.
--- a/packages/batch/include/hibiscus/batch/records.hpp
+++ b/packages/batch/include/hibiscus/batch/records.hpp
@@ -21,7 +21,7 @@
     base::node_id node;
     /// Unique for each start of a node.
     std::string incarnation;
-    /// The journal offset of the record with which the owner claimed the jobs;
+    /// The journal offset of the record with which the owner claimed the lease;
     /// increases with each owner.
     store::log_offset fencing_token = 0;
     /// The number of renewals so far.
--- a/packages/batch/include/hibiscus/batch/token_estimator.hpp
+++ b/packages/batch/include/hibiscus/batch/token_estimator.hpp
@@ -12,8 +12,9 @@
 
     /// Adds a completed text of `event_count` events whose length the caller
     /// had estimated as `expected_tokens`. Half of these estimates are too low
-    /// and half too high, some by far. The result converges to their median;
-    /// each sample moves it by 2 %, however far off it is.
+    /// and half too high, some by far. The result converges to the median of
+    /// the expected tokens per event; each sample moves it by 2 %, however far
+    /// off it is.
     void add_sample(std::int64_t expected_tokens, int event_count);
 
 private:
--- a/packages/batch/src/commit_plan.cpp
+++ b/packages/batch/src/commit_plan.cpp
@@ -13,7 +13,7 @@
     std::map<job_id, int> next_positions;
     std::vector<item_result> texts;
     std::size_t text_bytes = 0;
-    const auto flush = [&] {
+    const auto finish_record = [&] {
         if (!texts.empty()) {
             plan.back().texts_record.value = encode(texts);
         }
@@ -29,7 +29,7 @@
             next_positions.emplace(r.job, row->next_position()).first->second;
         if (plan.empty() || plan.back().job != r.job ||
             text_bytes >= max_record_bytes) {
-            flush();
+            finish_record();
             const auto texts_name = make_name();
             plan.push_back({r.job,
                             position,
@@ -41,7 +41,7 @@
         plan.back().commit.rows.push_back({r.item_index, r.result.outcome});
         texts.push_back(std::move(r.result));
     }
-    flush();
+    finish_record();
     return plan;
 }
 
--- a/packages/batch/src/item_scheduler.cpp
+++ b/packages/batch/src/item_scheduler.cpp
@@ -9,8 +9,9 @@
 
 namespace {
 
-/// Delay before an item is sent again after a run that ended for reasons
-/// unrelated to the item, in ms. The server itself is avoided for longer.
+/// Delay before an item is sent again after its connection broke, its run
+/// failed or its server had old weights, in ms. Rejected items are queued again
+/// at once, since their server is blocked.
 constexpr base::millis retry_delay_ms = 20;
 
 /// How long no run is sent to a server that rejected one, in ms: loading
@@ -204,12 +205,12 @@
     }
 }
 
-effects item_scheduler::tick(bool may_start) {
+effects item_scheduler::tick(bool may_start_runs) {
     discount_stall();
     // Must come first: after a stall of the process, placing items would
     // otherwise start items of jobs that ended long ago.
     auto out = remove_expired_speculative_jobs();
-    if (may_start) {
+    if (may_start_runs) {
         move_runs(out);
         place_items(out);
     }
@@ -219,7 +220,7 @@
             auto& row = job.items[n];
             if (row.state == item_state::reward_pending &&
                 now >= row.not_before) {
-                finish_text(id, static_cast<int>(n), out);
+                request_reward_or_finish(id, static_cast<int>(n), out);
             }
             if (row.state == item_state::waiting &&
                 job.options.item_expiry_ms > 0 &&
@@ -308,7 +309,7 @@
     const auto& options = jobs_.at(ended_run.job).options;
     switch (outcome) {
     case run_outcome::complete:
-        finish_text(ended_run.job, ended_run.item_index, out);
+        request_reward_or_finish(ended_run.job, ended_run.item_index, out);
         break;
     case run_outcome::cut:
         table_.on_failure(ended_run.sampler);
@@ -341,8 +342,8 @@
     return out;
 }
 
-void item_scheduler::finish_text(const job_id& id, int item_index,
-                                 effects& out) {
+void item_scheduler::request_reward_or_finish(const job_id& id, int item_index,
+                                              effects& out) {
     auto& job = jobs_.at(id);
     auto& row = job.items[static_cast<std::size_t>(item_index)];
     if (row.timeline.text_complete_ms < 0) {
--- a/packages/batch/src/item_scheduler_moves.cpp
+++ b/packages/batch/src/item_scheduler_moves.cpp
@@ -8,9 +8,10 @@
 
 namespace {
 
-/// A run without a first event after this time is at a server that doesn't
-/// work, in ms. The first event normally comes 8 ms after the request, or 1.1 s
-/// after it when two runs wait for a slot that others occupy.
+/// A run without a first event for this long moves to another server, in ms.
+/// The time starts with the request, and again with the response. The first
+/// event normally comes 8 ms after the request. It takes 1.1 s if two runs wait
+/// for a slot that others occupy; such a run moves as well.
 constexpr base::millis first_event_timeout_ms = 900;
 
 /// A run is silent if no event comes for this multiple of its server's event
@@ -27,15 +28,17 @@
 constexpr int max_slow_moves_per_tick = 6;
 
 /// Minimum number of events of a run at its server before it may move to a
-/// faster one.
+/// faster one. Also the number of events from which on a text may leave a slow
+/// server although it is expected to be short.
 constexpr int min_events_before_move = 20;
 
-/// Minimum number of events of a run at a slow server before it may leave; they
-/// show that the server still is slow. Short texts, which take less than a
-/// second on a healthy server, stay.
+/// Minimum number of events of a run at a slow server before it may leave, to
+/// show that the server still is slow.
 constexpr int min_events_on_slow_server = 4;
 
-constexpr std::int64_t short_run_tokens = 1500;
+/// Texts that are expected to have fewer tokens are short: they take less than
+/// a second on a healthy server and stay where they are.
+constexpr std::int64_t short_text_tokens = 1500;
 
 /// Maximum number of long runs that move at a time, and the interval of such
 /// moves, in ms. Each move changes the load that the next one sees, and ranking
@@ -130,7 +133,7 @@
 bool item_scheduler::is_worth_moving(const run_row& run) {
     const auto* item = find_item(run);
     return item != nullptr && run.event_count >= min_events_on_slow_server &&
-           (item->content.expected_output_tokens >= short_run_tokens ||
+           (item->content.expected_output_tokens >= short_text_tokens ||
             item->output.event_count >= min_events_before_move);
 }
 
@@ -149,7 +152,7 @@
     for (const auto& [run, row] : runs_) {
         const auto* item = find_item(row);
         if (item != nullptr && row.event_count >= min_events_before_move &&
-            item->output.event_count >= long_run_events) {
+            item->output.event_count >= long_text_events) {
             candidates.emplace_back(-item->output.event_count, run);
         }
     }
--- a/packages/batch/src/item_scheduler_placement.cpp
+++ b/packages/batch/src/item_scheduler_placement.cpp
@@ -9,22 +9,24 @@
 
 namespace {
 
-/// Runs that expect more output tokens than this are long. Servers give them
-/// priority when memory is short: a long run that loses its memory must prefill
-/// its text again and finishes late.
-constexpr std::int64_t long_run_tokens = 3000;
+/// Items that are expected to write more tokens than this are sent with
+/// long_output_priority. Servers prefer them when memory is short: a run that
+/// loses its memory must prefill its text again, and a long one then finishes
+/// late.
+constexpr std::int64_t long_output_tokens = 3000;
 
 constexpr int resubmitted_priority = 1;
 
-constexpr int long_run_priority = 3;
+constexpr int long_output_priority = 3;
 
 constexpr int default_priority = 5;
 
-/// Sorts speculative items after all jobs, in ms: longer than any job lasts.
-constexpr base::millis speculative_delay_ms = 3600000;
+/// Added to the target time of speculative items, so that they are placed after
+/// those of all jobs, in ms. Longer than any job lasts.
+constexpr base::millis speculative_queue_offset_ms = 3600000;
 
-/// Wanted slots per item of the peak: other trainers' models may take some of
-/// the slots that are free now.
+/// Wanted slots per open item at the peak. More than one, since other trainers'
+/// models may take some of the slots that are free now.
 constexpr double spare_slots_factor = 1.5;
 
 /// How long a peak of open items is remembered, in ms: a few steps.
@@ -32,9 +34,9 @@
 
 } // namespace
 
-effects item_scheduler::place_waiting(bool may_start) {
+effects item_scheduler::place_waiting(bool may_start_runs) {
     effects out;
-    if (may_start) {
+    if (may_start_runs) {
         place_items(out);
     }
     return out;
@@ -57,7 +59,7 @@
             if (row.state == item_state::waiting && now >= row.not_before) {
                 const auto target_at =
                     job.first_seen_at + job.options.target_ms +
-                    (job.speculative_until ? speculative_delay_ms : 0);
+                    (job.speculative_until ? speculative_queue_offset_ms : 0);
                 const auto negated_length =
                     longest_first ? -row.content.expected_output_tokens : 0;
                 queue.push_back({target_at, !row.is_resubmitted, negated_length,
@@ -107,9 +109,11 @@
     }
 }
 
-/// Returns the best server for an item. Prefers servers at which it has not
-/// failed: a server that fails every run frees its slots at once and would be
-/// the cheapest choice again and again.
+/// Returns the best server for an item, or nothing. A server at which the item
+/// has failed is used only if no other one is free, and then only after
+/// avoid_failed_servers_until or if no other one could run the item. Otherwise
+/// a server that fails every run, and so frees its slots at once, would be
+/// chosen again and again.
 std::optional<samplers::sampler_id>
 item_scheduler::choose_server(samplers::run_placement& placement,
                               const samplers::run_requirements& requirements,
@@ -132,8 +136,8 @@
     if (row.is_resubmitted) {
         return resubmitted_priority;
     }
-    return row.content.expected_output_tokens > long_run_tokens
-               ? long_run_priority
+    return row.content.expected_output_tokens > long_output_tokens
+               ? long_output_priority
                : default_priority;
 }
 
--- a/packages/batch/src/item_scheduler_texts.cpp
+++ b/packages/batch/src/item_scheduler_texts.cpp
@@ -27,20 +27,21 @@
     }
     ++counts_.resubmitted_items;
     const auto& versions = cached->second.output.versions;
-    const bool is_admitted =
+    const bool has_required_versions =
         std::all_of(versions.begin(), versions.end(), [&](auto version) {
             return version >= job.header.min_version;
         });
     // The earlier step ended without this item, which says more about its
-    // length than the caller's estimate.
+    // length than the caller's estimate: half of the text is assumed to be
+    // missing.
     row.content.expected_output_tokens =
         std::max<std::int64_t>(row.content.expected_output_tokens,
                                2 * token_estimator_.estimate_tokens(
                                        cached->second.output.event_count));
     row.is_resubmitted = true;
-    const bool usable =
-        is_admitted && table_.is_enabled(base::feature::reuse_texts);
-    if (!usable || versions.empty()) {
+    const bool is_usable =
+        has_required_versions && table_.is_enabled(base::feature::reuse_texts);
+    if (!is_usable || versions.empty()) {
         counts_.discarded_events +=
             static_cast<std::uint64_t>(cached->second.output.event_count);
         return;
@@ -115,7 +116,7 @@
         const bool is_too_old = !row.output.versions.empty() &&
                                 row.output.versions.front() < newest->second;
         if (incomplete.count(row.content.group) == 0 || !is_too_old ||
-            row.output.event_count < long_run_events ||
+            row.output.event_count < long_text_events ||
             row.outcome == item_outcome::errored) {
             continue;
         }
--- a/packages/batch/src/owner_lease.cpp
+++ b/packages/batch/src/owner_lease.cpp
@@ -67,7 +67,9 @@
     if (!owner) {
         return current_as_of - store_reachable_since_ >= claim_delay_;
     }
-    // The record names an earlier process of this node, which is gone.
+    // The record is of this node: of an earlier process, which is gone, or of
+    // this one after a handover. A small node waits all the same, so that a
+    // larger one may claim first.
     if (owner->record.node == node_ && !is_small_node_) {
         return true;
     }
--- a/packages/batch/src/records.cpp
+++ b/packages/batch/src/records.cpp
@@ -17,8 +17,9 @@
 
 constexpr char separator = '/';
 
-/// The size of a record without its value: the key and its framing.
-constexpr std::size_t record_overhead_bytes = 512;
+/// Upper bound of the size of a record without its value: the key and its
+/// framing.
+constexpr std::size_t max_record_overhead_bytes = 512;
 
 std::string zero_padded(int number) {
     char text[16];
@@ -353,7 +354,7 @@
     };
     for (auto& i : items) {
         const auto size = to_cbor(to_json(i)).size();
-        if (chunk_bytes + size + record_overhead_bytes > max_record_bytes) {
+        if (chunk_bytes + size + max_record_overhead_bytes > max_record_bytes) {
             flush();
         }
         chunk_bytes += size;
--- a/packages/batch/test/item_scheduler_test.cpp
+++ b/packages/batch/test/item_scheduler_test.cpp
@@ -67,7 +67,7 @@
     }
 
     /// Starts four runs and sends ten events for each.
-    std::vector<start_run> run_four() {
+    std::vector<start_run> start_four_runs() {
         add_job(4);
         auto starts = of_type<start_run>(scheduler_.tick(true));
         for (const auto& s : starts) {
@@ -166,7 +166,8 @@
     const auto first = of_type<start_run>(scheduler_.tick(true)).front();
     scheduler_.on_response_started(first.run, 1);
     scheduler_.on_event(first.run, "1", "e1", {});
-    // Stops at the first effects: the new server responds only below.
+    // Stop ticking once the run has moved: the response of the new server is
+    // simulated below, and until then the new run would count as silent.
     effects moved;
     for (base::millis ms = 0; ms < 2000 && moved.empty(); ms += tick_ms) {
         moved = tick_for(tick_ms);
@@ -188,7 +189,7 @@
 
 // Guards against runs that leave healthy servers because the owner stalled.
 TEST_F(item_scheduler_test, a_stalled_owner_considers_no_run_silent) {
-    const auto starts = run_four();
+    const auto starts = start_four_runs();
     ASSERT_EQ(starts.size(), 4U);
     time_->advance(2000);
     EXPECT_TRUE(of_type<stop_run>(scheduler_.tick(true)).empty());
@@ -216,7 +217,7 @@
 // Guards against runs that stay at a silent server if the owner stalls often.
 TEST_F(item_scheduler_test,
        an_owner_that_stalls_often_still_leaves_silent_servers) {
-    run_four();
+    start_four_runs();
     std::size_t stopped = 0;
     for (int n = 0; n < 100; ++n) {
         time_->advance(400);
@@ -361,8 +362,9 @@
 }
 
 TEST_F(item_scheduler_test, nothing_of_an_ended_job_begins_after_a_standstill) {
-    // The process is suspended while speculative items run, and resumes seconds
-    // later. Starting them again would waste slots on items that no job needs.
+    // The process stalls after a job ended and before its speculative items
+    // start. When it resumes seconds later it must not start them, since no job
+    // needs them any more.
     add_server("c", 2, 2);
     add_job(1);
     const auto start = of_type<start_run>(scheduler_.tick(true)).front();
@@ -426,7 +428,8 @@
 }
 
 TEST_F(item_scheduler_test, a_run_stays_at_its_server_while_no_run_may_start) {
-    // Guards against stopping a healthy run while no run may start.
+    // A run at a slow or draining server has a better one to move to. If no run
+    // may start, it would be stopped and not restarted.
     add_job(1);
     const auto start = of_type<start_run>(scheduler_.tick(true)).front();
     ASSERT_EQ(start.sampler.str(), "a");
--- a/packages/batch/test/owner_partition_test.cpp
+++ b/packages/batch/test/owner_partition_test.cpp
@@ -111,7 +111,8 @@
         calls_.push_back({false, time_->now() + ms, std::move(f), {}});
     }
 
-    /// Gives up all direct calls, since the store is unreachable.
+    /// Called when this node can't reach the store directly: gives up its
+    /// direct calls. Calls that peers relay continue.
     void give_up_direct_calls() {
         run_after(0, [this] {
             for (auto& c : calls_) {
@@ -146,15 +147,15 @@
         const auto action = lease_.next_action(jobs_, watcher_.current_as_of());
         const bool is_due =
             action == lease_action::renew || lease_.is_renewal_overdue();
-        if (!appending_ && is_due) {
-            appending_ = true;
+        if (!append_in_flight_ && is_due) {
+            append_in_flight_ = true;
             const auto expected_end = watcher_.next_offset();
             const auto sent_at = time_->now();
             const std::vector<store::record> records{own_record()};
             log_store_.append(
                 {"journal", 0}, records, &expected_end,
                 [this, records, sent_at](const store::append_result& r) {
-                    appending_ = false;
+                    append_in_flight_ = false;
                     if (const auto* a = base::value_if(r)) {
                         lease_.on_renewed();
                         watcher_.apply_own_append(a->first, records, sent_at);
@@ -219,7 +220,7 @@
              }
          },
          {}}};
-    bool appending_ = false;
+    bool append_in_flight_ = false;
     std::int64_t renewal_count_ = 0;
 };
 
--- a/packages/batch/test/owners_fuzz_test.cpp
+++ b/packages/batch/test/owners_fuzz_test.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 const job_id job("j");
-constexpr int items = 12;
+constexpr int item_count = 12;
 const store::partition journal{"journal", 0};
 
 /// Records what readers at any node saw at each position. This must never
@@ -22,7 +22,7 @@
 class reader_oracle {
 public:
     /// Reads a job table as a reader would. Returns a violation, or "".
-    std::string check(const job_table& jobs) {
+    std::string find_violation(const job_table& jobs) {
         const auto* row = jobs.find(job);
         if (row == nullptr) {
             return "";
@@ -88,10 +88,11 @@
         }
     }
 
-    /// Claims or renews as the product does; `force_claim` also claims without
-    /// a reason.
+    /// Appends the owner record if the lease asks for a claim or a renewal.
+    /// With `force_claim` a node that is not the owner claims even if the lease
+    /// does not ask for it.
     void claim_or_renew(bool force_claim) {
-        if (appending_ || !watcher_.is_loaded()) {
+        if (append_in_flight_ || !watcher_.is_loaded()) {
             return;
         }
         const auto action = lease_.next_action(jobs_, watcher_.current_as_of());
@@ -112,7 +113,7 @@
         std::vector<ready_result> results;
         results.reserve(static_cast<std::size_t>(count));
         for (int n = 0; n < count; ++n) {
-            const int item = (first + n) % items;
+            const int item = (first + n) % item_count;
             results.push_back(
                 {job, item, {item_id(std::to_string(item)), {}, "t", {1}, ""}});
         }
@@ -123,7 +124,7 @@
 
     /// Commits the planned results; the plan may be stale.
     void commit_plan() {
-        if (appending_ || plan_.empty() || !lease_.is_held(jobs_) ||
+        if (append_in_flight_ || plan_.empty() || !lease_.is_held(jobs_) ||
             !is_plan_current(jobs_, plan_)) {
             return;
         }
@@ -138,13 +139,13 @@
 
 private:
     void append(const std::vector<store::record>& records) {
-        appending_ = true;
+        append_in_flight_ = true;
         const auto expected_end = watcher_.next_offset();
         const auto sent_at = clock_.now();
         store_.client().append(
             journal, records, &expected_end,
             [this, records, sent_at](const store::append_result& r) {
-                appending_ = false;
+                append_in_flight_ = false;
                 if (const auto* a = base::value_if(r)) {
                     lease_.on_renewed();
                     watcher_.apply_own_append(a->first, records, sent_at);
@@ -163,7 +164,7 @@
     std::vector<planned_commit> plan_;
     std::int64_t renewal_count_ = 0;
     int name_count_ = 0;
-    bool appending_ = false;
+    bool append_in_flight_ = false;
 };
 
 /// Applies commands to three nodes. Returns a violation that a reader saw, or
@@ -173,7 +174,7 @@
     auto time = std::make_shared<base::manual_time>();
     job_header header;
     header.id = job;
-    header.item_count = items;
+    header.item_count = item_count;
     store.client().append(journal,
                           {{format_key(header_key{job}), encode(header)}},
                           nullptr, [](const auto&) {});
@@ -208,7 +209,8 @@
             store.apply_late_appends();
         }
         for (const auto& n : nodes) {
-            if (auto violation = oracle.check(n->jobs()); !violation.empty()) {
+            if (auto violation = oracle.find_violation(n->jobs());
+                !violation.empty()) {
                 return violation;
             }
         }
--- a/packages/batch/test/records_test.cpp
+++ b/packages/batch/test/records_test.cpp
@@ -54,20 +54,21 @@
 TEST(records_test, parts_of_a_former_owner_are_ignored) {
     // An isolated owner saves a part late, after its successor began to save
     // the same text from the start.
-    progress_part a;
-    a.epoch = 1000;
-    a.event_count = 3;
-    a.text = "old";
-    progress_part b;
-    b.epoch = 2000;
-    b.event_count = 2;
-    b.text = "new";
-    progress_part c = b;
-    c.first_event = 2;
-    c.text = "next";
-    progress_part gap = b;
-    gap.first_event = 7;
-    const auto joined = join_progress_parts({gap, c, a, b});
+    progress_part former_part;
+    former_part.epoch = 1000;
+    former_part.event_count = 3;
+    former_part.text = "old";
+    progress_part first_part;
+    first_part.epoch = 2000;
+    first_part.event_count = 2;
+    first_part.text = "new";
+    progress_part second_part = first_part;
+    second_part.first_event = 2;
+    second_part.text = "next";
+    progress_part after_gap = first_part;
+    after_gap.first_event = 7;
+    const auto joined =
+        join_progress_parts({after_gap, second_part, former_part, first_part});
     EXPECT_EQ(joined.event_count, 4);
     EXPECT_EQ(joined.text, "new\nnext");
 }
--- a/packages/batch/test/retention_test.cpp
+++ b/packages/batch/test/retention_test.cpp
@@ -52,8 +52,8 @@
 }
 
 TEST_F(retention_test, an_end_record_without_a_job_does_not_block_others) {
-    // Guards against a store that fills up because an end record without a job
-    // blocks all other erasures.
+    // Guards against a store that fills up because an end record whose header
+    // is missing blocks all other erasures.
     time_->advance(1);
     put(end_key{job_id("a")}, "1");
     add_job("b");
--- a/packages/batch/test/step_simulation.hpp
+++ b/packages/batch/test/step_simulation.hpp
@@ -21,7 +21,7 @@
     int server_count = 11;
     int slots = 12;
     double event_ms = 34.5;
-    /// Each additional run slows the events of all runs at a server by this
+    /// Each additional run lengthens event_ms of all runs at a server by this
     /// share.
     double slowdown_per_run = 0.015;
     double load_ms = 900;
@@ -361,15 +361,16 @@
             }
         }
         for (auto& t : trainers_) {
+            // An ended step is removed, so the index stays.
             for (std::size_t n = 0; n < t.open_jobs.size();) {
-                n += read_results(t, n) ? 0 : 1;
+                n += read_results_and_end_step(t, n) ? 0 : 1;
             }
         }
     }
 
-    /// Lets a trainer read new results of a step. Returns true if the step has
-    /// ended.
-    bool read_results(trainer& t, std::size_t job_index) {
+    /// Lets a trainer read new results of a step, and ends the step if it has
+    /// read enough groups. Returns true if the step ended and was removed.
+    bool read_results_and_end_step(trainer& t, std::size_t job_index) {
         auto& j = t.open_jobs[job_index];
         const auto now = clock_.now();
         if (now < j.next_read_at || j.unread_items.empty()) {
--- a/packages/batch/test/step_simulation_test.cpp
+++ b/packages/batch/test/step_simulation_test.cpp
@@ -58,16 +58,14 @@
     return sum;
 }
 
-/// Returns the share of a trainer's steps that ended in time.
+/// Returns the share of a trainer's ended steps that ended in time.
 double share_in_time(const trainer_result& r) {
     return static_cast<double>(r.steps_in_time) / std::max(1, r.ended_steps);
 }
 
 // These tests guard against two faults: assigning loads by the number of the
 // version, and not using a server for any model while it loads weights of one.
-// With both faults 164 of 168 steps ended in time, 100 of 111 of the trainers
-// that were not late, and 41 of 114 with slow loads; without them 168 of 168,
-// 112 of 112 and 127 of 162.
+// With both of them many steps ended late.
 
 TEST(step_simulation_test, steps_of_trainers_that_share_servers_end_in_time) {
     // Three trainers share eleven servers and announce more versions than these
@@ -81,8 +79,8 @@
 
 TEST(step_simulation_test, a_late_trainer_does_not_delay_the_others) {
     // One trainer is nine seconds behind the two others, so its versions always
-    // have lower numbers. If it got all loads, the steps of the others would
-    // wait for weights.
+    // have lower numbers. A rollout that assigned loads by version number would
+    // give it all loads, and the steps of the others would wait for weights.
     const trainer_config usual;
     trainer_config late;
     late.start_delay_ms = 9000;
@@ -113,7 +111,7 @@
     // an item that is longer than its caller estimated starts seconds late.
     // Three quarters of the items must find a slot at once. With loads on a
     // sixth of the servers, and no new load before the end of another was
-    // reported, a step found 19.1 servers instead of 22.1.
+    // reported, a step found only 19.1 servers.
     const auto servers = small_servers(50, 10);
     const auto trainer = large_steps();
     for (const auto& r :
--- a/packages/batch/test/wait_simulation.hpp
+++ b/packages/batch/test/wait_simulation.hpp
@@ -94,9 +94,10 @@
         s.runs.clear();
     }
 
-    /// Ends all faults.
+    /// Restarts dead servers, repairs the others, makes the store available and
+    /// lets runs start.
     void clear_faults() {
-        may_start_ = true;
+        may_start_runs_ = true;
         store_available_ = true;
         table_.remove_unlisted();
         for (auto& [id, s] : servers_) {
@@ -110,7 +111,9 @@
         }
     }
 
-    void set_may_start(bool may_start) { may_start_ = may_start; }
+    void set_may_start_runs(bool may_start_runs) {
+        may_start_runs_ = may_start_runs;
+    }
 
     /// While the store is unavailable no registry entry is renewed, and expired
     /// entries are marked as unlisted instead of being removed.
@@ -183,7 +186,7 @@
             renew_entries();
             advance_loads();
             advance_runs();
-            apply_effects(scheduler_.tick(may_start_));
+            apply_effects(scheduler_.tick(may_start_runs_));
             commit_results();
             measure_waits();
         }
@@ -500,7 +503,7 @@
     base::millis longest_wait_ = 0;
     std::int64_t owner_epoch_ = 1;
     int job_count_ = 0;
-    bool may_start_ = true;
+    bool may_start_runs_ = true;
     bool store_available_ = true;
 };
 
--- a/packages/batch/test/waiting_fuzz_test.cpp
+++ b/packages/batch/test/waiting_fuzz_test.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr int servers = 5;
+constexpr int server_count = 5;
 constexpr int runs_per_test = 60;
 constexpr std::size_t max_commands = 200;
 
@@ -85,7 +85,7 @@
     } else if (c.kind < 95) {
         simulation.change_owner();
     } else if (c.kind < 97) {
-        simulation.set_may_start(c.a % 3 != 0);
+        simulation.set_may_start_runs(c.a % 3 != 0);
     } else {
         simulation.set_store_available(c.a % 3 != 0);
     }
@@ -119,7 +119,7 @@
 
 TEST(waiting_fuzz_test, no_item_waits_long_after_faults_end) {
     testing::fuzz("calm", runs_per_test, [](const auto& commands) {
-        wait_simulation simulation(servers);
+        wait_simulation simulation(server_count);
         if (auto violation =
                 apply_commands(simulation, commands, all_command_kinds);
             !violation.empty()) {
@@ -141,7 +141,7 @@
 
 std::string
 run_server_faults(const std::vector<testing::fuzz_command>& commands) {
-    wait_simulation simulation(servers);
+    wait_simulation simulation(server_count);
     auto violation = apply_commands(simulation, commands, server_command_kinds);
     return violation.empty() ? check_wait(simulation, max_faulty_wait_ms)
                              : violation;
