--- a/packages/batch/src/item_scheduler_limits.hpp
+++ b/packages/batch/src/item_scheduler_limits.hpp
@@ -1,9 +1,10 @@
 #pragma once
 
-/// Limits that several parts of `work` share.
+/// Limits shared by the source files of item_scheduler.
 namespace hibiscus::batch {
 
-/// A run with so many events is long: about twice the mean.
-constexpr int long_run_events = 45;
+/// A text with at least this many events is long: about twice the mean of all
+/// texts.
+constexpr int long_text_events = 45;
 
 } // namespace hibiscus::batch
