--- a/packages/entry/src/batch_api.cpp
+++ b/packages/entry/src/batch_api.cpp
@@ -33,11 +33,11 @@
 
 } // namespace
 
-batch_api::batch_api(node_state& state, const store::log_store& store,
-                     store::partition_watcher& journal, const job_store& files,
-                     store::run_after_function after)
-    : state_(state), log_store_(store), journal_(journal), job_store_(files),
-      run_after_(std::move(after)) {}
+batch_api::batch_api(node_state& state, const store::log_store& log_store,
+                     store::partition_watcher& journal, const job_store& jobs,
+                     store::run_after_function run_after)
+    : state_(state), log_store_(log_store), journal_(journal), job_store_(jobs),
+      run_after_(std::move(run_after)) {}
 
 void batch_api::start() {
     sweep_pending_calls();
@@ -48,10 +48,10 @@
 }
 
 void batch_api::submit(batch::job job, base::millis deadline_ms,
-                       std::shared_ptr<transport::response_writer> caller) {
+                       std::shared_ptr<transport::response_writer> response) {
     auto s = std::make_shared<submission>();
     s->header = job.header;
-    s->response = std::move(caller);
+    s->response = std::move(response);
     s->started_at = state_.clock.now();
     s->deadline = s->started_at +
                   (deadline_ms > 0 ? deadline_ms : default_submit_timeout_ms);
@@ -138,53 +138,53 @@
 }
 
 void batch_api::read_results(
-    const adapter::results_request& call,
-    std::shared_ptr<transport::response_writer> caller) {
+    const adapter::results_request& request,
+    std::shared_ptr<transport::response_writer> response) {
     const auto now = state_.clock.now();
-    pending_call w;
-    w.kind = pending_call_kind::results;
-    w.job = call.job;
-    w.from_position = call.after;
-    w.received_at = now;
-    w.wait_until = now + (state_.stopping ? 0 : call.wait_ms);
-    w.response = std::move(caller);
-    response_or_queue(std::move(w));
+    pending_call call;
+    call.kind = pending_call_kind::results;
+    call.job = request.job;
+    call.from_position = request.after;
+    call.received_at = now;
+    call.wait_until = now + (state_.stopping ? 0 : request.wait_ms);
+    call.response = std::move(response);
+    respond_or_enqueue(std::move(call));
 }
 
 void batch_api::read_item_body(
-    const adapter::item_body_request& call,
-    std::shared_ptr<transport::response_writer> caller) {
+    const adapter::item_body_request& request,
+    std::shared_ptr<transport::response_writer> response) {
     const auto now = state_.clock.now();
-    pending_call w;
-    w.kind = pending_call_kind::item_body;
-    w.job = call.job;
-    w.item = call.item;
-    w.received_at = now;
-    w.response = std::move(caller);
-    response_or_queue(std::move(w));
+    pending_call call;
+    call.kind = pending_call_kind::item_body;
+    call.job = request.job;
+    call.item = request.item;
+    call.received_at = now;
+    call.response = std::move(response);
+    respond_or_enqueue(std::move(call));
 }
 
-void batch_api::end_job(const adapter::end_job_request& call,
-                        std::shared_ptr<transport::response_writer> caller) {
-    pending_call w;
-    w.kind = pending_call_kind::job_end;
-    w.job = call.job;
-    w.received_at = state_.clock.now();
-    w.response = std::move(caller);
-    response_or_queue(std::move(w));
+void batch_api::end_job(const adapter::end_job_request& request,
+                        std::shared_ptr<transport::response_writer> response) {
+    pending_call call;
+    call.kind = pending_call_kind::job_end;
+    call.job = request.job;
+    call.received_at = state_.clock.now();
+    call.response = std::move(response);
+    respond_or_enqueue(std::move(call));
 }
 
-void batch_api::response_or_queue(pending_call w) {
-    if (!try_response(w)) {
-        pending_calls_.push_back(std::move(w));
+void batch_api::respond_or_enqueue(pending_call call) {
+    if (!try_respond(call)) {
+        pending_calls_.push_back(std::move(call));
     }
 }
 
 void batch_api::on_jobs_changed() {
-    auto list = std::exchange(pending_calls_, {});
-    for (auto& w : list) {
-        if (!try_response(w)) {
-            pending_calls_.push_back(std::move(w));
+    auto calls = std::exchange(pending_calls_, {});
+    for (auto& call : calls) {
+        if (!try_respond(call)) {
+            pending_calls_.push_back(std::move(call));
         }
     }
 }
@@ -195,267 +195,278 @@
 }
 
 /// Answers a call if it can be answered now.
-bool batch_api::try_response(const pending_call& w) {
-    const auto* row = state_.jobs.find(w.job);
+bool batch_api::try_respond(const pending_call& call) {
+    const auto* row = state_.jobs.find(call.job);
     if (row != nullptr) {
-        switch (w.kind) {
+        switch (call.kind) {
         case pending_call_kind::results:
-            return try_response_read(w, *row);
+            return try_respond_with_results(call, *row);
         case pending_call_kind::item_body:
-            send_item_body(w);
+            send_item_body(call);
             return true;
         case pending_call_kind::job_end:
-            append_job_end(w, state_.clock.now() + default_submit_timeout_ms,
+            append_job_end(call, state_.clock.now() + default_submit_timeout_ms,
                            false);
             return true;
         }
     }
-    if (is_view_current_since(w.received_at)) {
-        send_job_not_found(w);
+    if (is_view_current_since(call.received_at)) {
+        send_job_not_found(call);
         return true;
     }
-    if (state_.clock.now() - w.received_at > view_timeout_ms) {
-        reject_unavailable(w, "view_is_old");
+    if (state_.clock.now() - call.received_at > view_timeout_ms) {
+        reject_unavailable(call, "view_is_old");
         return true;
     }
     return false;
 }
 
-bool batch_api::try_response_read(const pending_call& w,
-                                  const batch::job_row& row) {
-    if (w.from_position < static_cast<std::size_t>(row.next_position())) {
-        load_results(w, row);
+bool batch_api::try_respond_with_results(const pending_call& call,
+                                         const batch::job_row& row) {
+    if (call.from_position < static_cast<std::size_t>(row.next_position())) {
+        load_results(call, row);
         return true;
     }
     const auto now = state_.clock.now();
-    const bool sure = is_view_current_since(w.received_at);
-    if (sure && (now >= w.wait_until || state_.stopping)) {
-        send_empty_results(w, row);
+    const bool is_current = is_view_current_since(call.received_at);
+    if (is_current && (now >= call.wait_until || state_.stopping)) {
+        send_empty_results(call, row);
         return true;
     }
-    if (!sure && now - w.received_at >
-                     std::max(view_timeout_ms, w.wait_until - w.received_at)) {
-        reject_unavailable(w, "view_is_old");
+    if (!is_current &&
+        now - call.received_at >
+            std::max(view_timeout_ms, call.wait_until - call.received_at)) {
+        reject_unavailable(call, "view_is_old");
         return true;
     }
     return false;
 }
 
 /// Refuses a call that needs the store.
-void batch_api::reject_unavailable(const pending_call& w, const char* reason,
+void batch_api::reject_unavailable(const pending_call& call, const char* reason,
                                    int records) {
     state_.log.write(
         "read_refused",
-        {{"job", w.job},
-         {"call", std::string(base::name_of(w.kind))},
-         {"after", static_cast<std::int64_t>(w.from_position)},
-         {"item", w.item},
+        {{"job", call.job},
+         {"call", std::string(base::name_of(call.kind))},
+         {"after", static_cast<std::int64_t>(call.from_position)},
+         {"item", call.item},
          {"reason", reason},
          {"records", records},
-         {"waited_ms", state_.clock.now() - w.received_at},
+         {"waited_ms", state_.clock.now() - call.received_at},
          {"view_age_ms", state_.clock.now() - journal_.current_as_of()}});
     state_.counters.count_response("job", "refused", reason);
-    w.response->send(adapter::not_run_response(store_retry_after_ms));
+    call.response->send(adapter::not_run_response(store_retry_after_ms));
 }
 
 /// Writes what an answer rests on that takes something for absent.
-void batch_api::log_not_found(const char* event, const pending_call& w,
+void batch_api::log_not_found(const char* event, const pending_call& call,
                               const batch::job_row* row, int items) {
     const auto now = state_.clock.now();
-    const auto told = delivered_.find(w.job);
-    const bool is_told = told != delivered_.end();
+    const auto delivered = delivered_.find(call.job);
+    const bool was_delivered = delivered != delivered_.end();
     state_.log.write(
-        event, {{"job", w.job},
-                {"call", std::string(base::name_of(w.kind))},
-                {"after", static_cast<std::int64_t>(w.from_position)},
-                {"item", w.item},
-                {"items", items},
-                {"listed", row == nullptr ? 0 : row->next_position()},
-                {"ended", row != nullptr && row->has_ended},
-                {"told", is_told},
-                {"told_to", static_cast<std::int64_t>(
-                                is_told ? told->second.next_position : 0)},
-                {"told_age_ms", is_told ? now - told->second.delivered_at : 0},
-                {"jobs", static_cast<std::int64_t>(state_.jobs.jobs().size())},
-                {"read_to", journal_.next_offset()},
-                {"waited_ms", now - w.received_at},
-                {"view_age_ms", now - journal_.current_as_of()}});
+        event,
+        {{"job", call.job},
+         {"call", std::string(base::name_of(call.kind))},
+         {"after", static_cast<std::int64_t>(call.from_position)},
+         {"item", call.item},
+         {"items", items},
+         {"listed", row == nullptr ? 0 : row->next_position()},
+         {"ended", row != nullptr && row->has_ended},
+         {"told", was_delivered},
+         {"told_to", static_cast<std::int64_t>(
+                         was_delivered ? delivered->second.next_position : 0)},
+         {"told_age_ms",
+          was_delivered ? now - delivered->second.delivered_at : 0},
+         {"jobs", static_cast<std::int64_t>(state_.jobs.jobs().size())},
+         {"read_to", journal_.next_offset()},
+         {"waited_ms", now - call.received_at},
+         {"view_age_ms", now - journal_.current_as_of()}});
 }
 
-void batch_api::send_job_not_found(const pending_call& w) {
-    log_not_found("job_unknown", w, nullptr, 0);
+void batch_api::send_job_not_found(const pending_call& call) {
+    log_not_found("job_unknown", call, nullptr, 0);
     state_.counters.count_event("job_unknown");
-    if (delivered_.count(w.job) != 0) {
+    if (delivered_.count(call.job) != 0) {
         state_.counters.count_event("told_job_unknown");
     }
-    w.response->send(adapter::status_response(404));
+    call.response->send(adapter::status_response(404));
 }
 
-void batch_api::send_item_not_found(const pending_call& w,
+void batch_api::send_item_not_found(const pending_call& call,
                                     const batch::job_row& row, int items) {
-    log_not_found("item_unknown", w, &row, items);
+    log_not_found("item_unknown", call, &row, items);
     state_.counters.count_event("item_unknown");
-    w.response->send(adapter::status_response(404));
+    call.response->send(adapter::status_response(404));
 }
 
 /// Answers that nothing stands at the position yet.
-void batch_api::send_empty_results(const pending_call& w,
+void batch_api::send_empty_results(const pending_call& call,
                                    const batch::job_row& row) {
-    const auto told = delivered_.find(w.job);
-    if (told != delivered_.end() &&
-        w.from_position < told->second.next_position) {
-        log_not_found("position_empty", w, &row, row.header->item_count);
+    const auto delivered = delivered_.find(call.job);
+    if (delivered != delivered_.end() &&
+        call.from_position < delivered->second.next_position) {
+        log_not_found("position_empty", call, &row, row.header->item_count);
         state_.counters.count_event("position_empty");
     }
-    w.response->send(adapter::results_response(
-        static_cast<std::size_t>(row.header->item_count), w.from_position, {}));
+    call.response->send(adapter::results_response(
+        static_cast<std::size_t>(row.header->item_count), call.from_position,
+        {}));
 }
 
 /// Notes up to which position results of a job were handed out; notes of jobs
 /// that nobody has asked for in the time that results are kept go.
 void batch_api::record_delivery(const batch::job_id& job, std::size_t next) {
     const auto now = state_.clock.now();
-    const auto known = delivered_.find(job);
-    if (known != delivered_.end()) {
-        known->second.next_position =
-            std::max(known->second.next_position, next);
-        known->second.delivered_at = now;
+    const auto entry = delivered_.find(job);
+    if (entry != delivered_.end()) {
+        entry->second.next_position =
+            std::max(entry->second.next_position, next);
+        entry->second.delivered_at = now;
         return;
     }
-    const auto keep = state_.settings.result_retention_ms +
-                      state_.settings.retention_margin_ms;
+    const auto retention_ms = state_.settings.result_retention_ms +
+                              state_.settings.retention_margin_ms;
     for (auto row = delivered_.begin(); row != delivered_.end();) {
-        row = now - row->second.delivered_at > keep ? delivered_.erase(row)
-                                                    : std::next(row);
+        row = now - row->second.delivered_at > retention_ms
+                  ? delivered_.erase(row)
+                  : std::next(row);
     }
     delivered_[job] = {next, now};
 }
 
-void batch_api::load_results(const pending_call& w, const batch::job_row& row) {
-    const auto first =
-        std::prev(row.commits.upper_bound(static_cast<int>(w.from_position)));
+void batch_api::load_results(const pending_call& call,
+                             const batch::job_row& row) {
+    const auto first = std::prev(
+        row.commits.upper_bound(static_cast<int>(call.from_position)));
     job_store_.load_texts(
-        w.job, first->first, first->second.texts_name, max_response_text_bytes,
-        [this, w](const auto& texts) { send_results(w, texts); });
+        call.job, first->first, first->second.texts_name,
+        max_response_text_bytes,
+        [this, call](const auto& texts) { send_results(call, texts); });
 }
 
 /// Answers with the results from the asked position on, as far as their texts
 /// were read.
 void batch_api::send_results(
-    const pending_call& w,
+    const pending_call& call,
     const std::optional<std::vector<store::record>>& texts) {
-    const auto* row = state_.jobs.find(w.job);
+    const auto* row = state_.jobs.find(call.job);
     if (!texts || row == nullptr) {
-        reject_unavailable(w, "no_answer");
+        reject_unavailable(call, "no_answer");
         return;
     }
     std::map<std::string, const std::string*> by_key;
     for (const auto& t : *texts) {
         by_key[t.key] = &t.value;
     }
-    std::vector<batch::item_result> out;
+    std::vector<batch::item_result> selected;
     std::size_t bytes = 0;
-    auto position = w.from_position;
-    for (auto l = std::prev(
-             row->commits.upper_bound(static_cast<int>(w.from_position)));
-         l != row->commits.end(); ++l) {
-        const auto record = by_key.find(
-            batch::texts_key(w.job, l->first, l->second.texts_name));
+    auto position = call.from_position;
+    for (auto commit = std::prev(
+             row->commits.upper_bound(static_cast<int>(call.from_position)));
+         commit != row->commits.end(); ++commit) {
+        const auto record = by_key.find(batch::texts_key(
+            call.job, commit->first, commit->second.texts_name));
         if (record == by_key.end()) {
             break;
         }
         auto results = batch::decode_results(*record->second);
-        if (!results || results->size() != l->second.rows.size()) {
+        if (!results || results->size() != commit->second.rows.size()) {
             state_.log.write("record_skipped",
-                             {{"job", w.job}, {"position", l->first}});
+                             {{"job", call.job}, {"position", commit->first}});
             break;
         }
-        const auto skip = position - static_cast<std::size_t>(l->first);
+        const auto skip = position - static_cast<std::size_t>(commit->first);
         for (std::size_t n = skip; n < results->size(); ++n) {
             bytes += (*results)[n].text.size();
-            if (!out.empty() && bytes > max_response_text_bytes) {
+            if (!selected.empty() && bytes > max_response_text_bytes) {
                 break;
             }
-            out.push_back(std::move((*results)[n]));
+            selected.push_back(std::move((*results)[n]));
             ++position;
         }
         if (bytes > max_response_text_bytes) {
             break;
         }
     }
-    if (out.empty()) {
-        reject_unavailable(w, "texts_missing", static_cast<int>(texts->size()));
+    if (selected.empty()) {
+        reject_unavailable(call, "texts_missing",
+                           static_cast<int>(texts->size()));
         return;
     }
     state_.log.write("read",
-                     {{"job", w.job},
-                      {"after", static_cast<std::int64_t>(w.from_position)},
+                     {{"job", call.job},
+                      {"after", static_cast<std::int64_t>(call.from_position)},
                       {"next", static_cast<std::int64_t>(position)},
                       {"listed", row->next_position()},
                       {"bytes", static_cast<std::int64_t>(bytes)},
-                      {"ms", state_.clock.now() - w.received_at}});
-    record_delivery(w.job, position);
-    w.response->send(adapter::results_response(
-        static_cast<std::size_t>(row->header->item_count), position, out));
+                      {"ms", state_.clock.now() - call.received_at}});
+    record_delivery(call.job, position);
+    call.response->send(adapter::results_response(
+        static_cast<std::size_t>(row->header->item_count), position, selected));
 }
 
-void batch_api::send_item_body(const pending_call& w) {
-    job_store_.load_items(w.job, [this, w](const auto& items) {
+void batch_api::send_item_body(const pending_call& call) {
+    job_store_.load_items(call.job, [this, call](const auto& items) {
         if (!items) {
-            reject_unavailable(w, "no_answer");
+            reject_unavailable(call, "no_answer");
             return;
         }
         const auto found =
             std::find_if(items->begin(), items->end(),
-                         [&](const auto& i) { return i.id == w.item; });
+                         [&](const auto& i) { return i.id == call.item; });
         if (found != items->end()) {
-            w.response->send(adapter::item_body_response(found->body));
+            call.response->send(adapter::item_body_response(found->body));
             return;
         }
-        const auto* row = state_.jobs.find(w.job);
+        const auto* row = state_.jobs.find(call.job);
         const auto count = static_cast<int>(items->size());
         if (row == nullptr || count < row->header->item_count) {
-            reject_unavailable(w, "items_missing", count);
+            reject_unavailable(call, "items_missing", count);
             return;
         }
-        send_item_not_found(w, *row, count);
+        send_item_not_found(call, *row, count);
     });
 }
 
-void batch_api::append_job_end(const pending_call& w, base::millis due,
-                               bool stored_maybe) {
-    const auto* row = state_.jobs.find(w.job);
+void batch_api::append_job_end(const pending_call& call, base::millis deadline,
+                               bool may_be_stored) {
+    const auto* row = state_.jobs.find(call.job);
     if (row != nullptr && row->has_ended) {
-        state_.log.write("end", {{"job", w.job}, {"outcome", "known"}});
-        w.response->send(adapter::status_response(200));
+        state_.log.write("end", {{"job", call.job}, {"outcome", "known"}});
+        call.response->send(adapter::status_response(200));
         return;
     }
     log_store_.append(
-        journal_partition, {{batch::format_key(batch::end_key{w.job}), "1"}},
-        nullptr, [this, w, due, stored_maybe](const store::append_result& r) {
+        journal_partition, {{batch::format_key(batch::end_key{call.job}), "1"}},
+        nullptr,
+        [this, call, deadline, may_be_stored](const store::append_result& r) {
             if (std::holds_alternative<store::appended>(r)) {
                 state_.log.write("end",
-                                 {{"job", w.job},
-                                  {"ms", state_.clock.now() - w.received_at},
+                                 {{"job", call.job},
+                                  {"ms", state_.clock.now() - call.received_at},
                                   {"outcome", "stored"}});
-                w.response->send(adapter::status_response(200));
+                call.response->send(adapter::status_response(200));
                 return;
             }
-            const bool maybe =
-                stored_maybe ||
+            const bool is_unclear =
+                may_be_stored ||
                 std::holds_alternative<store::outcome_unknown>(r);
-            if (maybe && state_.clock.now() + append_retry_delay_ms < due) {
-                run_after_(append_retry_delay_ms,
-                           [this, w, due] { append_job_end(w, due, true); });
+            if (is_unclear &&
+                state_.clock.now() + append_retry_delay_ms < deadline) {
+                run_after_(append_retry_delay_ms, [this, call, deadline] {
+                    append_job_end(call, deadline, true);
+                });
                 return;
             }
             state_.log.write("end",
-                             {{"job", w.job},
-                              {"ms", state_.clock.now() - w.received_at},
-                              {"outcome", maybe ? "unknown" : "refused"}});
-            w.response->send(
-                maybe ? adapter::status_response(504)
-                      : adapter::not_run_response(store_retry_after_ms));
+                             {{"job", call.job},
+                              {"ms", state_.clock.now() - call.received_at},
+                              {"outcome", is_unclear ? "unknown" : "refused"}});
+            call.response->send(
+                is_unclear ? adapter::status_response(504)
+                           : adapter::not_run_response(store_retry_after_ms));
         });
 }
 
--- a/packages/entry/src/batch_api.hpp
+++ b/packages/entry/src/batch_api.hpp
@@ -24,22 +24,22 @@
 /// "nothing yet" need a view that was current after the call came.
 class batch_api {
 public:
-    batch_api(node_state& state, const store::log_store& store,
-              store::partition_watcher& journal, const job_store& files,
-              store::run_after_function after);
+    batch_api(node_state& state, const store::log_store& log_store,
+              store::partition_watcher& journal, const job_store& jobs,
+              store::run_after_function run_after);
 
     /// Starts to look after calls that wait.
     void start();
 
     /// A job was submitted. `deadline_ms` is the caller's patience.
     void submit(batch::job job, base::millis deadline_ms,
-                std::shared_ptr<transport::response_writer> caller);
-    void read_results(const adapter::results_request& call,
-                      std::shared_ptr<transport::response_writer> caller);
-    void read_item_body(const adapter::item_body_request& call,
-                        std::shared_ptr<transport::response_writer> caller);
-    void end_job(const adapter::end_job_request& call,
-                 std::shared_ptr<transport::response_writer> caller);
+                std::shared_ptr<transport::response_writer> response);
+    void read_results(const adapter::results_request& request,
+                      std::shared_ptr<transport::response_writer> response);
+    void read_item_body(const adapter::item_body_request& request,
+                        std::shared_ptr<transport::response_writer> response);
+    void end_job(const adapter::end_job_request& request,
+                 std::shared_ptr<transport::response_writer> response);
 
     /// The ledger has changed: calls that wait may have their answer.
     void on_jobs_changed();
@@ -76,26 +76,28 @@
                             const store::append_result& result);
     void reject(const submission& s, const char* reason);
     void accept(const submission& s, const char* reason);
-    bool try_response(const pending_call& w);
-    bool try_response_read(const pending_call& w, const batch::job_row& row);
-    void load_results(const pending_call& w, const batch::job_row& row);
-    void send_results(const pending_call& w,
+    bool try_respond(const pending_call& call);
+    bool try_respond_with_results(const pending_call& call,
+                                  const batch::job_row& row);
+    void load_results(const pending_call& call, const batch::job_row& row);
+    void send_results(const pending_call& call,
                       const std::optional<std::vector<store::record>>& texts);
-    void send_item_body(const pending_call& w);
-    void reject_unavailable(const pending_call& w, const char* reason,
+    void send_item_body(const pending_call& call);
+    void reject_unavailable(const pending_call& call, const char* reason,
                             int records = 0);
-    void send_job_not_found(const pending_call& w);
-    void send_item_not_found(const pending_call& w, const batch::job_row& row,
-                             int items);
-    void send_empty_results(const pending_call& w, const batch::job_row& row);
-    void log_not_found(const char* event, const pending_call& w,
+    void send_job_not_found(const pending_call& call);
+    void send_item_not_found(const pending_call& call,
+                             const batch::job_row& row, int items);
+    void send_empty_results(const pending_call& call,
+                            const batch::job_row& row);
+    void log_not_found(const char* event, const pending_call& call,
                        const batch::job_row* row, int items);
     void record_delivery(const batch::job_id& job, std::size_t next);
-    void append_job_end(const pending_call& w, base::millis due,
-                        bool stored_maybe);
+    void append_job_end(const pending_call& call, base::millis deadline,
+                        bool may_be_stored);
     bool is_view_current_since(base::millis time) const;
     void sweep_pending_calls();
-    void response_or_queue(pending_call w);
+    void respond_or_enqueue(pending_call call);
 
     node_state& state_;
     const store::log_store& log_store_;
--- a/packages/entry/src/daemon.cpp
+++ b/packages/entry/src/daemon.cpp
@@ -87,8 +87,8 @@
           store_monitor_(
               state_, client_, run_after_,
               [this] { return directory_.nodes().peer_addresses(); }),
-          log_store_(adapter::make_log_store(client_, store_monitor_.link())),
-          operator_follower_(
+          log_store_(adapter::make_log_store(client_, store_monitor_.router())),
+          operator_watcher_(
               log_store_, {adapter::operator_topic, 0}, state_.clock,
               run_after_, {},
               {[this](const auto& c) { on_operator_records(c); }, {}}),
@@ -100,29 +100,33 @@
                    return job_owner_.is_owner() ? 0 : journal_poll_interval_ms;
                }},
               {[this](const auto& c) { on_journal_changed(c); },
-               [this](bool up) { job_owner_.set_store_reachable(up); }}),
+               [this](bool reachable) {
+                   job_owner_.set_store_reachable(reachable);
+               }}),
           job_store_(log_store_, settings.partitions_per_topic,
                      {settings.max_record_bytes, settings.max_append_bytes}),
           directory_(state_, log_store_, run_after_),
           forwarder_(state_, client_),
-          job_owner_(state_, log_store_, store_monitor_.link(), journal_,
+          job_owner_(state_, log_store_, store_monitor_.router(), journal_,
                      job_store_, client_, forwarder_, run_after_),
           batch_api_(state_, log_store_, journal_, job_store_, run_after_),
           caller_server_(
               io_, {},
-              [this](auto r, auto e) {
-                  on_caller_request(std::move(r), std::move(e));
+              [this](auto r, auto response) {
+                  on_caller_request(std::move(r), std::move(response));
               },
               {adapter::request_id_header,
-               [this](const auto& cut) { on_request_aborted(cut); }}),
-          readiness_server_(
-              io_, {},
-              [this](const auto& r, auto e) { on_readiness_request(r, *e); }),
-          directory_server_(
-              io_, {},
-              [this](const auto& r, auto e) { on_directory_request(r, *e); }),
-          internal_server_(io_, {}, [this](const auto& r, auto e) {
-              on_internal_request(r, e);
+               [this](const auto& aborted) { on_request_aborted(aborted); }}),
+          readiness_server_(io_, {},
+                            [this](const auto& r, auto response) {
+                                on_readiness_request(r, *response);
+                            }),
+          directory_server_(io_, {},
+                            [this](const auto& r, auto response) {
+                                on_directory_request(r, *response);
+                            }),
+          internal_server_(io_, {}, [this](const auto& r, auto response) {
+              on_internal_request(r, response);
           }) {}
 
     std::optional<listen_error> run() {
@@ -135,7 +139,7 @@
             "start", {{"zone", state_.settings.zone},
                       {"callers", to_string(state_.settings.listen_callers)},
                       {"store", to_string(state_.settings.store)}});
-        operator_follower_.start();
+        operator_watcher_.start();
         registry_.start();
         journal_.start();
         directory_.start();
@@ -202,37 +206,37 @@
     /// read leaves the settings in force as they are.
     void reload_settings(const char* cause) {
         const auto loaded = load_node_settings(settings_path_);
-        const auto* fresh = base::value_if(loaded);
-        if (fresh == nullptr) {
+        const auto* updated = base::value_if(loaded);
+        if (updated == nullptr) {
             state_.log.write("reload", {{"cause", cause}, {"taken", false}});
             return;
         }
-        auto& now = state_.settings;
-        const bool store_moved = !(now.store == fresh->store);
-        now.order_lease_ms = fresh->order_lease_ms;
-        now.server_drain_ms = fresh->server_drain_ms;
-        now.cancel_deadline_ms = fresh->cancel_deadline_ms;
-        now.shutdown_grace_ms = fresh->shutdown_grace_ms;
-        now.result_retention_ms = fresh->result_retention_ms;
-        now.retention_margin_ms = fresh->retention_margin_ms;
-        now.servers_check_fences = fresh->servers_check_fences;
-        now.store = fresh->store;
-        if (store_moved) {
-            store_monitor_.link().set_store_address(now.store);
+        auto& current = state_.settings;
+        const bool store_address_changed = !(current.store == updated->store);
+        current.order_lease_ms = updated->order_lease_ms;
+        current.server_drain_ms = updated->server_drain_ms;
+        current.cancel_deadline_ms = updated->cancel_deadline_ms;
+        current.shutdown_grace_ms = updated->shutdown_grace_ms;
+        current.result_retention_ms = updated->result_retention_ms;
+        current.retention_margin_ms = updated->retention_margin_ms;
+        current.servers_check_fences = updated->servers_check_fences;
+        current.store = updated->store;
+        if (store_address_changed) {
+            store_monitor_.router().set_store_address(current.store);
         }
-        state_.log.write("reload",
-                         {{"cause", cause},
-                          {"taken", true},
-                          {"store_moved", store_moved},
-                          {"needs_restart", listen_addresses_differ(*fresh)}});
+        state_.log.write(
+            "reload", {{"cause", cause},
+                       {"taken", true},
+                       {"store_moved", store_address_changed},
+                       {"needs_restart", listen_addresses_differ(*updated)}});
     }
 
-    bool listen_addresses_differ(const node_settings& fresh) const {
-        const auto& now = state_.settings;
-        return !(now.listen_callers == fresh.listen_callers &&
-                 now.listen_readiness == fresh.listen_readiness &&
-                 now.listen_directory == fresh.listen_directory &&
-                 now.listen_metrics == fresh.listen_metrics);
+    bool listen_addresses_differ(const node_settings& updated) const {
+        const auto& current = state_.settings;
+        return !(current.listen_callers == updated.listen_callers &&
+                 current.listen_readiness == updated.listen_readiness &&
+                 current.listen_directory == updated.listen_directory &&
+                 current.listen_metrics == updated.listen_metrics);
     }
 
     std::string read_settings_file() const {
@@ -270,14 +274,17 @@
     }
 
     void advance_shutdown() {
-        const auto since = state_.clock.now() - shutdown_started_at_;
-        const auto latest = state_.settings.shutdown_grace_ms - exit_margin_ms;
-        const auto close_by = latest - connection_close_ms;
-        if (since >= close_by || (handed_over_ && since >= min_shutdown_ms)) {
+        const auto elapsed_ms = state_.clock.now() - shutdown_started_at_;
+        const auto exit_deadline_ms =
+            state_.settings.shutdown_grace_ms - exit_margin_ms;
+        const auto close_deadline_ms = exit_deadline_ms - connection_close_ms;
+        if (elapsed_ms >= close_deadline_ms ||
+            (handed_over_ && elapsed_ms >= min_shutdown_ms)) {
             close_servers();
         }
-        if ((handed_over_ && are_servers_closed()) || since >= latest) {
-            finish_shutdown(since);
+        if ((handed_over_ && are_servers_closed()) ||
+            elapsed_ms >= exit_deadline_ms) {
+            finish_shutdown(elapsed_ms);
             return;
         }
         run_after(shutdown_poll_interval_ms, [this] { advance_shutdown(); });
@@ -298,12 +305,12 @@
                            [](const auto* s) { return s->is_closed(); });
     }
 
-    void finish_shutdown(base::millis took) {
+    void finish_shutdown(base::millis elapsed_ms) {
         state_.log.write(
             "stop", {{"in_flight",
                       static_cast<int>(caller_server_.requests_in_flight())},
                      {"handed_over", handed_over_},
-                     {"ms", took}});
+                     {"ms", elapsed_ms}});
         close_servers();
         // Requests that were read may wait for their handlers' turn.
         asio::post(io_, [this] {
@@ -359,9 +366,10 @@
              {"before",
               state_.configuration ? state_.configuration->version : 0},
              {"routes", static_cast<int>(next.routes.size())}});
-        const auto& l = next.limits;
-        caller_server_.set_limits({l.max_header_bytes, l.max_body_bytes,
-                                   l.header_timeout_ms, l.idle_timeout_ms});
+        const auto& limits = next.limits;
+        caller_server_.set_limits(
+            {limits.max_header_bytes, limits.max_body_bytes,
+             limits.header_timeout_ms, limits.idle_timeout_ms});
         for (const auto& s : next.sampler_services) {
             state_.samplers.set_memory_tokens(samplers::service_name(s.name),
                                               s.kv_capacity_tokens);
@@ -381,18 +389,18 @@
     }
 
     void on_readiness_request(const transport::inbound_request& request,
-                              transport::response_writer& answer) {
+                              transport::response_writer& response) {
         const bool ready = adapter::is_readiness_request(request) &&
                            !state_.stopping && state_.configuration &&
                            registry_.is_loaded() && journal_.is_loaded();
-        answer.send(adapter::status_response(ready ? 200 : 503));
+        response.send(adapter::status_response(ready ? 200 : 503));
     }
 
     void on_directory_request(const transport::inbound_request& request,
-                              transport::response_writer& answer) {
+                              transport::response_writer& response) {
         const auto call = adapter::parse_resolve_request(request);
         if (!call) {
-            answer.send(adapter::status_response(404));
+            response.send(adapter::status_response(404));
             return;
         }
         auto addresses =
@@ -400,21 +408,21 @@
         if (addresses.empty() && !state_.stopping) {
             addresses.push_back(state_.settings.listen_callers);
         }
-        answer.send(adapter::resolve_response(addresses, directory_ttl_s));
+        response.send(adapter::resolve_response(addresses, directory_ttl_s));
     }
 
     /// Answers other nodes, whose calls to the store it passes on, and the
     /// collector of metrics.
     void on_internal_request(
         const transport::inbound_request& request,
-        const std::shared_ptr<transport::response_writer>& answer) {
+        const std::shared_ptr<transport::response_writer>& response) {
         if (!adapter::relay_to_store(client_, state_.settings.store, request,
-                                     answer)) {
-            send_metrics(*answer);
+                                     response)) {
+            send_metrics(*response);
         }
     }
 
-    void send_metrics(transport::response_writer& answer) {
+    void send_metrics(transport::response_writer& response) {
         const auto c = client_.counts();
         state_.counters.set("connections_opened",
                             static_cast<double>(c.connections_opened));
@@ -430,66 +438,69 @@
         state_.counters.set(
             "records_unreadable",
             static_cast<double>(state_.jobs.unreadable_records()));
-        answer.send({200,
-                     {{"Content-Type", "text/plain"}},
-                     state_.counters.serialize()});
+        response.send({200,
+                       {{"Content-Type", "text/plain"}},
+                       state_.counters.serialize()});
     }
 
-    void on_caller_request(transport::inbound_request request,
-                           std::shared_ptr<transport::response_writer> answer) {
+    void
+    on_caller_request(transport::inbound_request request,
+                      std::shared_ptr<transport::response_writer> response) {
         std::visit(base::overloaded{
                        [&](const adapter::results_request& c) {
-                           batch_api_.read_results(c, std::move(answer));
+                           batch_api_.read_results(c, std::move(response));
                        },
                        [&](const adapter::item_body_request& c) {
-                           batch_api_.read_item_body(c, std::move(answer));
+                           batch_api_.read_item_body(c, std::move(response));
                        },
                        [&](const adapter::end_job_request& c) {
-                           batch_api_.end_job(c, std::move(answer));
+                           batch_api_.end_job(c, std::move(response));
                        },
                        [&](const adapter::routed_request& c) {
                            on_routed_request(c, std::move(request),
-                                             std::move(answer));
+                                             std::move(response));
                        }},
                    adapter::parse_client_request(request));
     }
 
     /// Tells of a request that has ended without a complete answer.
-    void on_request_aborted(const transport::aborted_request& cut) {
-        const std::string cause(base::name_of(cut.cause));
+    void on_request_aborted(const transport::aborted_request& aborted) {
+        const std::string cause(base::name_of(aborted.cause));
         state_.counters.count_response("caller", "cut", cause);
-        state_.log.write("request_cut", {{"id", cut.request_id},
-                                         {"target", cut.target},
-                                         {"cause", cause},
-                                         {"age_ms", cut.age_ms},
-                                         {"answer_began", cut.response_started},
-                                         {"stopping", state_.stopping}});
+        state_.log.write("request_cut",
+                         {{"id", aborted.request_id},
+                          {"target", aborted.target},
+                          {"cause", cause},
+                          {"age_ms", aborted.age_ms},
+                          {"answer_began", aborted.response_started},
+                          {"stopping", state_.stopping}});
     }
 
-    void on_routed_request(const adapter::routed_request& call,
-                           transport::inbound_request request,
-                           std::shared_ptr<transport::response_writer> answer) {
+    void
+    on_routed_request(const adapter::routed_request& call,
+                      transport::inbound_request request,
+                      std::shared_ptr<transport::response_writer> response) {
         if (!state_.configuration) {
             // A node that knows no configuration can't say what does not
             // exist.
             log_rejection(call, "no_configuration");
-            answer->send(adapter::not_run_response(startup_retry_after_ms));
+            response->send(adapter::not_run_response(startup_retry_after_ms));
             return;
         }
         const auto* r = gateway::find_route(*state_.configuration, call.host,
                                             request.target);
         if (r == nullptr) {
             log_rejection(call, "no_route");
-            answer->send(adapter::status_response(404));
+            response->send(adapter::status_response(404));
             return;
         }
         if (r->kind == gateway::route_kind::batch) {
-            on_submission(call, request, std::move(answer));
+            on_submission(call, request, std::move(response));
             return;
         }
         forwarder_.forward_to_caller(
             make_forward_request(call, *r, std::move(request)),
-            std::move(answer));
+            std::move(response));
     }
 
     void log_rejection(const adapter::routed_request& call,
@@ -505,14 +516,15 @@
 
     void on_submission(const adapter::routed_request& call,
                        const transport::inbound_request& request,
-                       std::shared_ptr<transport::response_writer> answer) {
+                       std::shared_ptr<transport::response_writer> response) {
         auto job = adapter::decode_job(request, call);
         if (!job) {
             log_rejection(call, "no_job");
-            answer->send(adapter::status_response(400));
+            response->send(adapter::status_response(400));
             return;
         }
-        batch_api_.submit(std::move(*job), call.deadline_ms, std::move(answer));
+        batch_api_.submit(std::move(*job), call.deadline_ms,
+                          std::move(response));
     }
 
     forward_request make_forward_request(const adapter::routed_request& call,
@@ -536,12 +548,12 @@
         f.streaming = r.kind == gateway::route_kind::streaming;
         f.resumable = f.streaming && r.resumable;
         f.retryable = r.kind == gateway::route_kind::idempotent || f.resumable;
-        auto time =
+        auto timeout_ms =
             call.deadline_ms > 0 ? call.deadline_ms : default_deadline_ms;
         if (r.timeout_ms > 0) {
-            time = std::min(time, r.timeout_ms);
+            timeout_ms = std::min(timeout_ms, r.timeout_ms);
         }
-        f.deadline = state_.clock.now() + time;
+        f.deadline = state_.clock.now() + timeout_ms;
         f.latency_target_ms = r.latency_target_ms;
         return f;
     }
@@ -556,7 +568,7 @@
     store::run_after_function run_after_;
     store_monitor store_monitor_;
     store::log_store log_store_;
-    store::partition_watcher operator_follower_;
+    store::partition_watcher operator_watcher_;
     server_registry registry_;
     store::partition_watcher journal_;
     job_store job_store_;
--- a/packages/entry/src/forwarder.cpp
+++ b/packages/entry/src/forwarder.cpp
@@ -39,9 +39,9 @@
     forward_attempts(node_state& state, transport::upstream_client& client,
                      forward_request request,
                      std::function<void(forward_result)> done,
-                     std::shared_ptr<transport::response_writer> sink)
+                     std::shared_ptr<transport::response_writer> response)
         : state_(state), client_(client), request_(std::move(request)),
-          on_done_(std::move(done)), response_(std::move(sink)),
+          on_done_(std::move(done)), response_(std::move(response)),
           started_at_(state.clock.now()) {}
 
     void try_next_server() {
@@ -49,23 +49,23 @@
             return;
         }
         const auto now = state_.clock.now();
-        const auto left = request_.deadline - now - response_margin_ms;
-        if (left <= 0) {
+        const auto remaining_ms = request_.deadline - now - response_margin_ms;
+        if (remaining_ms <= 0) {
             fail(true);
             return;
         }
-        const auto to = attempts_ < request_.max_attempts
-                            ? samplers::choose_plain_server(
-                                  state_.samplers, request_.service,
-                                  state_.settings.zone, tried_, now)
-                            : std::nullopt;
-        if (!to) {
+        const auto server = attempts_ < request_.max_attempts
+                                ? samplers::choose_plain_server(
+                                      state_.samplers, request_.service,
+                                      state_.settings.zone, tried_, now)
+                                : std::nullopt;
+        if (!server) {
             fail(false);
             return;
         }
-        tried_.insert(*to);
+        tried_.insert(*server);
         ++attempts_;
-        send_to(*to, left, request_.retryable);
+        send_attempt(*server, remaining_ms, request_.retryable);
     }
 
     void cancel() override {
@@ -83,55 +83,57 @@
     }
 
 private:
-    void send_to(const samplers::sampler_id& to, base::millis left,
-                 bool reuse) {
-        server_ = to;
+    void send_attempt(const samplers::sampler_id& server,
+                      base::millis remaining_ms, bool reuse_connection) {
+        server_ = server;
         attempt_sent_at_ = state_.clock.now();
         head_ = {};
         body_.clear();
         event_assembler_.discard_partial_event();
         forwarding_stream_ = false;
-        const auto* row = state_.samplers.find(to);
-        auto content = request_.http_request;
+        const auto* row = state_.samplers.find(server);
+        auto upstream_request = request_.http_request;
         if (!last_event_id_.empty()) {
-            adapter::set_resume_position(content, last_event_id_);
+            adapter::set_resume_position(upstream_request, last_event_id_);
         }
-        adapter::set_server_headers(content, to, left);
+        adapter::set_server_headers(upstream_request, server, remaining_ms);
         transport::upstream_call_options options;
-        options.connect_timeout_ms = std::min(connect_timeout_ms, left);
-        options.total_timeout_ms = left;
+        options.connect_timeout_ms = std::min(connect_timeout_ms, remaining_ms);
+        options.total_timeout_ms = remaining_ms;
         if (!request_.streaming && request_.retryable &&
             attempts_ < request_.max_attempts) {
-            const auto usual =
+            const auto expected_ms =
                 static_cast<base::millis>(row->mean_response_ms) *
                 attempt_timeout_factor;
-            options.total_timeout_ms =
-                std::min(left, std::max(min_attempt_timeout_ms, usual));
+            options.total_timeout_ms = std::min(
+                remaining_ms, std::max(min_attempt_timeout_ms, expected_ms));
         }
         if (request_.resumable && attempts_ < request_.max_attempts) {
             options.idle_timeout_ms = stream_idle_timeout_ms;
         }
-        options.reuse_connection = reuse;
+        options.reuse_connection = reuse_connection;
         transport::upstream_callbacks events;
         events.on_head = [self = shared_from_this()](const auto& h) {
             self->on_head(h);
         };
-        events.on_data = [self = shared_from_this()](std::string_view piece) {
-            self->on_data(piece);
+        events.on_data = [self = shared_from_this()](std::string_view data) {
+            self->on_data(data);
         };
-        events.on_end = [self = shared_from_this()](
-                            transport::call_outcome end) { self->on_end(end); };
-        state_.samplers.on_request_started(to);
-        call_ =
-            client_.start(row->registered.address, std::move(content), options,
-                          std::move(events), adapter::request_id_header);
+        events.on_end =
+            [self = shared_from_this()](transport::call_outcome outcome) {
+                self->on_end(outcome);
+            };
+        state_.samplers.on_request_started(server);
+        call_ = client_.start(row->registered.address,
+                              std::move(upstream_request), options,
+                              std::move(events), adapter::request_id_header);
     }
 
     void on_head(const transport::response_head& head) {
         head_ = head;
-        const auto a = adapter::parse_response_head(head);
+        const auto parsed = adapter::parse_response_head(head);
         if (request_.streaming && response_ && head.status / 100 == 2 &&
-            !a.signature.empty()) {
+            !parsed.signature.empty()) {
             forwarding_stream_ = true;
             // A stream that goes on keeps the head of its first server.
             if (!std::exchange(response_started_, true)) {
@@ -140,24 +142,24 @@
         }
     }
 
-    void on_data(std::string_view piece) {
+    void on_data(std::string_view data) {
         if (!forwarding_stream_) {
-            body_ += piece;
+            body_ += data;
         } else if (!request_.resumable) {
-            response_->write(piece);
+            response_->write(data);
         } else {
-            auto whole = event_assembler_.feed(piece);
-            if (!whole.last_event_id.empty()) {
-                last_event_id_ = std::move(whole.last_event_id);
+            auto is_complete = event_assembler_.feed(data);
+            if (!is_complete.last_event_id.empty()) {
+                last_event_id_ = std::move(is_complete.last_event_id);
             }
-            if (!whole.bytes.empty()) {
+            if (!is_complete.bytes.empty()) {
                 events_forwarded_ = true;
-                response_->write(whole.bytes);
+                response_->write(is_complete.bytes);
             }
         }
     }
 
-    void on_end(transport::call_outcome end) {
+    void on_end(transport::call_outcome outcome) {
         connection_reused_ = call_ && !call_->opened_connection();
         connections_opened_ += connection_reused_ ? 0 : 1;
         call_.reset();
@@ -165,28 +167,28 @@
         if (finished_) {
             return;
         }
-        const bool whole =
-            end == transport::call_outcome::complete ||
-            end == transport::call_outcome::closed_without_length;
+        const bool is_complete =
+            outcome == transport::call_outcome::complete ||
+            outcome == transport::call_outcome::closed_without_length;
         if (forwarding_stream_) {
-            on_stream_end(end);
+            on_stream_end(outcome);
             return;
         }
-        if (!whole) {
-            on_attempt_failed(end);
+        if (!is_complete) {
+            on_attempt_failed(outcome);
             return;
         }
         on_response();
     }
 
-    void on_stream_end(transport::call_outcome end) {
+    void on_stream_end(transport::call_outcome outcome) {
         // A resumable stream without a length that ends with its connection
         // may have been cut between two events.
-        const bool whole =
-            end == transport::call_outcome::complete ||
-            (end == transport::call_outcome::closed_without_length &&
+        const bool is_complete =
+            outcome == transport::call_outcome::complete ||
+            (outcome == transport::call_outcome::closed_without_length &&
              !request_.resumable);
-        if (whole) {
+        if (is_complete) {
             finished_ = true;
             response_->finish();
             may_have_executed_ = true;
@@ -197,11 +199,11 @@
         }
         state_.samplers.on_failure(server_);
         may_have_executed_ = true;
-        count_attempt(std::string(base::name_of(end)));
+        count_attempt(std::string(base::name_of(outcome)));
         // Events without an id can't be named to the next server; it would
         // send them again.
-        const bool can_go_on = !events_forwarded_ || !last_event_id_.empty();
-        if (request_.resumable && can_go_on) {
+        const bool can_resume = !events_forwarded_ || !last_event_id_.empty();
+        if (request_.resumable && can_resume) {
             log("stream", "moves");
             try_next_server();
             return;
@@ -221,20 +223,20 @@
     /// that has ended says nothing about its server.
     void retry_same_server() {
         const auto* row = state_.samplers.find(server_);
-        const auto left =
+        const auto remaining_ms =
             request_.deadline - state_.clock.now() - response_margin_ms;
-        if (row == nullptr || row->registered.draining || left <= 0) {
+        if (row == nullptr || row->registered.draining || remaining_ms <= 0) {
             try_next_server();
             return;
         }
-        send_to(samplers::sampler_id(server_), left, false);
+        send_attempt(samplers::sampler_id(server_), remaining_ms, false);
     }
 
-    void on_attempt_failed(transport::call_outcome end) {
+    void on_attempt_failed(transport::call_outcome outcome) {
         may_have_executed_ =
-            may_have_executed_ || end != transport::call_outcome::not_sent;
-        log_attempt(std::string(base::name_of(end)));
-        if (end == transport::call_outcome::stale_connection) {
+            may_have_executed_ || outcome != transport::call_outcome::not_sent;
+        log_attempt(std::string(base::name_of(outcome)));
+        if (outcome == transport::call_outcome::stale_connection) {
             retry_same_server();
             return;
         }
@@ -242,19 +244,20 @@
         if (!may_have_executed_ || request_.retryable) {
             try_next_server();
         } else {
-            fail(end == transport::call_outcome::total_timeout);
+            fail(outcome == transport::call_outcome::total_timeout);
         }
     }
 
     void on_response() {
-        const auto a = adapter::parse_response_head(head_);
-        if (a.not_run || a.misdirected) {
+        const auto parsed = adapter::parse_response_head(head_);
+        if (parsed.not_run || parsed.misdirected) {
             state_.samplers.block(server_, refusal_backoff_ms);
             log_attempt("refused");
             try_next_server();
             return;
         }
-        if (response_started_ || (a.status / 100 == 2 && a.signature.empty())) {
+        if (response_started_ ||
+            (parsed.status / 100 == 2 && parsed.signature.empty())) {
             // Bytes that no server signed are not its answer, and what does
             // not go on with a stream is none to one that began.
             on_attempt_failed(transport::call_outcome::broken);
@@ -263,15 +266,15 @@
         state_.samplers.on_response(server_,
                                     state_.clock.now() - attempt_sent_at_);
         may_have_executed_ = true;
-        if (a.implies_not_run && !request_.retryable) {
+        if (parsed.implies_not_run && !request_.retryable) {
             // Without the server's word that it did not run, callers must not
             // read so in the status.
             log_attempt("unclear");
             fail(false);
             return;
         }
-        if (a.status >= 500) {
-            failed_attempts_ += a.status == 500 ? 1 : 0;
+        if (parsed.status >= 500) {
+            failed_attempts_ += parsed.status == 500 ? 1 : 0;
             if (request_.retry_server_errors && request_.retryable &&
                 attempts_ < request_.max_attempts) {
                 log_attempt("failed");
@@ -280,7 +283,7 @@
             }
         }
         count_attempt("answered");
-        finish(forwarded_response{head_, std::move(body_), a.signature,
+        finish(forwarded_response{head_, std::move(body_), parsed.signature,
                                   failed_attempts_});
     }
 
@@ -297,13 +300,13 @@
         if (std::exchange(finished_, true)) {
             return;
         }
-        const bool answered =
+        const bool has_response =
             std::holds_alternative<forwarded_response>(result);
-        log("forward", answered ? "answered" : "given_up");
+        log("forward", has_response ? "answered" : "given_up");
         state_.counters.observe(request_.kind,
                                 state_.clock.now() - started_at_);
-        count_request(answered ? "answered" : "given_up",
-                      answered ? std::to_string(head_.status) : "");
+        count_request(has_response ? "answered" : "given_up",
+                      has_response ? std::to_string(head_.status) : "");
         if (response_) {
             respond_to_caller(result);
         } else if (on_done_) {
@@ -392,21 +395,21 @@
 constexpr base::millis retry_after_ms = 100;
 
 void forward_attempts::respond_to_caller(const forward_result& result) {
-    std::visit(
-        base::overloaded{
-            [&](const forwarded_response& f) {
-                response_->send(
-                    {f.head.status, end_to_end_headers(f.head), f.body});
-            },
-            [&](const forward_failure& n) {
-                if (!n.may_have_executed) {
-                    response_->send(adapter::not_run_response(retry_after_ms));
-                } else {
-                    response_->send(
-                        adapter::status_response(n.timed_out ? 504 : 502));
-                }
-            }},
-        result);
+    std::visit(base::overloaded{
+                   [&](const forwarded_response& f) {
+                       response_->send(
+                           {f.head.status, end_to_end_headers(f.head), f.body});
+                   },
+                   [&](const forward_failure& failure) {
+                       if (!failure.may_have_executed) {
+                           response_->send(
+                               adapter::not_run_response(retry_after_ms));
+                       } else {
+                           response_->send(adapter::status_response(
+                               failure.timed_out ? 504 : 502));
+                       }
+                   }},
+               result);
 }
 
 } // namespace
@@ -414,19 +417,19 @@
 std::shared_ptr<active_forward>
 forwarder::send(forward_request request,
                 std::function<void(forward_result)> done) {
-    auto series = std::make_shared<forward_attempts>(
+    auto attempts = std::make_shared<forward_attempts>(
         state_, client_, std::move(request), std::move(done), nullptr);
-    series->try_next_server();
-    return series;
+    attempts->try_next_server();
+    return attempts;
 }
 
 void forwarder::forward_to_caller(
     forward_request request,
-    std::shared_ptr<transport::response_writer> caller) {
-    auto series = std::make_shared<forward_attempts>(
-        state_, client_, std::move(request), nullptr, caller);
-    caller->on_disconnect([series] { series->cancel(); });
-    series->try_next_server();
+    std::shared_ptr<transport::response_writer> response) {
+    auto attempts = std::make_shared<forward_attempts>(
+        state_, client_, std::move(request), nullptr, response);
+    response->on_disconnect([attempts] { attempts->cancel(); });
+    attempts->try_next_server();
 }
 
 } // namespace hibiscus::entry
--- a/packages/entry/src/forwarder.hpp
+++ b/packages/entry/src/forwarder.hpp
@@ -76,8 +76,9 @@
 
     /// Sends a request whose answer goes to a caller. It is given up if the
     /// caller leaves.
-    void forward_to_caller(forward_request request,
-                           std::shared_ptr<transport::response_writer> caller);
+    void
+    forward_to_caller(forward_request request,
+                      std::shared_ptr<transport::response_writer> response);
 
 private:
     node_state& state_;
--- a/packages/entry/src/job_owner.cpp
+++ b/packages/entry/src/job_owner.cpp
@@ -33,23 +33,23 @@
 
 } // namespace
 
-job_owner::job_owner(node_state& state, const store::log_store& store,
-                     const store::store_router& link,
-                     store::partition_watcher& journal, const job_store& files,
-                     transport::upstream_client& client, forwarder& requests,
-                     store::run_after_function after)
-    : state_(state), log_store_(store), link_(link), journal_(journal),
-      job_store_(files), client_(client), forwarder_(requests),
-      run_after_(std::move(after)), work_(state.clock, state.samplers),
-      rollout_(state.clock),
+job_owner::job_owner(node_state& state, const store::log_store& log_store,
+                     const store::store_router& router,
+                     store::partition_watcher& journal, const job_store& jobs,
+                     transport::upstream_client& client,
+                     forwarder& request_forwarder,
+                     store::run_after_function run_after)
+    : state_(state), log_store_(log_store), store_router_(router),
+      journal_(journal), job_store_(jobs), client_(client),
+      forwarder_(request_forwarder), run_after_(std::move(run_after)),
+      scheduler_(state.clock, state.samplers), rollout_(state.clock),
       incarnation_(std::to_string(state.random_engine()) + "-" +
                    std::to_string(state.random_engine())),
-      ownership_(
-          state.clock, state.settings.node, incarnation_, {},
-          state.random_fraction(),
-          state.settings.features.is_enabled(base::feature::owner_by_size)
-              ? state.settings.cpu_share
-              : 1),
+      lease_(state.clock, state.settings.node, incarnation_, {},
+             state.random_fraction(),
+             state.settings.features.is_enabled(base::feature::owner_by_size)
+                 ? state.settings.cpu_share
+                 : 1),
       handover_(state.clock) {}
 
 void job_owner::start() {
@@ -57,14 +57,14 @@
 }
 
 bool job_owner::is_owner() const {
-    return !handover_.has_ended() && ownership_.is_held(state_.jobs);
+    return !handover_.has_ended() && lease_.is_held(state_.jobs);
 }
 
-void job_owner::set_store_reachable(bool up) {
-    ownership_.set_store_reachable(up);
+void job_owner::set_store_reachable(bool reachable) {
+    lease_.set_store_reachable(reachable);
 }
 
-bool job_owner::is_store_current() const {
+bool job_owner::is_journal_current() const {
     const auto age = state_.clock.now() - journal_.current_as_of();
     return journal_.is_loaded() &&
            age < state_.settings.cancel_deadline_ms / cancel_deadline_divisor;
@@ -73,10 +73,10 @@
 /// New items start only while this node would know if their job had ended.
 bool job_owner::may_start_items() const {
     return !handover_.has_begun() &&
-           (is_store_current() || link_.is_store_down_for_all());
+           (is_journal_current() || store_router_.is_store_down_for_all());
 }
 
-void job_owner::claim_ownership() {
+void job_owner::claim_lease() {
     if (appending_) {
         return;
     }
@@ -94,7 +94,7 @@
     const bool owns_now = is_owner();
     if (owns_now != was_owner_) {
         was_owner_ = owns_now;
-        on_ownership_changed(owns_now);
+        on_owner_changed(owns_now);
         return;
     }
     if (!owns_now) {
@@ -104,37 +104,39 @@
         const auto* row = state_.jobs.find(id);
         if (row != nullptr && row->has_ended) {
             log_slow_items(id, *row);
-            apply_effects(work_.remove_job(id));
+            apply_effects(scheduler_.remove_job(id));
             erase_progress(id);
         } else if (row != nullptr) {
-            apply_effects(work_.on_committed(id, row->committed_items));
+            apply_effects(scheduler_.on_committed(id, row->committed_items));
         }
     }
     load_open_jobs();
 }
 
-void job_owner::on_ownership_changed(bool mine) {
-    const auto& o = state_.jobs.owner();
-    state_.log.write("owner", {{"mine", mine},
-                               {"node", o ? o->record.node.str() : ""},
-                               {"fence", o ? o->record.fencing_token : 0},
-                               {"read_to", journal_.next_offset()}});
-    if (mine) {
+void job_owner::on_owner_changed(bool gained) {
+    const auto& owner = state_.jobs.owner();
+    state_.log.write("owner",
+                     {{"mine", gained},
+                      {"node", owner ? owner->record.node.str() : ""},
+                      {"fence", owner ? owner->record.fencing_token : 0},
+                      {"read_to", journal_.next_offset()}});
+    if (gained) {
         // Another owner's order may still be under way, and a server that
         // does not check fences would carry it out after this owner's. Where
         // they check, and for the first owner of all and one that follows on
         // itself, there is nothing to wait for.
-        const bool alone = o->record.fencing_token == 0 ||
-                           previous_owner_ == state_.settings.node ||
-                           state_.settings.servers_check_fences;
+        const bool may_order_now = owner->record.fencing_token == 0 ||
+                                   previous_owner_ == state_.settings.node ||
+                                   state_.settings.servers_check_fences;
         orders_allowed_at_ =
-            state_.clock.now() + (alone ? 0 : state_.settings.order_lease_ms);
+            state_.clock.now() +
+            (may_order_now ? 0 : state_.settings.order_lease_ms);
         rollout_.reset();
         state_.samplers.clear_all_loading();
         load_open_jobs();
         return;
     }
-    apply_effects(work_.remove_all_jobs());
+    apply_effects(scheduler_.remove_all_jobs());
     pending_rewards_.clear();
     progress_keys_.clear();
     loading_jobs_.clear();
@@ -147,12 +149,12 @@
 /// Tells what an ended job waited for: its slowest items, one line each.
 void job_owner::log_slow_items(const batch::job_id& id,
                                const batch::job_row& row) {
-    const auto lives = work_.item_timelines(id);
+    const auto timelines = scheduler_.item_timelines(id);
     const auto age = state_.clock.now() - row.first_seen_at;
     state_.counters.observe("job", age);
-    std::size_t told = 0;
-    for (const auto& l : lives) {
-        if (++told > max_slow_items_logged) {
+    std::size_t logged_count = 0;
+    for (const auto& l : timelines) {
+        if (++logged_count > max_slow_items_logged) {
             return;
         }
         state_.log.write("slow_item",
@@ -170,7 +172,7 @@
 }
 
 std::optional<batch::job_options>
-job_owner::find_job_terms(const batch::job_header& header) {
+job_owner::find_job_options(const batch::job_header& header) {
     if (!state_.configuration) {
         return std::nullopt;
     }
@@ -179,21 +181,21 @@
     if (r == nullptr) {
         return std::nullopt;
     }
-    batch::job_options t;
-    t.service =
+    batch::job_options options;
+    options.service =
         samplers::service_name(choose_service(*r, state_.random_fraction()));
-    t.max_attempts = r->max_attempts;
-    t.single_version = r->single_version;
-    t.target_ms = r->batch_target_ms;
-    t.item_expiry_ms = r->batch_item_expiry_ms;
-    return t;
+    options.max_attempts = r->max_attempts;
+    options.single_version = r->single_version;
+    options.target_ms = r->batch_target_ms;
+    options.item_expiry_ms = r->batch_item_expiry_ms;
+    return options;
 }
 
 /// Takes up all open jobs that are not in work yet.
 void job_owner::load_open_jobs() {
     for (const auto& [id, row] : state_.jobs.jobs()) {
-        if (row.has_ended || !row.header || work_.has_job(id) ||
-            loading_jobs_.count(id) != 0 || !find_job_terms(*row.header)) {
+        if (row.has_ended || !row.header || scheduler_.has_job(id) ||
+            loading_jobs_.count(id) != 0 || !find_job_options(*row.header)) {
             continue;
         }
         loading_jobs_.insert(id);
@@ -203,7 +205,7 @@
 
 /// Open jobs go where their routes go now: the service that was chosen when
 /// they were taken up may lose its servers.
-void job_owner::update_services() {
+void job_owner::update_job_services() {
     const auto now = state_.clock.now();
     if (!state_.configuration ||
         now - last_service_update_at_ < service_update_interval_ms) {
@@ -211,84 +213,87 @@
     }
     last_service_update_at_ = now;
     for (const auto& [id, row] : state_.jobs.jobs()) {
-        if (!row.has_ended && row.header && work_.has_job(id)) {
-            update_service(id, *row.header);
+        if (!row.has_ended && row.header && scheduler_.has_job(id)) {
+            update_job_service(id, *row.header);
         }
     }
 }
 
-void job_owner::update_service(const batch::job_id& id,
-                               const batch::job_header& header) {
+void job_owner::update_job_service(const batch::job_id& id,
+                                   const batch::job_header& header) {
     const auto* r =
         gateway::find_route(*state_.configuration, header.host, header.path);
-    const auto before = work_.job_service(id);
-    const bool stays =
+    const auto before = scheduler_.job_service(id);
+    const bool is_service_usable =
         r == nullptr || (gateway::has_service(*r, before.str()) &&
                          state_.samplers.has_model(before, header.model));
-    if (stays) {
+    if (is_service_usable) {
         return;
     }
-    const samplers::service_name to(
+    const samplers::service_name new_service(
         choose_service(*r, state_.random_fraction()));
-    if (to == before || !state_.samplers.has_model(to, header.model)) {
+    if (new_service == before ||
+        !state_.samplers.has_model(new_service, header.model)) {
         return;
     }
-    work_.set_job_service(id, to);
-    state_.log.write("job_moved",
-                     {{"job", id}, {"before", before}, {"service", to}});
+    scheduler_.set_job_service(id, new_service);
+    state_.log.write(
+        "job_moved",
+        {{"job", id}, {"before", before}, {"service", new_service}});
 }
 
 /// Reads a job's items and what was saved of them.
 void job_owner::load_job(const batch::job_id& id) {
-    struct parts {
+    struct job_parts {
         std::optional<std::vector<batch::item>> items;
         std::optional<job_store::progress_by_item> progress;
         int missing = 2;
     };
-    auto got = std::make_shared<parts>();
-    const auto one_done = [this, id, got] {
-        if (--got->missing > 0) {
+    auto loaded = std::make_shared<job_parts>();
+    const auto on_part_loaded = [this, id, loaded] {
+        if (--loaded->missing > 0) {
             return;
         }
-        if (!got->items || !got->progress) {
+        if (!loaded->items || !loaded->progress) {
             run_after_(load_retry_delay_ms,
                        [this, id] { loading_jobs_.erase(id); });
             return;
         }
         loading_jobs_.erase(id);
-        adopt_job(id, std::move(*got->items), *got->progress);
+        add_loaded_job(id, std::move(*loaded->items), *loaded->progress);
     };
-    job_store_.load_items(id, [got, one_done](auto items) {
-        got->items = std::move(items);
-        one_done();
+    job_store_.load_items(id, [loaded, on_part_loaded](auto items) {
+        loaded->items = std::move(items);
+        on_part_loaded();
     });
-    job_store_.load_progress(id, [got, one_done](auto progress) {
-        got->progress = std::move(progress);
-        one_done();
+    job_store_.load_progress(id, [loaded, on_part_loaded](auto progress) {
+        loaded->progress = std::move(progress);
+        on_part_loaded();
     });
 }
 
-void job_owner::adopt_job(const batch::job_id& id,
-                          std::vector<batch::item> items,
-                          const job_store::progress_by_item& progress) {
+void job_owner::add_loaded_job(const batch::job_id& id,
+                               std::vector<batch::item> items,
+                               const job_store::progress_by_item& progress) {
     const auto* row = state_.jobs.find(id);
-    if (!is_owner() || row == nullptr || row->has_ended || work_.has_job(id)) {
+    if (!is_owner() || row == nullptr || row->has_ended ||
+        scheduler_.has_job(id)) {
         return;
     }
-    const auto terms = find_job_terms(*row->header);
-    if (!terms || static_cast<int>(items.size()) != row->header->item_count) {
+    const auto options = find_job_options(*row->header);
+    if (!options || static_cast<int>(items.size()) != row->header->item_count) {
         state_.log.write("job_waits",
                          {{"job", id},
                           {"items", static_cast<int>(items.size())},
-                          {"reason", terms ? "items_missing" : "no_route"}});
+                          {"reason", options ? "items_missing" : "no_route"}});
         return;
     }
-    const auto before = work_.counts();
-    const auto fence = state_.jobs.owner()->record.fencing_token;
-    apply_effects(
-        work_.add_job(*row, std::move(items), progress, *terms,
-                      static_cast<std::int64_t>(fence) * epochs_per_owner));
-    const auto& counts = work_.counts();
+    const auto before = scheduler_.counts();
+    const auto fencing_token = state_.jobs.owner()->record.fencing_token;
+    apply_effects(scheduler_.add_job(*row, std::move(items), progress, *options,
+                                     static_cast<std::int64_t>(fencing_token) *
+                                         epochs_per_owner));
+    const auto& counts = scheduler_.counts();
     state_.log.write(
         "job_taken_up",
         {{"job", id},
@@ -301,43 +306,43 @@
          {"reused", counts.reused_texts - before.reused_texts},
          {"void_events", counts.discarded_events - before.discarded_events},
          {"age_ms", state_.clock.now() - row->first_seen_at}});
-    apply_effects(work_.tick(may_start_items()));
+    apply_effects(scheduler_.tick(may_start_items()));
 }
 
 void job_owner::on_version_published(const std::string& model,
                                      std::int64_t version) {
     rollout_.announce_version(model, version);
-    work_.announce_version(model, version);
+    scheduler_.announce_version(model, version);
     state_.log.write("version_named", {{"model", model}, {"version", version}});
 }
 
 void job_owner::tick() {
     advance_handover();
     if (journal_.is_loaded() && !handover_.has_begun()) {
-        switch (ownership_.next_action(state_.jobs, journal_.current_as_of())) {
+        switch (lease_.next_action(state_.jobs, journal_.current_as_of())) {
         case batch::lease_action::none:
             break;
         case batch::lease_action::claim:
-            claim_ownership();
+            claim_lease();
             break;
         case batch::lease_action::renew:
             renew_due_ = true;
             break;
         }
     }
-    if (const auto& o = state_.jobs.owner()) {
-        previous_owner_ = is_owner() ? previous_owner_ : o->record.node;
+    if (const auto& owner = state_.jobs.owner()) {
+        previous_owner_ = is_owner() ? previous_owner_ : owner->record.node;
     }
     if (is_owner()) {
         load_open_jobs();
-        update_services();
-        apply_effects(work_.tick(may_start_items()));
+        update_job_services();
+        apply_effects(scheduler_.tick(may_start_items()));
         order_weight_loads();
         renew_if_overdue();
         commit_results();
         save_progress_if_due();
         erase_next_expired_job();
-        report_waiting_work();
+        report_waiting_items();
     }
     run_after_(tick_interval_ms, [this] { tick(); });
 }
@@ -379,7 +384,7 @@
 void job_owner::finish_handover() {
     // Whatever the journal says, this process no longer acts as the owner.
     if (std::exchange(was_owner_, false)) {
-        on_ownership_changed(false);
+        on_owner_changed(false);
     }
     log_handover();
     std::exchange(on_handed_over_, nullptr)();
--- a/packages/entry/src/job_owner.hpp
+++ b/packages/entry/src/job_owner.hpp
@@ -28,17 +28,17 @@
 /// has read to, so that of two owners at a time one always loses.
 class job_owner {
 public:
-    job_owner(node_state& state, const store::log_store& store,
-              const store::store_router& link,
-              store::partition_watcher& journal, const job_store& files,
-              transport::upstream_client& client, forwarder& requests,
-              store::run_after_function after);
+    job_owner(node_state& state, const store::log_store& log_store,
+              const store::store_router& router,
+              store::partition_watcher& journal, const job_store& jobs,
+              transport::upstream_client& client, forwarder& request_forwarder,
+              store::run_after_function run_after);
 
     /// Starts to take part.
     void start();
 
     /// The store was lost or is heard again.
-    void set_store_reachable(bool up);
+    void set_store_reachable(bool reachable);
 
     /// The ledger has changed in these jobs, or in its owner.
     void on_jobs_changed(const std::set<batch::job_id>& jobs);
@@ -61,7 +61,7 @@
         bool wrong_server = false;
         samplers::sampler_id server;
         batch::job_id job;
-        int item_number = 0;
+        int item_index = 0;
         int event_count = 0;
         base::millis started_at = 0;
     };
@@ -75,52 +75,54 @@
 
     struct reward_task {
         batch::job_id job;
-        int item_number = 0;
+        int item_index = 0;
         batch::reward_call call;
     };
 
-    void claim_ownership();
-    store::record make_owner_record(store::log_offset fence, bool left);
+    void claim_lease();
+    store::record make_owner_record(store::log_offset fencing_token,
+                                    bool handed_over);
     void append_to_journal(const std::vector<store::record>& records,
                            std::function<void(bool)> done);
     void log_append_failure(const store::append_result& result,
                             std::size_t records, base::millis ms);
-    void on_ownership_changed(bool mine);
+    void on_owner_changed(bool gained);
     void log_slow_items(const batch::job_id& id, const batch::job_row& row);
     void load_job(const batch::job_id& id);
-    void adopt_job(const batch::job_id& id, std::vector<batch::item> items,
-                   const job_store::progress_by_item& progress);
+    void add_loaded_job(const batch::job_id& id, std::vector<batch::item> items,
+                        const job_store::progress_by_item& progress);
     void tick();
     void load_open_jobs();
-    void update_services();
-    void update_service(const batch::job_id& id,
-                        const batch::job_header& header);
+    void update_job_services();
+    void update_job_service(const batch::job_id& id,
+                            const batch::job_header& header);
     void apply_effects(const batch::effects& effects);
     void start_run(const batch::start_run& r);
-    void on_run_ended(batch::run_number run, transport::call_outcome end);
+    void on_run_ended(batch::run_number run_id,
+                      transport::call_outcome outcome);
     void schedule_placement();
     batch::run_outcome classify_run_end(const active_run& live,
-                                        transport::call_outcome end) const;
+                                        transport::call_outcome outcome) const;
     void start_rewards();
     void send_reward(const reward_task& task);
     std::size_t
     max_concurrent_rewards(const samplers::service_name& service) const;
     void renew_if_overdue();
     void commit_results();
-    std::vector<batch::planned_commit> plan_ready_listings();
-    void on_texts_stored(std::vector<batch::planned_commit> lists,
+    std::vector<batch::planned_commit> plan_ready_commits();
+    void on_texts_stored(std::vector<batch::planned_commit> commits,
                          const std::set<batch::job_id>& unstored);
-    void append_listings(const std::vector<batch::planned_commit>& lists);
+    void append_commits(const std::vector<batch::planned_commit>& commits);
     void save_progress_if_due();
-    void save_progress(int least, std::function<void()> done);
-    void report_waiting_work();
-    void log_waiting_items(const batch::waiting_group& waits);
-    void log_unadopted_jobs();
+    void save_progress(int min_events, std::function<void()> done);
+    void report_waiting_items();
+    void log_waiting_items(const batch::waiting_group& group);
+    void log_unloaded_jobs();
     void log_handover();
     void advance_handover();
     void finish_handover();
     void erase_next_expired_job();
-    void on_job_erased(const batch::job_id& id, bool done);
+    void on_erase_finished(const batch::job_id& id, bool done);
     void erase_progress(const batch::job_id& id);
     void order_weight_loads();
     void request_report(
@@ -135,23 +137,23 @@
     void call_server(const samplers::sampler_id& id,
                      transport::upstream_request request,
                      std::function<void(const server_response&)> done);
-    bool is_store_current() const;
+    bool is_journal_current() const;
     bool may_start_items() const;
     std::optional<batch::job_options>
-    find_job_terms(const batch::job_header& header);
+    find_job_options(const batch::job_header& header);
 
     node_state& state_;
     const store::log_store& log_store_;
-    const store::store_router& link_;
+    const store::store_router& store_router_;
     store::partition_watcher& journal_;
     const job_store& job_store_;
     transport::upstream_client& client_;
     forwarder& forwarder_;
     store::run_after_function run_after_;
-    batch::item_scheduler work_;
+    batch::item_scheduler scheduler_;
     samplers::weight_rollout rollout_;
     std::string incarnation_;
-    batch::owner_lease ownership_;
+    batch::owner_lease lease_;
     std::set<batch::job_id> loading_jobs_;
     std::map<batch::run_number, active_run> active_runs_;
     std::deque<reward_task> pending_rewards_;
--- a/packages/entry/src/job_owner_orders.cpp
+++ b/packages/entry/src/job_owner_orders.cpp
@@ -13,7 +13,7 @@
 } // namespace
 
 void job_owner::order_weight_loads() {
-    if (!is_store_current() || handover_.has_begun() ||
+    if (!is_journal_current() || handover_.has_begun() ||
         state_.clock.now() < orders_allowed_at_) {
         return;
     }
@@ -24,8 +24,8 @@
             }
         });
     }
-    for (const auto& [model, places] : work_.update_wanted_slots()) {
-        rollout_.set_wanted_slots(model, places);
+    for (const auto& [model, slots] : scheduler_.update_wanted_slots()) {
+        rollout_.set_wanted_slots(model, slots);
     }
     for (const auto& order : rollout_.take_due_orders(state_.samplers)) {
         request_report(order.sampler, [this, order](const auto& report) {
@@ -38,9 +38,10 @@
     const samplers::sampler_id& id,
     std::function<void(const std::optional<adapter::server_report>&)> done) {
     call_server(id, adapter::make_report_request(),
-                [done = std::move(done)](const server_response& reply) {
-                    done(reply.status == 200 ? adapter::parse_report(reply.body)
-                                             : std::nullopt);
+                [done = std::move(done)](const server_response& response) {
+                    done(response.status == 200
+                             ? adapter::parse_report(response.body)
+                             : std::nullopt);
                 });
 }
 
@@ -58,7 +59,7 @@
 void job_owner::on_order_report(
     const samplers::load_order& order,
     const std::optional<adapter::server_report>& report) {
-    if (!report || !is_owner() || !is_store_current() ||
+    if (!report || !is_owner() || !is_journal_current() ||
         handover_.has_begun()) {
         rollout_.on_order_rejected(order);
         state_.log.write("order_waits",
@@ -76,8 +77,9 @@
                                          {"reason", "busy"}});
         return;
     }
-    const auto has = report->versions.find(order.model);
-    if (has != report->versions.end() && has->second >= order.version) {
+    const auto reported = report->versions.find(order.model);
+    if (reported != report->versions.end() &&
+        reported->second >= order.version) {
         rollout_.on_load_not_needed(order.sampler);
         on_load_done(order.sampler, *report);
         return;
@@ -87,18 +89,19 @@
 
 void job_owner::send_load_order(const samplers::load_order& order,
                                 std::int64_t after_orders) {
-    const auto fence = state_.jobs.owner()->record.fencing_token + 1;
+    const auto fencing_token = state_.jobs.owner()->record.fencing_token + 1;
     call_server(
         order.sampler,
-        adapter::make_order_request(order, state_.settings.node.str(), fence,
-                                    after_orders),
-        [this, order, after_orders, fence](const server_response& reply) {
-            const auto a = adapter::parse_order_result(reply.status);
-            if (a == adapter::order_result::accepted) {
+        adapter::make_order_request(order, state_.settings.node.str(),
+                                    fencing_token, after_orders),
+        [this, order, after_orders,
+         fencing_token](const server_response& response) {
+            const auto result = adapter::parse_order_result(response.status);
+            if (result == adapter::order_result::accepted) {
                 rollout_.on_order_accepted(order);
                 state_.samplers.set_loading(order.sampler, order.model,
                                             rollout_.load_timeout_ms());
-            } else if (a == adapter::order_result::already_held) {
+            } else if (result == adapter::order_result::already_held) {
                 rollout_.on_load_not_needed(order.sampler);
                 state_.samplers.set_observed_version(order.sampler, order.model,
                                                      order.version);
@@ -108,38 +111,40 @@
             state_.log.write("order", {{"server", order.sampler},
                                        {"version", order.version},
                                        {"after_orders", after_orders},
-                                       {"fence", fence},
-                                       {"status", reply.status},
-                                       {"how", base::name_of(reply.outcome)},
-                                       {"outcome", base::name_of(a)}});
+                                       {"fence", fencing_token},
+                                       {"status", response.status},
+                                       {"how", base::name_of(response.outcome)},
+                                       {"outcome", base::name_of(result)}});
         });
 }
 
 void job_owner::call_server(const samplers::sampler_id& id,
                             transport::upstream_request request,
                             std::function<void(const server_response&)> done) {
-    auto reply = std::make_shared<server_response>();
+    auto response = std::make_shared<server_response>();
     const auto* row = state_.samplers.find(id);
     if (row == nullptr) {
-        done(*reply);
+        done(*response);
         return;
     }
     transport::upstream_call_options options;
     options.connect_timeout_ms = server_connect_timeout_ms;
     options.total_timeout_ms = order_timeout_ms;
     transport::upstream_callbacks events;
-    events.on_head = [reply](const transport::response_head& h) {
-        reply->status = h.status;
+    events.on_head = [response](const transport::response_head& h) {
+        response->status = h.status;
     };
-    events.on_data = [reply](std::string_view piece) { reply->body += piece; };
-    events.on_end = [reply,
-                     done = std::move(done)](transport::call_outcome end) {
-        reply->outcome = end;
-        if (end != transport::call_outcome::complete &&
-            end != transport::call_outcome::closed_without_length) {
-            reply->status = 0;
+    events.on_data = [response](std::string_view data) {
+        response->body += data;
+    };
+    events.on_end = [response,
+                     done = std::move(done)](transport::call_outcome outcome) {
+        response->outcome = outcome;
+        if (outcome != transport::call_outcome::complete &&
+            outcome != transport::call_outcome::closed_without_length) {
+            response->status = 0;
         }
-        done(*reply);
+        done(*response);
     };
     client_.start(row->registered.address, std::move(request), options,
                   std::move(events));
--- a/packages/entry/src/job_owner_reports.cpp
+++ b/packages/entry/src/job_owner_reports.cpp
@@ -16,34 +16,35 @@
 
 /// Tells why items wait although some server has a free place, and which jobs
 /// are not in work.
-void job_owner::report_waiting_work() {
+void job_owner::report_waiting_items() {
     const auto now = state_.clock.now();
     if (now - last_wait_report_at_ < wait_report_interval_ms) {
         return;
     }
     last_wait_report_at_ = now;
-    const batch::waiting_group* most = nullptr;
-    const auto all = work_.waiting_groups();
-    for (const auto& w : all) {
-        if (w.longest_wait_ms >= long_wait_threshold_ms &&
-            w.servers.with_free_slots() > 0 &&
-            (most == nullptr || w.item_count > most->item_count)) {
-            most = &w;
+    const batch::waiting_group* largest_group = nullptr;
+    const auto groups = scheduler_.waiting_groups();
+    for (const auto& group : groups) {
+        if (group.longest_wait_ms >= long_wait_threshold_ms &&
+            group.servers.with_free_slots() > 0 &&
+            (largest_group == nullptr ||
+             group.item_count > largest_group->item_count)) {
+            largest_group = &group;
         }
     }
-    if (most != nullptr) {
-        log_waiting_items(*most);
+    if (largest_group != nullptr) {
+        log_waiting_items(*largest_group);
     }
-    log_unadopted_jobs();
+    log_unloaded_jobs();
 }
 
-void job_owner::log_waiting_items(const batch::waiting_group& waits) {
-    const auto& s = waits.servers;
+void job_owner::log_waiting_items(const batch::waiting_group& group) {
+    const auto& s = group.servers;
     state_.counters.count_event("items_wait");
-    state_.log.write("items_wait", {{"model", waits.model},
-                                    {"least_version", waits.min_version},
-                                    {"items", waits.item_count},
-                                    {"longest_ms", waits.longest_wait_ms},
+    state_.log.write("items_wait", {{"model", group.model},
+                                    {"least_version", group.min_version},
+                                    {"items", group.item_count},
+                                    {"longest_ms", group.longest_wait_ms},
                                     {"open", s.available},
                                     {"full", s.full},
                                     {"blocked", s.blocked},
@@ -51,41 +52,41 @@
                                     {"old_weights", s.old_weights},
                                     {"unlisted", s.unlisted},
                                     {"draining", s.draining},
-                                    {"store_heard", is_store_current()},
+                                    {"store_heard", is_journal_current()},
                                     {"leaving", handover_.has_begun()}});
 }
 
-void job_owner::log_unadopted_jobs() {
+void job_owner::log_unloaded_jobs() {
     int no_route = 0;
-    int unread = 0;
+    int not_loaded = 0;
     const auto now = state_.clock.now();
     for (const auto& [id, row] : state_.jobs.jobs()) {
-        if (row.has_ended || !row.header || work_.has_job(id) ||
+        if (row.has_ended || !row.header || scheduler_.has_job(id) ||
             now - row.first_seen_at < long_wait_threshold_ms) {
             continue;
         }
-        ++(find_job_terms(*row.header) ? unread : no_route);
+        ++(find_job_options(*row.header) ? not_loaded : no_route);
     }
-    if (no_route + unread > 0) {
+    if (no_route + not_loaded > 0) {
         state_.counters.count_event("jobs_wait");
         state_.log.write("jobs_wait", {{"no_route", no_route},
-                                       {"items_missing", unread},
-                                       {"store_heard", is_store_current()},
+                                       {"items_missing", not_loaded},
+                                       {"store_heard", is_journal_current()},
                                        {"leaving", handover_.has_begun()}});
     }
 }
 
 void job_owner::log_handover() {
     const auto& now = state_.jobs.owner();
-    const bool given_up = !ownership_.is_held(state_.jobs);
-    if (given_up) {
+    const bool released = !lease_.is_held(state_.jobs);
+    if (released) {
         state_.counters.count_event("hand_over_done");
     } else {
         state_.counters.count_event("hand_over_unfinished");
     }
     state_.log.write("hand_over", {{"ms", handover_.elapsed()},
                                    {"tries", handover_.attempts()},
-                                   {"given_up", given_up},
+                                   {"given_up", released},
                                    {"owner", now ? now->record.node.str() : ""},
                                    {"vacant", now && now->record.handed_over}});
 }
--- a/packages/entry/src/job_owner_retention.cpp
+++ b/packages/entry/src/job_owner_retention.cpp
@@ -34,26 +34,27 @@
         return;
     }
     erasing_job_ = true;
-    job_store_.erase(*id, [this, id = *id](bool files_gone) {
+    job_store_.erase(*id, [this, id = *id](bool records_erased) {
         const auto* row = state_.jobs.find(id);
-        if (!files_gone || row == nullptr || !is_owner() || appending_) {
-            on_job_erased(id, false);
+        if (!records_erased || row == nullptr || !is_owner() || appending_) {
+            on_erase_finished(id, false);
             return;
         }
-        append_to_journal(batch::make_journal_erasures(id, *row),
-                          [this, id](bool done) { on_job_erased(id, done); });
+        append_to_journal(
+            batch::make_journal_erasures(id, *row),
+            [this, id](bool erased) { on_erase_finished(id, erased); });
     });
 }
 
-void job_owner::on_job_erased(const batch::job_id& id, bool done) {
+void job_owner::on_erase_finished(const batch::job_id& id, bool erased) {
     erasing_job_ = false;
-    next_erase_at_ =
-        state_.clock.now() + (done ? erase_interval_ms : erase_retry_delay_ms);
+    next_erase_at_ = state_.clock.now() +
+                     (erased ? erase_interval_ms : erase_retry_delay_ms);
     state_.log.write(
         "job_erased",
         {{"job", id},
          {"jobs", static_cast<std::int64_t>(state_.jobs.jobs().size())},
-         {"done", done}});
+         {"done", erased}});
 }
 
 /// Erases the texts under way that this owner saved of a job that has ended:
--- a/packages/entry/src/job_owner_runs.cpp
+++ b/packages/entry/src/job_owner_runs.cpp
@@ -31,23 +31,23 @@
             base::overloaded{
                 [&](const batch::start_run& r) { start_run(r); },
                 [&](const batch::stop_run& s) {
-                    const auto live = active_runs_.find(s.run);
-                    if (live == active_runs_.end()) {
+                    const auto active = active_runs_.find(s.run);
+                    if (active == active_runs_.end()) {
                         return;
                     }
                     state_.log.write(
                         "run_stopped",
-                        {{"job", live->second.job},
-                         {"item", live->second.item_number},
-                         {"server", live->second.server},
-                         {"events", live->second.event_count},
-                         {"status", live->second.status},
-                         {"ms", state_.clock.now() - live->second.started_at},
+                        {{"job", active->second.job},
+                         {"item", active->second.item_index},
+                         {"server", active->second.server},
+                         {"events", active->second.event_count},
+                         {"status", active->second.status},
+                         {"ms", state_.clock.now() - active->second.started_at},
                          {"connections",
-                          live->second.call->opened_connection() ? 1 : 0},
+                          active->second.call->opened_connection() ? 1 : 0},
                          {"reason", s.reason}});
-                    live->second.call->cancel();
-                    active_runs_.erase(live);
+                    active->second.call->cancel();
+                    active_runs_.erase(active);
                 },
                 [&](const batch::start_reward& r) {
                     pending_rewards_.push_back({r.job, r.item_index, *r.call});
@@ -59,45 +59,45 @@
 
 void job_owner::start_run(const batch::start_run& r) {
     const auto* row = state_.samplers.find(r.sampler);
-    auto& live = active_runs_[r.run];
-    live.server = r.sampler;
-    live.job = r.job;
-    live.item_number = r.item_index;
-    live.started_at = state_.clock.now();
+    auto& active = active_runs_[r.run];
+    active.server = r.sampler;
+    active.job = r.job;
+    active.item_index = r.item_index;
+    active.started_at = state_.clock.now();
     transport::upstream_call_options options;
     options.connect_timeout_ms = server_connect_timeout_ms;
     transport::upstream_callbacks events;
     const auto run_id = r.run;
     events.on_head = [this, run_id](const transport::response_head& h) {
-        const auto at = active_runs_.find(run_id);
-        if (at == active_runs_.end()) {
+        const auto found = active_runs_.find(run_id);
+        if (found == active_runs_.end()) {
             return;
         }
         const auto a = adapter::parse_response_head(h);
-        at->second.status = a.status;
-        at->second.not_executed = a.not_run;
-        at->second.wrong_server = a.misdirected;
+        found->second.status = a.status;
+        found->second.not_executed = a.not_run;
+        found->second.wrong_server = a.misdirected;
         if (a.status == 200 && a.first_weight_version) {
-            apply_effects(
-                work_.on_response_started(run_id, *a.first_weight_version));
+            apply_effects(scheduler_.on_response_started(
+                run_id, *a.first_weight_version));
         }
     };
-    events.on_data = [this, run_id](std::string_view piece) {
-        const auto at = active_runs_.find(run_id);
-        if (at == active_runs_.end() || at->second.status != 200) {
+    events.on_data = [this, run_id](std::string_view data) {
+        const auto found = active_runs_.find(run_id);
+        if (found == active_runs_.end() || found->second.status != 200) {
             return;
         }
-        for (auto& e : at->second.parser.feed(piece)) {
-            ++at->second.event_count;
-            apply_effects(work_.on_event(run_id, e.id, e.data,
-                                         adapter::event_weight_version(e)));
+        for (auto& e : found->second.parser.feed(data)) {
+            ++found->second.event_count;
+            apply_effects(scheduler_.on_event(
+                run_id, e.id, e.data, adapter::event_weight_version(e)));
             if (active_runs_.count(run_id) == 0) {
                 return;
             }
         }
     };
-    events.on_end = [this, run_id](transport::call_outcome end) {
-        on_run_ended(run_id, end);
+    events.on_end = [this, run_id](transport::call_outcome outcome) {
+        on_run_ended(run_id, outcome);
     };
     state_.log.write("run_started",
                      {{"job", r.job},
@@ -108,59 +108,60 @@
                       {"version", row->version_of(r.model)},
                       {"after_event", r.resume_after_event},
                       {"expected_tokens", r.content->expected_output_tokens}});
-    live.call =
+    active.call =
         client_.start(row->registered.address, adapter::make_run_request(r),
                       options, std::move(events), adapter::request_id_header);
 }
 
 batch::run_outcome
-job_owner::classify_run_end(const active_run& live,
-                            transport::call_outcome end) const {
+job_owner::classify_run_end(const active_run& active,
+                            transport::call_outcome outcome) const {
     // A body without a length that ends with its connection may have been cut
     // between two events; going on behind the last one shows whether it was.
-    if (end != transport::call_outcome::complete) {
+    if (outcome != transport::call_outcome::complete) {
         return batch::run_outcome::cut;
     }
-    if (live.status == 200) {
+    if (active.status == 200) {
         return batch::run_outcome::complete;
     }
-    if (live.wrong_server) {
+    if (active.wrong_server) {
         return batch::run_outcome::other_server;
     }
-    if (live.not_executed) {
+    if (active.not_executed) {
         return batch::run_outcome::not_run;
     }
-    if (live.status == 422) {
+    if (active.status == 422) {
         return batch::run_outcome::impossible;
     }
-    if (live.status == 500) {
+    if (active.status == 500) {
         return batch::run_outcome::failed;
     }
     return batch::run_outcome::cut;
 }
 
 void job_owner::on_run_ended(batch::run_number run_id,
-                             transport::call_outcome end) {
-    const auto at = active_runs_.find(run_id);
-    if (at == active_runs_.end()) {
+                             transport::call_outcome outcome) {
+    const auto found = active_runs_.find(run_id);
+    if (found == active_runs_.end()) {
         return;
     }
-    const auto what = classify_run_end(at->second, end);
-    const auto& live = at->second;
+    const auto run_outcome = classify_run_end(found->second, outcome);
+    const auto& active = found->second;
     state_.log.write("run_ended",
-                     {{"job", live.job},
-                      {"item", live.item_number},
-                      {"server", live.server},
-                      {"events", live.event_count},
-                      {"status", live.status},
-                      {"ms", state_.clock.now() - live.started_at},
-                      {"connections", live.call->opened_connection() ? 1 : 0},
-                      {"how", base::name_of(end)},
-                      {"outcome", base::name_of(what)}});
-    state_.counters.observe("run", state_.clock.now() - live.started_at);
-    state_.counters.count_response("run", std::string(base::name_of(what)), "");
-    active_runs_.erase(at);
-    apply_effects(work_.on_run_ended(run_id, what));
+                     {{"job", active.job},
+                      {"item", active.item_index},
+                      {"server", active.server},
+                      {"events", active.event_count},
+                      {"status", active.status},
+                      {"ms", state_.clock.now() - active.started_at},
+                      {"connections", active.call->opened_connection() ? 1 : 0},
+                      {"how", base::name_of(outcome)},
+                      {"outcome", base::name_of(run_outcome)}});
+    state_.counters.observe("run", state_.clock.now() - active.started_at);
+    state_.counters.count_response("run",
+                                   std::string(base::name_of(run_outcome)), "");
+    active_runs_.erase(found);
+    apply_effects(scheduler_.on_run_ended(run_id, run_outcome));
     schedule_placement();
     commit_results();
 }
@@ -175,7 +176,7 @@
     run_after_(placement_delay_ms, [this] {
         placement_scheduled_ = false;
         if (is_owner()) {
-            apply_effects(work_.place_waiting(may_start_items()));
+            apply_effects(scheduler_.place_waiting(may_start_items()));
         }
     });
 }
@@ -216,10 +217,10 @@
                                         task.call.path);
     if (r == nullptr) {
         state_.log.write("reward_failed", {{"job", task.job},
-                                           {"item", task.item_number},
+                                           {"item", task.item_index},
                                            {"reason", "no route"}});
-        apply_effects(work_.on_reward_ended(task.job, task.item_number,
-                                            batch::reward_failure{}));
+        apply_effects(scheduler_.on_reward_ended(task.job, task.item_index,
+                                                 batch::reward_failure{}));
         return;
     }
     forward_request f;
@@ -235,7 +236,8 @@
     f.latency_target_ms = r->latency_target_ms;
     const auto number = ++last_reward_number_;
     const int attempts = r->max_attempts;
-    auto judged = [this, number, attempts, task](const forward_result& result) {
+    auto on_scored = [this, number, attempts,
+                      task](const forward_result& result) {
         active_rewards_.erase(number);
         const auto outcome = std::visit(
             base::overloaded{
@@ -250,14 +252,14 @@
                 }},
             result);
         apply_effects(
-            work_.on_reward_ended(task.job, task.item_number, outcome));
+            scheduler_.on_reward_ended(task.job, task.item_index, outcome));
         commit_results();
     };
     active_rewards_[number] = nullptr;
-    auto going = forwarder_.send(std::move(f), std::move(judged));
-    const auto at = active_rewards_.find(number);
-    if (at != active_rewards_.end()) {
-        at->second = std::move(going);
+    auto active = forwarder_.send(std::move(f), std::move(on_scored));
+    const auto found = active_rewards_.find(number);
+    if (found != active_rewards_.end()) {
+        found->second = std::move(active);
     }
 }
 
--- a/packages/entry/src/job_owner_writes.cpp
+++ b/packages/entry/src/job_owner_writes.cpp
@@ -34,19 +34,21 @@
 
 } // namespace
 
-store::record job_owner::make_owner_record(store::log_offset fence, bool left) {
+store::record job_owner::make_owner_record(store::log_offset fencing_token,
+                                           bool handed_over) {
     return {batch::format_key(batch::owner_key{}),
-            batch::encode(batch::owner_record{
-                state_.settings.node, incarnation_, fence, ++renewals_, left})};
+            batch::encode(batch::owner_record{state_.settings.node,
+                                              incarnation_, fencing_token,
+                                              ++renewals_, handed_over})};
 }
 
 /// Appends to the journal if nothing came that this node has not read.
 void job_owner::append_to_journal(const std::vector<store::record>& records,
                                   std::function<void(bool)> done) {
     appending_ = true;
-    const auto at = journal_.next_offset();
+    const auto expected_end = journal_.next_offset();
     const auto sent_at = state_.clock.now();
-    log_store_.append({adapter::journal_topic, 0}, records, &at,
+    log_store_.append({adapter::journal_topic, 0}, records, &expected_end,
                       [this, records, sent_at,
                        done = std::move(done)](const store::append_result& r) {
                           appending_ = false;
@@ -55,7 +57,7 @@
                           log_append_failure(r, records.size(), ms);
                           const auto* a = base::value_if(r);
                           if (a != nullptr) {
-                              ownership_.on_renewed();
+                              lease_.on_renewed();
                               journal_.apply_own_append(a->first, records,
                                                         sent_at);
                           }
@@ -90,8 +92,7 @@
 /// Renews the ownership apart from results, if those do not come through.
 void job_owner::renew_if_overdue() {
     const auto now = state_.clock.now();
-    if (appending_ || handover_.has_begun() ||
-        !ownership_.is_renewal_overdue() ||
+    if (appending_ || handover_.has_begun() || !lease_.is_renewal_overdue() ||
         now - last_overdue_renewal_at_ < overdue_renewal_interval_ms) {
         return;
     }
@@ -111,50 +112,53 @@
         now - last_commit_at_ < commit_interval_ms) {
         return;
     }
-    auto lists = plan_ready_listings();
-    if (lists.empty()) {
+    auto commits = plan_ready_commits();
+    if (commits.empty()) {
         if (std::exchange(renew_due_, false) && !appending_) {
-            const auto fence = state_.jobs.owner()->record.fencing_token;
-            append_to_journal({make_owner_record(fence, false)}, [](bool) {});
+            const auto fencing_token =
+                state_.jobs.owner()->record.fencing_token;
+            append_to_journal({make_owner_record(fencing_token, false)},
+                              [](bool) {});
         }
         return;
     }
     committing_ = true;
     last_commit_at_ = now;
-    struct storing {
-        std::vector<batch::planned_commit> lists;
+    struct pending_commits {
+        std::vector<batch::planned_commit> commits;
         std::set<batch::job_id> unstored;
         std::size_t waiting = 0;
     };
-    auto all = std::make_shared<storing>();
-    all->lists = std::move(lists);
-    all->waiting = all->lists.size();
-    for (const auto& l : all->lists) {
+    auto pending = std::make_shared<pending_commits>();
+    pending->commits = std::move(commits);
+    pending->waiting = pending->commits.size();
+    for (const auto& l : pending->commits) {
         job_store_.append_texts(
             l.job, {l.texts_record},
-            [this, all, job = l.job](const store::append_result& r) {
+            [this, pending, job = l.job](const store::append_result& r) {
                 if (base::value_if(r) == nullptr) {
-                    all->unstored.insert(job);
+                    pending->unstored.insert(job);
                 }
-                if (--all->waiting == 0) {
-                    on_texts_stored(std::move(all->lists), all->unstored);
+                if (--pending->waiting == 0) {
+                    on_texts_stored(std::move(pending->commits),
+                                    pending->unstored);
                 }
             });
     }
 }
 
-std::vector<batch::planned_commit> job_owner::plan_ready_listings() {
+std::vector<batch::planned_commit> job_owner::plan_ready_commits() {
     const auto now = state_.clock.now();
-    std::set<batch::job_id> except;
+    std::set<batch::job_id> excluded;
     for (auto row = commit_retry_at_.begin(); row != commit_retry_at_.end();) {
         if (now >= row->second) {
             row = commit_retry_at_.erase(row);
         } else {
-            except.insert((row++)->first);
+            excluded.insert((row++)->first);
         }
     }
     return batch::plan_commits(
-        state_.jobs, work_.ready_results(max_commit_bytes, except),
+        state_.jobs, scheduler_.ready_results(max_commit_bytes, excluded),
         state_.settings.max_record_bytes / record_fill_divisor, [this] {
             return incarnation_ + "-" + std::to_string(++text_key_counter_);
         });
@@ -162,29 +166,29 @@
 
 /// Jobs whose texts were not stored are left out for a while: each try would
 /// encode and send all that has become ready once more.
-void job_owner::on_texts_stored(std::vector<batch::planned_commit> lists,
+void job_owner::on_texts_stored(std::vector<batch::planned_commit> commits,
                                 const std::set<batch::job_id>& unstored) {
     for (const auto& id : unstored) {
         commit_retry_at_[id] = state_.clock.now() + commit_retry_delay_ms;
         state_.log.write("append_refused", {{"reason", "texts"}, {"job", id}});
     }
-    append_listings(batch::exclude_jobs(std::move(lists), unstored));
+    append_commits(batch::exclude_jobs(std::move(commits), unstored));
 }
 
-void job_owner::append_listings(
-    const std::vector<batch::planned_commit>& lists) {
-    const bool fits = batch::is_plan_current(state_.jobs, lists);
-    if (lists.empty() || !fits || !is_owner() || appending_ ||
+void job_owner::append_commits(
+    const std::vector<batch::planned_commit>& commits) {
+    const bool is_current = batch::is_plan_current(state_.jobs, commits);
+    if (commits.empty() || !is_current || !is_owner() || appending_ ||
         handover_.may_release()) {
         committing_ = false;
-        if (!fits) {
+        if (!is_current) {
             state_.log.write("append_refused", {{"reason", "listed_before"}});
         }
         return;
     }
     std::vector<store::record> records;
-    records.reserve(lists.size() + 1);
-    for (const auto& l : lists) {
+    records.reserve(commits.size() + 1);
+    for (const auto& l : commits) {
         records.push_back(
             {batch::format_key(batch::commit_key{l.job, l.position}),
              batch::encode(l.commit)});
@@ -194,12 +198,12 @@
     renew_due_ = false;
     records.push_back(
         make_owner_record(state_.jobs.owner()->record.fencing_token, false));
-    append_to_journal(records, [this, lists](bool done) {
+    append_to_journal(records, [this, commits](bool done) {
         committing_ = false;
         if (!done) {
             return;
         }
-        for (const auto& l : lists) {
+        for (const auto& l : commits) {
             state_.log.write("listed",
                              {{"job", l.job},
                               {"position", l.position},
@@ -212,9 +216,9 @@
 /// Saves what has come of texts under way.
 void job_owner::save_progress_if_due() {
     const auto now = state_.clock.now();
-    const bool saves =
+    const bool is_enabled =
         state_.settings.features.is_enabled(base::feature::save_progress);
-    if (!saves || saves_in_flight_ > 0 || handover_.has_begun() ||
+    if (!is_enabled || saves_in_flight_ > 0 || handover_.has_begun() ||
         now - last_progress_save_at_ < progress_save_interval_ms) {
         return;
     }
@@ -222,9 +226,9 @@
     save_progress(min_unsaved_events, [] {});
 }
 
-void job_owner::save_progress(int least, std::function<void()> done) {
+void job_owner::save_progress(int min_events, std::function<void()> done) {
     std::map<batch::job_id, std::vector<batch::unsaved_part>> by_job;
-    for (auto& p : work_.unsaved_parts(least, max_commit_bytes)) {
+    for (auto& p : scheduler_.unsaved_parts(min_events, max_commit_bytes)) {
         by_job[p.job].push_back(std::move(p));
     }
     if (by_job.empty()) {
@@ -232,7 +236,7 @@
         return;
     }
     ++saves_in_flight_;
-    auto open = std::make_shared<std::size_t>(by_job.size());
+    auto appends_in_flight = std::make_shared<std::size_t>(by_job.size());
     for (auto& [id, parts] : by_job) {
         std::vector<store::record> records;
         for (const auto& p : parts) {
@@ -240,23 +244,23 @@
                 {batch::progress_key(p.job, p.part), batch::encode(p.part)});
             progress_keys_[id].push_back(records.back().key);
         }
-        job_store_.append_progress(id, records,
-                                   [this, parts = std::move(parts), open,
-                                    done](const store::append_result& r) {
-                                       if (base::value_if(r) != nullptr) {
-                                           for (const auto& p : parts) {
-                                               work_.on_part_saved(p);
-                                           }
-                                       } else {
-                                           state_.log.write(
-                                               "append_refused",
-                                               {{"reason", "progress"}});
-                                       }
-                                       if (--*open == 0) {
-                                           --saves_in_flight_;
-                                           done();
-                                       }
-                                   });
+        job_store_.append_progress(
+            id, records,
+            [this, parts = std::move(parts), appends_in_flight,
+             done](const store::append_result& r) {
+                if (base::value_if(r) != nullptr) {
+                    for (const auto& p : parts) {
+                        scheduler_.on_part_saved(p);
+                    }
+                } else {
+                    state_.log.write("append_refused",
+                                     {{"reason", "progress"}});
+                }
+                if (--*appends_in_flight == 0) {
+                    --saves_in_flight_;
+                    done();
+                }
+            });
     }
 }
 
--- a/packages/entry/src/job_store.cpp
+++ b/packages/entry/src/job_store.cpp
@@ -62,10 +62,10 @@
 void job_store::append(const char* topic, const batch::job_id& job,
                        const std::vector<store::record>& records,
                        append_callback done) const {
-    auto series = std::make_shared<append_sequence>(
+    auto sequence = std::make_shared<append_sequence>(
         log_store_, partition_for(topic, job),
         store::split_into_appends(records, limits_), std::move(done));
-    series->append_next();
+    sequence->append_next();
 }
 
 void job_store::append_items(const batch::job_id& job,
@@ -89,19 +89,20 @@
 void job_store::erase(const batch::job_id& job,
                       std::function<void(bool)> done) const {
     struct erasing {
-        int topics = 3;
-        bool all = true;
+        int remaining_topics = 3;
+        bool all_erased = true;
     };
-    auto state = std::make_shared<erasing>();
+    auto erasure = std::make_shared<erasing>();
     for (const auto* topic : {adapter::items_topic, adapter::texts_topic,
                               adapter::progress_topic}) {
-        store::erase_prefix(log_store_, partition_for(topic, job),
-                            batch::job_prefix(job), [state, done](bool gone) {
-                                state->all = state->all && gone;
-                                if (--state->topics == 0) {
-                                    done(state->all);
-                                }
-                            });
+        store::erase_prefix(
+            log_store_, partition_for(topic, job), batch::job_prefix(job),
+            [erasure, done](bool erased) {
+                erasure->all_erased = erasure->all_erased && erased;
+                if (--erasure->remaining_topics == 0) {
+                    done(erasure->all_erased);
+                }
+            });
     }
 }
 
@@ -157,13 +158,13 @@
 }
 
 void job_store::load_texts(
-    const batch::job_id& job, int position, const std::string& texts,
-    std::size_t most_bytes,
+    const batch::job_id& job, int position, const std::string& texts_name,
+    std::size_t max_bytes,
     std::function<void(std::optional<std::vector<store::record>>)> done) const {
     store::read_prefix(log_store_, partition_for(adapter::texts_topic, job),
                        batch::job_prefix(job),
-                       batch::key_before_texts(job, position, texts),
-                       most_bytes, std::move(done));
+                       batch::key_before_texts(job, position, texts_name),
+                       max_bytes, std::move(done));
 }
 
 } // namespace hibiscus::entry
--- a/packages/entry/src/job_store.hpp
+++ b/packages/entry/src/job_store.hpp
@@ -16,9 +16,9 @@
 /// topic, so that one reading finds little of other jobs.
 class job_store {
 public:
-    job_store(const store::log_store& store, int partitions,
+    job_store(const store::log_store& log_store, int partitions,
               store::append_limits limits)
-        : log_store_(store), partitions_(partitions), limits_(limits) {}
+        : log_store_(log_store), partitions_(partitions), limits_(limits) {}
 
     using append_callback = std::function<void(const store::append_result&)>;
 
@@ -49,8 +49,8 @@
     /// Reads the records with texts from those named `texts` at a listed
     /// position on, up to `most_bytes`.
     void
-    load_texts(const batch::job_id& job, int position, const std::string& texts,
-               std::size_t most_bytes,
+    load_texts(const batch::job_id& job, int position,
+               const std::string& texts_name, std::size_t max_bytes,
                std::function<void(std::optional<std::vector<store::record>>)>
                    done) const;
 
--- a/packages/entry/src/node_directory.cpp
+++ b/packages/entry/src/node_directory.cpp
@@ -18,19 +18,22 @@
 
 } // namespace
 
-node_directory::node_directory(node_state& state, const store::log_store& store,
-                               store::run_after_function after)
-    : state_(state), log_store_(store), run_after_(after),
+node_directory::node_directory(node_state& state,
+                               const store::log_store& log_store,
+                               store::run_after_function run_after)
+    : state_(state), log_store_(log_store), run_after_(run_after),
       nodes_(state.clock, state.settings.node.str(), state.settings.features),
-      follower_(store, {adapter::nodes_topic, 0}, state.clock, after,
-                {store::watcher_times().read_wait_ms,
-                 store::watcher_times().retry_delay_ms,
-                 [] { return poll_interval_ms; }},
-                {[this](const auto& changes) { apply_changes(changes); },
-                 [this](bool up) { nodes_.set_store_reachable(up); }}) {}
+      watcher_(
+          log_store, {adapter::nodes_topic, 0}, state.clock, run_after,
+          {store::watcher_times().read_wait_ms,
+           store::watcher_times().retry_delay_ms,
+           [] { return poll_interval_ms; }},
+          {[this](const auto& changes) { apply_changes(changes); },
+           [this](bool reachable) { nodes_.set_store_reachable(reachable); }}) {
+}
 
 void node_directory::start() {
-    follower_.start();
+    watcher_.start();
     renew_registration();
 }
 
@@ -47,12 +50,12 @@
         {"cpu_share", state_.settings.cpu_share}};
     std::string bytes;
     nlohmann::json::to_cbor(value, bytes);
-    const bool last = state_.stopping;
+    const bool is_final = state_.stopping;
     log_store_.append({adapter::nodes_topic, 0},
                       {{state_.settings.node.str(), bytes}}, nullptr,
-                      [this, last](const store::append_result&) {
+                      [this, is_final](const store::append_result&) {
                           // A lost renewal is made good by the next one.
-                          if (!last) {
+                          if (!is_final) {
                               run_after_(renew_interval_ms, [this] {
                                   if (!state_.stopping) {
                                       renew_registration();
@@ -74,13 +77,14 @@
                              {{"topic", "nodes"}, {"key", c.key}});
             continue;
         }
-        const auto address = base::parse_endpoint(in.value("callers", ""));
-        const auto nodes = base::parse_endpoint(in.value("nodes", ""));
-        if (address && nodes) {
-            nodes_.put(c.key,
-                       {*address, *nodes, base::zone_id(in.value("zone", "")),
-                        in.value("stopping", false),
-                        in.value("cpu_share", 1.0)});
+        const auto caller_address =
+            base::parse_endpoint(in.value("callers", ""));
+        const auto peer_address = base::parse_endpoint(in.value("nodes", ""));
+        if (caller_address && peer_address) {
+            nodes_.put(c.key, {*caller_address, *peer_address,
+                               base::zone_id(in.value("zone", "")),
+                               in.value("stopping", false),
+                               in.value("cpu_share", 1.0)});
         }
     }
 }
--- a/packages/entry/src/node_directory.hpp
+++ b/packages/entry/src/node_directory.hpp
@@ -14,8 +14,8 @@
 /// renews its own record; one that does not is left out after a while.
 class node_directory {
 public:
-    node_directory(node_state& state, const store::log_store& store,
-                   store::run_after_function after);
+    node_directory(node_state& state, const store::log_store& log_store,
+                   store::run_after_function run_after);
 
     /// Starts to read and to renew.
     void start();
@@ -33,7 +33,7 @@
     const store::log_store& log_store_;
     store::run_after_function run_after_;
     node_table nodes_;
-    store::partition_watcher follower_;
+    store::partition_watcher watcher_;
 };
 
 } // namespace hibiscus::entry
--- a/packages/entry/src/node_table.cpp
+++ b/packages/entry/src/node_table.cpp
@@ -39,9 +39,9 @@
     rows_.erase(name);
 }
 
-void node_table::set_store_reachable(bool up) {
-    store_reachable_ = up;
-    (up ? store_reachable_since_ : store_lost_at_) = clock_.now();
+void node_table::set_store_reachable(bool reachable) {
+    store_reachable_ = reachable;
+    (reachable ? store_reachable_since_ : store_lost_at_) = clock_.now();
 }
 
 bool node_table::is_alive(const std::string& name, const row& r) const {
@@ -55,35 +55,36 @@
     if (store_reachable_ && now - r.renewed_at < entry_ttl_ms) {
         return true;
     }
-    const bool doubtful =
+    const bool renewals_delayed =
         !store_reachable_ || now - store_reachable_since_ < entry_ttl_ms;
-    return doubtful && store_lost_at_ - r.renewed_at < entry_ttl_ms;
+    return renewals_delayed && store_lost_at_ - r.renewed_at < entry_ttl_ms;
 }
 
 std::vector<const node_entry*>
 node_table::select_large_nodes(const std::vector<const node_entry*>& nodes) {
     double largest = 0;
-    double all_time = 0;
+    double total_cpu_share = 0;
     for (const auto* n : nodes) {
         largest = std::max(largest, n->cpu_share);
-        all_time += n->cpu_share;
+        total_cpu_share += n->cpu_share;
     }
     std::vector<const node_entry*> out;
-    double time = 0;
+    double large_cpu_share = 0;
     for (const auto* n : nodes) {
         if (n->cpu_share >= large_node_cpu_share * largest) {
             out.push_back(n);
-            time += n->cpu_share;
+            large_cpu_share += n->cpu_share;
         }
     }
-    const bool enough = out.size() >= min_large_nodes &&
-                        time >= min_large_nodes_cpu_share * all_time;
-    return enough ? out : nodes;
+    const bool is_enough =
+        out.size() >= min_large_nodes &&
+        large_cpu_share >= min_large_nodes_cpu_share * total_cpu_share;
+    return is_enough ? out : nodes;
 }
 
 std::vector<base::endpoint>
 node_table::caller_addresses(const base::zone_id& zone) const {
-    std::vector<const node_entry*> near;
+    std::vector<const node_entry*> zone_nodes;
     std::vector<const node_entry*> all;
     for (const auto& [name, r] : rows_) {
         if (!is_alive(name, r)) {
@@ -91,17 +92,17 @@
         }
         all.push_back(&r.entry);
         if (r.entry.zone == zone) {
-            near.push_back(&r.entry);
+            zone_nodes.push_back(&r.entry);
         }
     }
-    auto chosen = near.size() >= min_nodes_in_zone ? near : all;
+    auto chosen = zone_nodes.size() >= min_nodes_in_zone ? zone_nodes : all;
     if (features_.is_enabled(base::feature::roomy_nodes_first)) {
         chosen = select_large_nodes(chosen);
     }
     std::vector<base::endpoint> out;
-    const auto most = std::min(chosen.size(), max_addresses);
+    const auto count = std::min(chosen.size(), max_addresses);
     std::transform(chosen.begin(),
-                   chosen.begin() + static_cast<std::ptrdiff_t>(most),
+                   chosen.begin() + static_cast<std::ptrdiff_t>(count),
                    std::back_inserter(out),
                    [](const auto* n) { return n->caller_address; });
     return out;
--- a/packages/entry/src/node_table.hpp
+++ b/packages/entry/src/node_table.hpp
@@ -25,10 +25,10 @@
 /// The nodes, as far as they have renewed their entries lately.
 class node_table {
 public:
-    node_table(base::clock clock, std::string self,
-               base::feature_set mechanisms = {})
-        : clock_(std::move(clock)), own_name_(std::move(self)),
-          features_(mechanisms) {}
+    node_table(base::clock clock, std::string own_name,
+               base::feature_set features = {})
+        : clock_(std::move(clock)), own_name_(std::move(own_name)),
+          features_(features) {}
 
     void put(const std::string& name, node_entry entry);
     void remove(const std::string& name);
@@ -37,7 +37,7 @@
     /// arrives, so that those who were there at the loss count as there, and
     /// for a moment afterwards. Who was gone before stays gone: its address
     /// leads callers nowhere.
-    void set_store_reachable(bool up);
+    void set_store_reachable(bool reachable);
 
     /// Returns the nodes that callers in `zone` may use: those of the zone,
     /// or all if it has too few. Answers a fleet in which most nodes are small:
--- a/packages/entry/src/server_registry.cpp
+++ b/packages/entry/src/server_registry.cpp
@@ -18,15 +18,15 @@
 } // namespace
 
 server_registry::server_registry(node_state& state,
-                                 const store::log_store& store,
-                                 const store::run_after_function& after)
-    : state_(state), run_after_(after),
-      follower_(store, {adapter::registry_topic, 0}, state.clock, after,
-                {store::watcher_times().read_wait_ms,
-                 store::watcher_times().retry_delay_ms,
-                 [] { return poll_interval_ms; }},
-                {[this](const auto& changes) { apply_changes(changes); },
-                 [this](bool up) { set_store_reachable(up); }}) {}
+                                 const store::log_store& log_store,
+                                 const store::run_after_function& run_after)
+    : state_(state), run_after_(run_after),
+      watcher_(log_store, {adapter::registry_topic, 0}, state.clock, run_after,
+               {store::watcher_times().read_wait_ms,
+                store::watcher_times().retry_delay_ms,
+                [] { return poll_interval_ms; }},
+               {[this](const auto& changes) { apply_changes(changes); },
+                [this](bool reachable) { set_store_reachable(reachable); }}) {}
 
 void server_registry::apply_changes(const std::vector<store::change>& changes) {
     for (const auto& c : changes) {
@@ -42,11 +42,12 @@
                              {{"topic", "registry"}, {"key", c.key}});
         }
         const auto now = state_.clock.now();
-        const bool doubtful = !store_reachable_ ||
-                              now - store_reachable_since_ < reregistration_ms;
+        const bool removal_uncertain =
+            !store_reachable_ ||
+            now - store_reachable_since_ < reregistration_ms;
         state_.log.write("server_gone",
-                         {{"server", id}, {"believed", !doubtful}});
-        if (doubtful) {
+                         {{"server", id}, {"believed", !removal_uncertain}});
+        if (removal_uncertain) {
             state_.samplers.mark_unlisted(id);
         } else {
             state_.samplers.remove(id);
@@ -54,16 +55,16 @@
     }
 }
 
-void server_registry::set_store_reachable(bool up) {
-    store_reachable_ = up;
-    state_.log.write("dependency", {{"name", "store"}, {"up", up}});
-    if (!up) {
+void server_registry::set_store_reachable(bool reachable) {
+    store_reachable_ = reachable;
+    state_.log.write("dependency", {{"name", "store"}, {"up", reachable}});
+    if (!reachable) {
         return;
     }
     store_reachable_since_ = state_.clock.now();
-    const auto number = ++reconnects_;
-    run_after_(reregistration_ms, [this, number] {
-        if (number == reconnects_ && store_reachable_) {
+    const auto reconnect = ++reconnects_;
+    run_after_(reregistration_ms, [this, reconnect] {
+        if (reconnect == reconnects_ && store_reachable_) {
             state_.samplers.remove_unlisted();
         }
     });
--- a/packages/entry/src/server_registry.hpp
+++ b/packages/entry/src/server_registry.hpp
@@ -11,19 +11,19 @@
 /// these are given a moment to come back.
 class server_registry {
 public:
-    server_registry(node_state& state, const store::log_store& store,
-                    const store::run_after_function& after);
+    server_registry(node_state& state, const store::log_store& log_store,
+                    const store::run_after_function& run_after);
 
-    void start() { follower_.start(); }
-    bool is_loaded() const { return follower_.is_loaded(); }
+    void start() { watcher_.start(); }
+    bool is_loaded() const { return watcher_.is_loaded(); }
 
 private:
     void apply_changes(const std::vector<store::change>& changes);
-    void set_store_reachable(bool up);
+    void set_store_reachable(bool reachable);
 
     node_state& state_;
     store::run_after_function run_after_;
-    store::partition_watcher follower_;
+    store::partition_watcher watcher_;
     bool store_reachable_ = false;
     base::millis store_reachable_since_ = 0;
     std::uint64_t reconnects_ = 0;
--- a/packages/entry/src/store_monitor.cpp
+++ b/packages/entry/src/store_monitor.cpp
@@ -20,16 +20,16 @@
 
 store_monitor::store_monitor(node_state& state,
                              transport::upstream_client& client,
-                             store::run_after_function after,
+                             store::run_after_function run_after,
                              store::store_router::peer_list_function peers)
-    : state_(state), client_(client), run_after_(std::move(after)),
-      link_(
+    : state_(state), client_(client), run_after_(std::move(run_after)),
+      router_(
           state.clock, state.settings.store,
           [this, peers = std::move(peers)] { return relay_peers(peers); },
           [this] { cancel_direct_calls(); }) {}
 
 void store_monitor::start() {
-    check_link();
+    check_store();
 }
 
 /// Returns the nodes that may pass calls to the store on.
@@ -56,17 +56,18 @@
     });
 }
 
-void store_monitor::check_link() {
-    const bool away = link_.check_unreachable();
-    if (away != store_unreachable_) {
-        store_unreachable_ = away;
-        state_.log.write("store_link", {{"direct", !away}});
+void store_monitor::check_store() {
+    const bool unreachable = router_.check_unreachable();
+    if (unreachable != store_unreachable_) {
+        store_unreachable_ = unreachable;
+        state_.log.write("store_link", {{"direct", !unreachable}});
     }
-    if (away && state_.clock.now() - last_probe_at_ >= probe_interval_ms) {
+    if (unreachable &&
+        state_.clock.now() - last_probe_at_ >= probe_interval_ms) {
         last_probe_at_ = state_.clock.now();
         probe();
     }
-    run_after_(check_interval_ms, [this] { check_link(); });
+    run_after_(check_interval_ms, [this] { check_store(); });
 }
 
 /// Tries the store itself. Once it serves, all that was asked before and has no
@@ -74,16 +75,16 @@
 /// reads and appends would wait for up to another second while every trainer
 /// stands still.
 void store_monitor::probe() {
-    const auto began = state_.clock.now();
-    adapter::probe_store(client_, state_.settings.store,
-                         link_.failed_partition(), [this, began](bool served) {
-                             if (!served || !link_.check_unreachable()) {
-                                 return;
-                             }
-                             link_.mark_reachable(state_.clock.now() - began);
-                             client_.end_calls_started_before(
-                                 state_.settings.store, began);
-                         });
+    const auto started_at = state_.clock.now();
+    adapter::probe_store(
+        client_, state_.settings.store, router_.failed_partition(),
+        [this, started_at](bool served) {
+            if (!served || !router_.check_unreachable()) {
+                return;
+            }
+            router_.mark_reachable(state_.clock.now() - started_at);
+            client_.end_calls_started_before(state_.settings.store, started_at);
+        });
 }
 
 } // namespace hibiscus::entry
--- a/packages/entry/src/store_monitor.hpp
+++ b/packages/entry/src/store_monitor.hpp
@@ -13,26 +13,26 @@
 class store_monitor {
 public:
     store_monitor(node_state& state, transport::upstream_client& client,
-                  store::run_after_function after,
+                  store::run_after_function run_after,
                   store::store_router::peer_list_function peers);
 
     /// Starts to watch.
     void start();
 
     /// Where calls to the store go.
-    store::store_router& link() { return link_; }
+    store::store_router& router() { return router_; }
 
 private:
     std::vector<base::endpoint>
     relay_peers(const store::store_router::peer_list_function& peers) const;
     void cancel_direct_calls();
-    void check_link();
+    void check_store();
     void probe();
 
     node_state& state_;
     transport::upstream_client& client_;
     store::run_after_function run_after_;
-    store::store_router link_;
+    store::store_router router_;
     bool store_unreachable_ = false;
     base::millis last_probe_at_ = 0;
 };
--- a/packages/entry/test/batch_api_fuzz_test.cpp
+++ b/packages/entry/test/batch_api_fuzz_test.cpp
@@ -26,8 +26,8 @@
 }
 
 /// Bodies and texts of all sizes: below a record and over several.
-std::string make_content(const std::string& of, int job, int number) {
-    return of + make_item_id(job, number).str() +
+std::string make_content(const std::string& prefix, int job, int number) {
+    return prefix + make_item_id(job, number).str() +
            std::string(static_cast<std::size_t>((job * 7 + number * 13) % 9) *
                            220,
                        'x');
@@ -64,7 +64,7 @@
             jobs_.push_back(std::move(j));
         }
         for (std::size_t n = 0; n < node_count; ++n) {
-            nodes_.push_back(new_node(n));
+            nodes_.push_back(make_node(n));
         }
     }
 
@@ -89,11 +89,11 @@
 private:
     using response = transport::outbound_response;
 
-    void fail(const std::string& what) {
-        failure_ = failure_.empty() ? what : failure_;
+    void fail(const std::string& text) {
+        failure_ = failure_.empty() ? text : failure_;
     }
 
-    std::unique_ptr<batch_node> new_node(std::size_t n) {
+    std::unique_ptr<batch_node> make_node(std::size_t n) {
         return std::make_unique<batch_node>(
             store_, time_, "n" + std::to_string(n),
             "s" + std::to_string(++node_starts_));
@@ -112,10 +112,10 @@
                 submit((n + 1) % node_count, job);
             }
         } else if (c.kind < 61) {
-            const auto lister = c.c % 5 == 0 ? n : find_owner_or(n);
-            nodes_[lister]->claim_or_renew(c.c < 100);
+            const auto committer = c.c % 5 == 0 ? n : find_owner_or(n);
+            nodes_[committer]->claim_or_renew(c.c < 100);
             time_.run_for(c.c % 30);
-            commit_results(lister, job, c.c);
+            commit_results(committer, job, c.c);
         } else if (c.kind < 66) {
             read_results(n, job,
                          static_cast<std::size_t>(c.c) %
@@ -128,7 +128,7 @@
         } else if (c.kind < 81) {
             nodes_[n]->claim_or_renew(c.c < 200);
         } else if (c.kind < 84) {
-            list_at_two_owners(n, job, c.c);
+            commit_at_two_owners(n, job, c.c);
         } else if (c.kind < 86) {
             end_job(n, job);
         } else if (c.kind < 88) {
@@ -138,7 +138,7 @@
         } else if (c.kind < 97) {
             store_.set_faults(make_store_faults(c.c));
         } else {
-            nodes_[n] = new_node(n);
+            nodes_[n] = make_node(n);
         }
     }
 
@@ -153,14 +153,14 @@
     }
 
     /// Lets a node take the ownership over while the owner lists.
-    void list_at_two_owners(std::size_t n, expected_job& j, int from) {
+    void commit_at_two_owners(std::size_t n, expected_job& j, int seed) {
         const auto owner = find_owner_or(n);
         const auto other = (owner + 1) % node_count;
         nodes_[other]->claim_or_renew(true);
-        time_.run_for(from % 20);
-        commit_results(owner, j, from);
-        commit_results(other, j, from + 1);
-        time_.run_for(from % 50);
+        time_.run_for(seed % 20);
+        commit_results(owner, j, seed);
+        commit_results(other, j, seed + 1);
+        time_.run_for(seed % 50);
         read_results(owner, j, j.delivered_results.size(), wait_ms);
         read_results(other, j, j.delivered_results.size(), wait_ms);
     }
@@ -201,8 +201,8 @@
     }
 
     std::shared_ptr<test_response_writer>
-    make_response_writer(std::function<void(const response&)> answered) {
-        return std::make_shared<test_response_writer>(std::move(answered));
+    make_response_writer(std::function<void(const response&)> on_response) {
+        return std::make_shared<test_response_writer>(std::move(on_response));
     }
 
     void submit(std::size_t n, expected_job& j) {
@@ -222,14 +222,14 @@
             }));
     }
 
-    void commit_results(std::size_t n, const expected_job& j, int from) {
+    void commit_results(std::size_t n, const expected_job& j, int seed) {
         const auto* row = nodes_[n]->state().jobs.find(j.id);
         if (row == nullptr || row->has_ended) {
             return;
         }
         std::vector<batch::ready_result> out;
-        for (int k = 0; k <= from % 3; ++k) {
-            const int item = (from + k) % j.items;
+        for (int k = 0; k <= seed % 3; ++k) {
+            const int item = (seed + k) % j.items;
             out.push_back({j.id,
                            item,
                            {make_item_id(j.number, item),
@@ -243,56 +243,56 @@
 
     void read_results(std::size_t n, expected_job& j, std::size_t after,
                       base::millis wait) {
-        const auto known = j.delivered_results.size();
+        const auto known_results = j.delivered_results.size();
         const bool was_accepted = j.accepted;
         nodes_[n]->api().read_results(
             {j.id, after, wait},
-            make_response_writer(
-                [this, &j, after, known, was_accepted](const response& r) {
-                    if (was_accepted && j.is_retained(time_.now())) {
-                        check_read(j, after, known, r);
-                    }
-                }));
+            make_response_writer([this, &j, after, known_results,
+                                  was_accepted](const response& r) {
+                if (was_accepted && j.is_retained(time_.now())) {
+                    check_read(j, after, known_results, r);
+                }
+            }));
     }
 
     /// Reads on at one node, and at once again what came at another.
     void read_at_two_nodes(std::size_t n, expected_job& j) {
-        const auto known = j.delivered_results.size();
-        read_results(n, j, known, wait_ms);
+        const auto known_results = j.delivered_results.size();
+        read_results(n, j, known_results, wait_ms);
         time_.run_for(second_read_delay_ms);
-        if (j.delivered_results.size() > known) {
-            read_results((n + 1) % node_count, j, known, 0);
+        if (j.delivered_results.size() > known_results) {
+            read_results((n + 1) % node_count, j, known_results, 0);
         }
     }
 
-    void check_read(expected_job& j, std::size_t after, std::size_t known,
-                    const response& r) {
+    void check_read(expected_job& j, std::size_t after,
+                    std::size_t known_results, const response& r) {
         if (r.status == 404) {
             fail(j.id.str() + " is not known");
         }
         if (r.status != 200) {
             return;
         }
-        const auto in = json::parse(r.body);
-        if (in.at("total") != j.items) {
+        const auto body = json::parse(r.body);
+        if (body.at("total") != j.items) {
             fail(j.id.str() + " has another number of items");
         }
-        if (in.at("results").empty() && after < known) {
+        if (body.at("results").empty() && after < known_results) {
             fail(j.id.str() + " has nothing at " + std::to_string(after));
         }
         auto position = after;
-        for (const auto& row : in.at("results")) {
+        for (const auto& row : body.at("results")) {
             check_result(j, position++, row);
         }
-        if (in.at("next") != position) {
+        if (body.at("next") != position) {
             fail(j.id.str() + " goes on at another position");
         }
     }
 
     void check_result(expected_job& j, std::size_t position, const json& row) {
-        const auto what = row.dump();
+        const auto text = row.dump();
         if (position < j.delivered_results.size()) {
-            if (j.delivered_results[position] != what) {
+            if (j.delivered_results[position] != text) {
                 fail(j.id.str() + " changed at " + std::to_string(position));
             }
             return;
@@ -305,7 +305,7 @@
         if (!j.delivered_items.insert(id).second) {
             fail(id + " stands at two positions");
         }
-        j.delivered_results.push_back(what);
+        j.delivered_results.push_back(text);
     }
 
     void read_item_body(std::size_t n, expected_job& j, int item) {
@@ -333,12 +333,13 @@
         if (!j.accepted) {
             return;
         }
-        const bool was_kept = j.is_retained(time_.now());
+        const bool was_retained = j.is_retained(time_.now());
         j.ended = true;
         nodes_[n]->api().end_job(
             {j.id},
-            make_response_writer([this, &j, was_kept](const response& r) {
-                if (r.status == 404 && was_kept && j.is_retained(time_.now())) {
+            make_response_writer([this, &j, was_retained](const response& r) {
+                if (r.status == 404 && was_retained &&
+                    j.is_retained(time_.now())) {
                     fail(j.id.str() + " is not known at its end");
                 }
             }));
@@ -390,11 +391,11 @@
         const auto journal =
             store_.newest_values(batch_node::journal_partition());
         for (const auto& j : jobs_) {
-            const bool only_refused =
+            const bool only_rejected =
                 j.submitted_at && open_submissions_[j.number] == 0 &&
                 submit_statuses_[j.number] == std::set<int>{503};
-            if (only_refused && journal.count(batch::format_key(
-                                    batch::header_key{j.id})) != 0) {
+            if (only_rejected && journal.count(batch::format_key(
+                                     batch::header_key{j.id})) != 0) {
                 fail(j.id.str() + " is stored and was refused");
             }
         }
@@ -416,7 +417,7 @@
     std::string failure_;
 };
 
-TEST(batch_api_fuzz_test, what_was_accepted_or_read_is_never_denied) {
+TEST(batch_api_fuzz_test, accepted_jobs_and_delivered_results_are_never_lost) {
     testing::fuzz("batch_api", 200, [](const auto& commands) {
         return batch_api_fuzz_model(commands).run(commands);
     });
--- a/packages/entry/test/batch_api_test.cpp
+++ b/packages/entry/test/batch_api_test.cpp
@@ -27,15 +27,15 @@
     }
 
     /// Stores a job of which the items `from` on are not there.
-    void store_partial_job(int items, int from) {
-        auto whole = make_job(items);
-        auto header = whole.header;
-        whole.items.resize(static_cast<std::size_t>(from));
+    void store_partial_job(int items, int stored_items) {
+        auto job = make_job(items);
+        auto header = job.header;
+        job.items.resize(static_cast<std::size_t>(stored_items));
         const auto chunks =
-            batch::split_into_chunks(header, std::move(whole.items), 1024);
-        const job_store files(log_store_,
-                              node_.state().settings.partitions_per_topic, {});
-        files.append_items(test_job_id, chunks, [](const auto&) {});
+            batch::split_into_chunks(header, std::move(job.items), 1024);
+        const job_store job_records(
+            log_store_, node_.state().settings.partitions_per_topic, {});
+        job_records.append_items(test_job_id, chunks, [](const auto&) {});
         header.item_count = items;
         store_.append(batch_node::journal_partition(),
                       {{batch::format_key(batch::header_key{test_job_id}),
@@ -66,54 +66,54 @@
     batch_node node_{store_, time_, "n", "s"};
 };
 
-TEST_F(batch_api_test, an_item_is_denied_only_if_all_items_were_read) {
+TEST_F(batch_api_test, item_is_not_found_only_if_all_items_were_read) {
     // Guards against a 404 for an item that could not be read.
     store_partial_job(3, 2);
     EXPECT_EQ(read_item_body("i1").body, "body 1");
     EXPECT_EQ(read_item_body("i2").status, 503);
 }
 
-TEST_F(batch_api_test, an_item_that_a_job_never_had_is_denied) {
+TEST_F(batch_api_test, unknown_item_returns_404) {
     call_and_wait(
         [&](auto caller) { node_.api().submit(make_job(3), 1000, caller); });
     EXPECT_EQ(read_item_body("i2").body, "body 2");
     EXPECT_EQ(read_item_body("i3").status, 404);
 }
 
-TEST_F(batch_api_test, a_position_that_no_job_has_does_not_end_the_node) {
+TEST_F(batch_api_test, out_of_range_position_returns_no_results) {
     // Guards against nodes that end at a position that no job has.
     call_and_wait(
         [&](auto caller) { node_.api().submit(make_job(3), 1000, caller); });
     for (const auto after : {std::size_t{0xffffffff}, ~std::size_t{0}}) {
-        const auto got = call_and_wait([&](auto caller) {
+        const auto response = call_and_wait([&](auto caller) {
             node_.api().read_results({test_job_id, after, 0}, caller);
         });
-        ASSERT_EQ(got.status, 200);
-        EXPECT_TRUE(nlohmann::json::parse(got.body).at("results").empty());
+        ASSERT_EQ(response.status, 200);
+        EXPECT_TRUE(nlohmann::json::parse(response.body).at("results").empty());
     }
 }
 
-TEST_F(batch_api_test, what_is_denied_is_counted) {
-    const auto counted = [this](const std::string& name) {
+TEST_F(batch_api_test, not_found_responses_are_counted) {
+    const auto is_counted = [this](const std::string& name) {
         return node_.state().counters.serialize().find(
                    "event=\"" + name + "\"") != std::string::npos;
     };
     EXPECT_EQ(read_item_body("i0").status, 404);
-    EXPECT_TRUE(counted("job_unknown"));
-    EXPECT_FALSE(counted("told_job_unknown"));
+    EXPECT_TRUE(is_counted("job_unknown"));
+    EXPECT_FALSE(is_counted("told_job_unknown"));
     call_and_wait(
         [&](auto caller) { node_.api().submit(make_job(3), 1000, caller); });
     EXPECT_EQ(read_item_body("i3").status, 404);
-    EXPECT_TRUE(counted("item_unknown"));
+    EXPECT_TRUE(is_counted("item_unknown"));
     store_.append(batch_node::journal_partition(),
                   {{batch::format_key(batch::header_key{test_job_id}), ""}});
     time_.run_for(500);
     EXPECT_EQ(read_item_body("i0").status, 404);
-    EXPECT_TRUE(counted("told_job_unknown"));
-    EXPECT_FALSE(counted("position_empty"));
+    EXPECT_TRUE(is_counted("told_job_unknown"));
+    EXPECT_FALSE(is_counted("position_empty"));
 }
 
-TEST_F(batch_api_test, a_result_that_does_not_come_again_is_counted) {
+TEST_F(batch_api_test, a_lost_delivered_result_is_counted) {
     call_and_wait(
         [&](auto caller) { node_.api().submit(make_job(3), 1000, caller); });
     node_.claim_or_renew(true);
--- a/packages/entry/test/batch_node.hpp
+++ b/packages/entry/test/batch_node.hpp
@@ -61,30 +61,31 @@
     }
 
     batch_node(testing::simulated_store& store,
-               testing::virtual_scheduler& time, const std::string& name,
+               testing::virtual_scheduler& scheduler, const std::string& name,
                const std::string& incarnation)
-        : run_after_([&time, alive = alive_](base::millis ms,
-                                             std::function<void()> f) {
-              time.run_after(ms, [alive, f = std::move(f)] {
+        : run_after_([&scheduler, alive = alive_](base::millis ms,
+                                                  std::function<void()> f) {
+              scheduler.run_after(ms, [alive, f = std::move(f)] {
                   if (*alive) {
                       f();
                   }
               });
           }),
-          state_(small_settings(name), time.clock(), null_device()),
+          state_(small_settings(name), scheduler.clock(), null_device()),
           log_store_(store.client(alive_)),
           journal_(
               log_store_, journal_partition(), state_.clock, run_after_,
               {150, 100, [] { return base::millis{60}; }},
               {[this](const auto& changes) { on_journal_changed(changes); },
-               [this](bool up) { ownership_.set_store_reachable(up); }}),
+               [this](bool reachable) {
+                   lease_.set_store_reachable(reachable);
+               }}),
           job_store_(log_store_, state_.settings.partitions_per_topic,
                      {state_.settings.max_record_bytes,
                       state_.settings.max_append_bytes}),
           batch_api_(state_, log_store_, journal_, job_store_, run_after_),
           incarnation_(incarnation),
-          ownership_(state_.clock, state_.settings.node, incarnation_, {}, 0.5,
-                     1) {
+          lease_(state_.clock, state_.settings.node, incarnation_, {}, 0.5, 1) {
         journal_.start();
         batch_api_.start();
     }
@@ -101,22 +102,23 @@
     batch_api& api() { return batch_api_; }
     node_state& state() { return state_; }
 
-    bool is_owner() const { return ownership_.is_held(state_.jobs); }
+    bool is_owner() const { return lease_.is_held(state_.jobs); }
 
     /// Claims or renews the ownership; `hasty` claims without cause.
-    void claim_or_renew(bool hasty) {
+    void claim_or_renew(bool force) {
         if (appending_ || !journal_.is_loaded()) {
             return;
         }
-        const auto step =
-            ownership_.next_action(state_.jobs, journal_.current_as_of());
-        const bool mine = is_owner();
-        if (step == batch::lease_action::none && (mine || !hasty)) {
+        const auto action =
+            lease_.next_action(state_.jobs, journal_.current_as_of());
+        const bool owns = is_owner();
+        if (action == batch::lease_action::none && (owns || !force)) {
             return;
         }
-        const auto fence = mine ? state_.jobs.owner()->record.fencing_token
-                                : journal_.next_offset();
-        append_to_journal({make_owner_record(fence)}, [](bool) {});
+        const auto fencing_token =
+            owns ? state_.jobs.owner()->record.fencing_token
+                 : journal_.next_offset();
+        append_to_journal({make_owner_record(fencing_token)}, [](bool) {});
     }
 
     /// Stores and lists results, as far as this node owns the jobs.
@@ -132,16 +134,17 @@
             return;
         }
         committing_ = true;
-        auto waiting = std::make_shared<std::size_t>(plan.size());
+        auto appends_in_flight = std::make_shared<std::size_t>(plan.size());
         auto unstored = std::make_shared<std::set<batch::job_id>>();
         for (const auto& p : plan) {
             job_store_.append_texts(
                 p.job, {p.texts_record},
-                [this, plan, waiting, unstored, job = p.job](const auto& r) {
+                [this, plan, appends_in_flight, unstored,
+                 job = p.job](const auto& r) {
                     if (base::value_if(r) == nullptr) {
                         unstored->insert(job);
                     }
-                    if (--*waiting == 0) {
+                    if (--*appends_in_flight == 0) {
                         on_texts_stored(batch::exclude_jobs(plan, *unstored));
                     }
                 });
@@ -157,9 +160,9 @@
         if (!id || appending_ || !is_owner()) {
             return;
         }
-        job_store_.erase(*id, [this, id = *id](bool gone) {
+        job_store_.erase(*id, [this, id = *id](bool erased) {
             const auto* row = state_.jobs.find(id);
-            if (gone && row != nullptr && !appending_ && is_owner()) {
+            if (erased && row != nullptr && !appending_ && is_owner()) {
                 append_to_journal(batch::make_journal_erasures(id, *row),
                                   [](bool) {});
             }
@@ -179,10 +182,10 @@
         batch_api_.on_jobs_changed();
     }
 
-    store::record make_owner_record(store::log_offset fence) {
+    store::record make_owner_record(store::log_offset fencing_token) {
         return {batch::format_key(batch::owner_key{}),
                 batch::encode(batch::owner_record{state_.settings.node,
-                                                  incarnation_, fence,
+                                                  incarnation_, fencing_token,
                                                   ++renewals_, false})};
     }
 
@@ -208,14 +211,14 @@
     void append_to_journal(const std::vector<store::record>& records,
                            std::function<void(bool)> done) {
         appending_ = true;
-        const auto at = journal_.next_offset();
-        log_store_.append(journal_partition(), records, &at,
+        const auto expected_end = journal_.next_offset();
+        log_store_.append(journal_partition(), records, &expected_end,
                           [this, records, sent_at = state_.clock.now(),
                            done = std::move(done)](const auto& r) {
                               appending_ = false;
                               const auto* a = base::value_if(r);
                               if (a != nullptr) {
-                                  ownership_.on_renewed();
+                                  lease_.on_renewed();
                                   journal_.apply_own_append(a->first, records,
                                                             sent_at);
                               }
@@ -231,7 +234,7 @@
     job_store job_store_;
     batch_api batch_api_;
     std::string incarnation_;
-    batch::owner_lease ownership_;
+    batch::owner_lease lease_;
     std::int64_t renewals_ = 0;
     int text_key_counter_ = 0;
     bool appending_ = false;
--- a/packages/entry/test/faulty_server.hpp
+++ b/packages/entry/test/faulty_server.hpp
@@ -37,7 +37,7 @@
     resets_in_response,
     resets_in_unsized_response,
     truncates_response,
-    never_responses,
+    never_responds,
     sends_garbage,
     omits_response_stamp,
     fails,
@@ -94,8 +94,8 @@
 class faulty_server {
 public:
     faulty_server(boost::asio::io_context& io, std::string name,
-                  observed_requests& seen)
-        : io_(io), name_(std::move(name)), observed_(seen),
+                  observed_requests& observed)
+        : io_(io), name_(std::move(name)), observed_(observed),
           acceptor_(io,
                     tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0)) {
         // A long body must not fit into the kernel's buffers.
@@ -122,11 +122,11 @@
         tcp::socket socket;
         std::array<char, 16384> read_buffer{};
         std::string input;
-        std::string last_answer;
+        std::string last_response;
         int request_count = 0;
         bool reset_at_next = false;
         bool repeat_at_next = false;
-        bool answered_early = false;
+        bool responded_early = false;
         bool ignores_input = false;
     };
     using connection_ptr = std::shared_ptr<connection>;
@@ -164,11 +164,11 @@
 
     static std::string find_field(const std::string& head,
                                   const std::string& name) {
-        const auto at = head.find("\r\n" + name + ": ");
-        if (at == std::string::npos) {
+        const auto offset = head.find("\r\n" + name + ": ");
+        if (offset == std::string::npos) {
             return {};
         }
-        const auto begin = at + name.size() + 4;
+        const auto begin = offset + name.size() + 4;
         return head.substr(begin, head.find("\r\n", begin) - begin);
     }
 
@@ -199,33 +199,34 @@
                 observed_[h.id].failure = c->input.substr(0, end);
             }
             auto& s = observed_[h.id];
-            const bool whole = c->input.size() >= h.head_bytes + h.body_bytes;
-            const auto what = next_behavior(s);
-            if (!c->answered_early && !whole &&
-                what == server_behavior::responds_before_body) {
-                c->answered_early = true;
-                record_send(c, s, what);
+            const bool is_complete =
+                c->input.size() >= h.head_bytes + h.body_bytes;
+            const auto behavior = next_behavior(s);
+            if (!c->responded_early && !is_complete &&
+                behavior == server_behavior::responds_before_body) {
+                c->responded_early = true;
+                record_send(c, s, behavior);
                 record_run(s);
-                send(c, make_response(s, h, what));
+                send(c, make_response(s, h, behavior));
             }
-            if (!c->answered_early &&
-                what == server_behavior::resets_before_reading) {
-                record_send(c, s, what);
+            if (!c->responded_early &&
+                behavior == server_behavior::resets_before_reading) {
+                record_send(c, s, behavior);
                 reset(c);
                 return false;
             }
-            if (!whole) {
+            if (!is_complete) {
                 return true;
             }
             if (c->input.substr(h.head_bytes, h.body_bytes) != s.body) {
                 s.failure = "another body was sent";
             }
             c->input.erase(0, h.head_bytes + h.body_bytes);
-            if (std::exchange(c->answered_early, false)) {
+            if (std::exchange(c->responded_early, false)) {
                 continue;
             }
-            record_send(c, s, what);
-            if (!apply_behavior(c, s, h, what)) {
+            record_send(c, s, behavior);
+            if (!apply_behavior(c, s, h, behavior)) {
                 return false;
             }
         }
@@ -241,12 +242,12 @@
     }
 
     static void record_send(const connection_ptr& c, observed_request& s,
-                            server_behavior what) {
+                            server_behavior behavior) {
         ++s.send_count;
-        s.last_behavior = what;
+        s.last_behavior = behavior;
         const bool lost = c->repeat_at_next ||
-                          what == server_behavior::resets_before_reading ||
-                          what == server_behavior::resets_after_run;
+                          behavior == server_behavior::resets_before_reading ||
+                          behavior == server_behavior::resets_after_run;
         s.last_send_lost = c->request_count > 0 && lost;
         s.lost_send_count += s.last_send_lost ? 1 : 0;
         ++c->request_count;
@@ -260,42 +261,43 @@
     /// Does what the plan says with a whole request. Returns false once the
     /// connection has ended.
     bool apply_behavior(const connection_ptr& c, observed_request& s,
-                        const request_head& h, server_behavior what) {
-        const bool ran = what != server_behavior::rejects &&
-                         what != server_behavior::is_wrong_server;
+                        const request_head& h, server_behavior behavior) {
+        const bool ran = behavior != server_behavior::rejects &&
+                         behavior != server_behavior::is_wrong_server;
         if (ran) {
             record_run(s);
         }
         if (std::exchange(c->repeat_at_next, false)) {
-            send(c, c->last_answer);
+            send(c, c->last_response);
         }
-        const auto answer = make_response(s, h, what);
-        const auto head_end = answer.find("\r\n\r\n") + 4;
-        const auto half = head_end + (answer.size() - head_end) / 2;
-        c->last_answer = answer;
-        switch (what) {
+        const auto response = make_response(s, h, behavior);
+        const auto head_end = response.find("\r\n\r\n") + 4;
+        const auto cut_offset = head_end + (response.size() - head_end) / 2;
+        c->last_response = response;
+        switch (behavior) {
         case server_behavior::resets_after_run:
             reset(c);
             return false;
         case server_behavior::resets_in_response:
         case server_behavior::resets_in_unsized_response:
-            send(c, answer.substr(0, half), [this, c] { reset_later(c); });
+            send(c, response.substr(0, cut_offset),
+                 [this, c] { reset_later(c); });
             return true;
         case server_behavior::truncates_response:
-            send(c, answer.substr(0, half), [c] { close(c); });
+            send(c, response.substr(0, cut_offset), [c] { close(c); });
             return true;
         case server_behavior::responds_without_length:
         case server_behavior::responds_and_closes:
-            send(c, answer, [c] { close(c); });
+            send(c, response, [c] { close(c); });
             return true;
         case server_behavior::responds_slowly:
-            run_later([this, c, answer] { send(c, answer); });
+            run_later([this, c, response] { send(c, response); });
             return true;
         case server_behavior::responds_twice:
-            send(c, answer + answer);
+            send(c, response + response);
             return true;
         case server_behavior::sends_extra_bytes_after_response:
-            send(c, answer + "HTTP/1.1 200 OK\r\nConte");
+            send(c, response + "HTTP/1.1 200 OK\r\nConte");
             return true;
         case server_behavior::repeats_response_before_next:
             c->repeat_at_next = true;
@@ -303,7 +305,7 @@
         case server_behavior::resets_idle_connection:
             c->reset_at_next = true;
             break;
-        case server_behavior::never_responses:
+        case server_behavior::never_responds:
             c->ignores_input = true;
             return true;
         case server_behavior::sends_garbage:
@@ -312,15 +314,16 @@
         default:
             break;
         }
-        send(c, answer);
+        send(c, response);
         return true;
     }
 
     static std::string encode_chunked(const std::string& body) {
         std::string out;
-        constexpr std::size_t chunk = 16;
-        for (std::size_t at = 0; at < body.size(); at += chunk) {
-            const auto part = body.substr(at, chunk);
+        constexpr std::size_t chunk_bytes = 16;
+        for (std::size_t offset = 0; offset < body.size();
+             offset += chunk_bytes) {
+            const auto part = body.substr(offset, chunk_bytes);
             char size[16];
             std::snprintf(size, sizeof size, "%zx\r\n", part.size());
             out += size + part + "\r\n";
@@ -329,38 +332,41 @@
     }
 
     static std::string make_response(observed_request& s, const request_head& h,
-                                     server_behavior what) {
-        const auto identity = "Request-Id: " + h.id + "\r\n";
-        const auto stamp = "Response-Stamp: of-" + h.id + "\r\n";
-        const std::string nothing = "Content-Length: 0\r\n\r\n";
-        switch (what) {
+                                     server_behavior behavior) {
+        const auto id_field = "Request-Id: " + h.id + "\r\n";
+        const auto stamp_field = "Response-Stamp: of-" + h.id + "\r\n";
+        const std::string empty_body = "Content-Length: 0\r\n\r\n";
+        switch (behavior) {
         case server_behavior::rejects:
-            return "HTTP/1.1 503 Busy\r\nNot-Executed: 1\r\n" + identity +
-                   nothing;
+            return "HTTP/1.1 503 Busy\r\nNot-Executed: 1\r\n" + id_field +
+                   empty_body;
         case server_behavior::rejects_after_run:
             s.signed_failure_statuses.insert(503);
-            return "HTTP/1.1 503 Busy\r\n" + identity + stamp + nothing;
+            return "HTTP/1.1 503 Busy\r\n" + id_field + stamp_field +
+                   empty_body;
         case server_behavior::is_wrong_server:
-            return "HTTP/1.1 421 Other\r\nNot-Executed: 1\r\n" + identity +
-                   nothing;
+            return "HTTP/1.1 421 Other\r\nNot-Executed: 1\r\n" + id_field +
+                   empty_body;
         case server_behavior::fails:
             s.signed_failure_statuses.insert(500);
-            return "HTTP/1.1 500 Failed\r\n" + identity + stamp + nothing;
+            return "HTTP/1.1 500 Failed\r\n" + id_field + stamp_field +
+                   empty_body;
         default:
             break;
         }
         const auto body = s.streamed ? make_events(h.id, h.last_event_id)
                                      : make_plain_body(h.id);
-        auto head = "HTTP/1.1 200 OK\r\n" + identity;
-        head += what == server_behavior::omits_response_stamp ? "" : stamp;
-        if (what == server_behavior::responds_without_length ||
-            what == server_behavior::resets_in_unsized_response) {
+        auto head = "HTTP/1.1 200 OK\r\n" + id_field;
+        head += behavior == server_behavior::omits_response_stamp ? ""
+                                                                  : stamp_field;
+        if (behavior == server_behavior::responds_without_length ||
+            behavior == server_behavior::resets_in_unsized_response) {
             return head + "\r\n" + body;
         }
-        if (what == server_behavior::responds_and_closes) {
+        if (behavior == server_behavior::responds_and_closes) {
             head += "Connection: close\r\n";
         }
-        if (s.streamed || what == server_behavior::responds_chunked) {
+        if (s.streamed || behavior == server_behavior::responds_chunked) {
             return head + "Transfer-Encoding: chunked\r\n\r\n" +
                    encode_chunked(body);
         }
--- a/packages/entry/test/forwarder_fuzz_test.cpp
+++ b/packages/entry/test/forwarder_fuzz_test.cpp
@@ -15,59 +15,59 @@
 std::vector<server_behavior> make_plan(int number) {
     std::vector<server_behavior> out;
     for (int n = 0; n < 3; ++n, number /= 37) {
-        const int what = number % (2 * server_behavior_count);
-        out.push_back(what < server_behavior_count
-                          ? static_cast<server_behavior>(what)
+        const int index = number % (2 * server_behavior_count);
+        out.push_back(index < server_behavior_count
+                          ? static_cast<server_behavior>(index)
                           : server_behavior::responds);
     }
     return out;
 }
 
-void send_random_request(forwarder_harness& w, const fuzz_command& c) {
+void send_random_request(forwarder_harness& harness, const fuzz_command& c) {
     auto plan = make_plan(c.b * 1000 + c.c);
     std::size_t body_bytes = c.c % 3 == 0 ? 20000 : 20;
     if (plan[0] == server_behavior::responds_before_body) {
         body_bytes = long_body_bytes;
     }
-    std::optional<std::chrono::milliseconds> leaves_after;
+    std::optional<std::chrono::milliseconds> disconnect_after;
     if (c.c % 13 == 0) {
-        leaves_after = std::chrono::milliseconds(c.b % 40);
+        disconnect_after = std::chrono::milliseconds(c.b % 40);
     }
-    w.send_request(
+    harness.send_request(
         test_routes[static_cast<std::size_t>(c.a) % test_routes.size()],
-        c.a / 5, std::move(plan), body_bytes, leaves_after);
+        c.a / 5, std::move(plan), body_bytes, disconnect_after);
 }
 
-void apply_command(forwarder_harness& w, const fuzz_command& c) {
+void apply_command(forwarder_harness& harness, const fuzz_command& c) {
     if (c.kind < 86) {
-        send_random_request(w, c);
+        send_random_request(harness, c);
     } else if (c.kind < 91) {
-        w.configure(c.a, c.b);
+        harness.configure(c.a, c.b);
     } else if (c.kind < 93) {
-        w.remove_server(c.a);
+        harness.remove_server(c.a);
     } else if (c.kind < 96) {
-        w.put_server(c.a, c.b % 4 == 0);
+        harness.put_server(c.a, c.b % 4 == 0);
     } else {
-        w.run_for(std::chrono::milliseconds(c.a % 20));
+        harness.run_for(std::chrono::milliseconds(c.a % 20));
     }
-    w.run_for(std::chrono::milliseconds(0));
+    harness.run_for(std::chrono::milliseconds(0));
 }
 
 // Guards against requests that end without an answer, or with a wrong one.
-TEST(forwarder_fuzz_test, callers_get_one_answer_whatever_servers_do) {
+TEST(forwarder_fuzz_test, callers_get_one_response_whatever_servers_do) {
     std::size_t requests = 0;
     fuzz("forwarder", 12, [&](const auto& commands) {
-        forwarder_harness w;
+        forwarder_harness harness;
         for (const auto& c : commands) {
-            apply_command(w, c);
+            apply_command(harness, c);
         }
-        requests += w.request_count();
-        auto wrong = w.finish_and_check();
-        if (!wrong.empty()) {
+        requests += harness.request_count();
+        auto violation = harness.finish_and_check();
+        if (!violation.empty()) {
             // Requests race, and the shrunk list may fail for another reason.
-            std::cout << wrong << std::endl;
+            std::cout << violation << std::endl;
         }
-        return wrong;
+        return violation;
     });
     std::cout << "requests: " << requests << "\n";
 }
--- a/packages/entry/test/forwarder_harness.hpp
+++ b/packages/entry/test/forwarder_harness.hpp
@@ -98,9 +98,10 @@
             put_server(n, false);
         }
         configure(0, 0);
-        const auto at = server_.listen({"127.0.0.1", 0});
+        const auto address = server_.listen({"127.0.0.1", 0});
         for (int n = 0; n < caller_count; ++n) {
-            callers_.push_back(std::make_unique<keep_alive_caller>(io_, *at));
+            callers_.push_back(
+                std::make_unique<keep_alive_caller>(io_, *address));
         }
     }
 
@@ -128,28 +129,29 @@
     }
 
     /// Has a caller send a request; `plan` is what servers do with its sends.
-    std::shared_ptr<request_result> send_request(
-        const test_route& shape, int caller, std::vector<server_behavior> plan,
-        std::size_t body_bytes,
-        std::optional<std::chrono::milliseconds> leaves_after = std::nullopt) {
+    std::shared_ptr<request_result>
+    send_request(const test_route& route, int caller,
+                 std::vector<server_behavior> plan, std::size_t body_bytes,
+                 std::optional<std::chrono::milliseconds> disconnect_after =
+                     std::nullopt) {
         const auto id = "r" + std::to_string(observed_.size());
         auto& s = observed_[id];
-        s.streamed = shape.kind == gateway::route_kind::streaming;
+        s.streamed = route.kind == gateway::route_kind::streaming;
         s.behaviors = std::move(plan);
         s.body =
             id + std::string(body_bytes,
                              static_cast<char>('a' + observed_.size() % 26));
         queued_request r;
         r.result = std::make_shared<request_result>();
-        r.disconnect_after = leaves_after;
-        r.bytes = "POST " + std::string(shape.prefix) + id +
+        r.disconnect_after = disconnect_after;
+        r.bytes = "POST " + std::string(route.prefix) + id +
                   "?q=1 HTTP/1.1\r\nHost: h\r\nRequest-Id: " + id +
                   "\r\nDeadline-Ms: " +
                   std::to_string(s.streamed ? stream_deadline_ms
                                             : plain_deadline_ms) +
                   "\r\nContent-Length: " + std::to_string(s.body.size()) +
                   "\r\n\r\n" + s.body;
-        sent_requests_[id] = {shape, r.result};
+        sent_requests_[id] = {route, r.result};
         auto result = r.result;
         callers_[static_cast<std::size_t>(caller) % callers_.size()]->enqueue(
             std::move(r));
@@ -192,8 +194,8 @@
     /// Runs until servers have got so many sends; false if that never happens.
     bool run_until_sends(int sends) {
         const base::clock clock;
-        const auto until = clock.now() + max_wait_ms;
-        while (total_sends() < sends && clock.now() < until) {
+        const auto deadline = clock.now() + max_wait_ms;
+        while (total_sends() < sends && clock.now() < deadline) {
             run_for(std::chrono::milliseconds(1));
         }
         return total_sends() >= sends;
@@ -206,8 +208,8 @@
     /// Runs until all callers are done. Returns what is wrong, or "".
     std::string finish_and_check() {
         const base::clock clock;
-        const auto until = clock.now() + max_wait_ms;
-        while (has_busy_callers() && clock.now() < until) {
+        const auto deadline = clock.now() + max_wait_ms;
+        while (has_busy_callers() && clock.now() < deadline) {
             run_for(std::chrono::milliseconds(2));
         }
         if (has_busy_callers()) {
@@ -229,13 +231,13 @@
     }
 
     void on_request(transport::inbound_request request,
-                    std::shared_ptr<transport::response_writer> answer) {
-        const auto front = adapter::parse_client_request(request);
-        const auto& call = std::get<adapter::routed_request>(front);
+                    std::shared_ptr<transport::response_writer> response) {
+        const auto parsed = adapter::parse_client_request(request);
+        const auto& call = std::get<adapter::routed_request>(parsed);
         const auto* r = gateway::find_route(*state_.configuration, call.host,
                                             request.target);
         if (r == nullptr) {
-            answer->send(adapter::status_response(404));
+            response->send(adapter::status_response(404));
             return;
         }
         entry::forward_request f;
@@ -253,7 +255,7 @@
                               ? std::min(call.deadline_ms, r->timeout_ms)
                               : call.deadline_ms;
         f.deadline = state_.clock.now() + time;
-        forwarder_.forward_to_caller(std::move(f), std::move(answer));
+        forwarder_.forward_to_caller(std::move(f), std::move(response));
     }
 
     int total_sends() const {
@@ -275,23 +277,24 @@
 
     std::string check_all() const {
         for (const auto& [id, s] : observed_) {
-            const auto at = sent_requests_.find(id);
-            if (at == sent_requests_.end()) {
+            const auto found = sent_requests_.find(id);
+            if (found == sent_requests_.end()) {
                 return "nobody asked for it: " + s.failure;
             }
-            auto wrong = check(id, s, at->second);
-            if (!wrong.empty()) {
-                return wrong.append(": ").append(describe(s, at->second));
+            auto violation = check(id, s, found->second);
+            if (!violation.empty()) {
+                return violation.append(": ").append(
+                    describe(s, found->second));
             }
         }
         return "";
     }
 
     static std::string describe(const observed_request& s,
-                                const sent_request& a) {
-        std::string out = a.route.prefix;
-        out += " " + a.result->error;
-        out += " status " + std::to_string(a.result->status) + ", sends " +
+                                const sent_request& sent) {
+        std::string out = sent.route.prefix;
+        out += " " + sent.result->error;
+        out += " status " + std::to_string(sent.result->status) + ", sends " +
                std::to_string(s.send_count) + ", runs " +
                std::to_string(s.run_count) + ", plan";
         for (const auto c : s.behaviors) {
@@ -301,19 +304,19 @@
     }
 
     static std::string check(const std::string& id, const observed_request& s,
-                             const sent_request& a) {
-        const auto& r = *a.result;
+                             const sent_request& sent) {
+        const auto& r = *sent.result;
         if (!s.failure.empty() || !r.failure.empty()) {
             return s.failure + r.failure;
         }
-        const bool repeatable =
-            a.route.kind == gateway::route_kind::idempotent ||
-            a.route.resumable;
-        if (!repeatable && s.run_count > 1) {
+        const bool retryable =
+            sent.route.kind == gateway::route_kind::idempotent ||
+            sent.route.resumable;
+        if (!retryable && s.run_count > 1) {
             return "ran twice";
         }
-        if (s.send_count - s.lost_send_count > a.route.attempts ||
-            static_cast<int>(s.servers_run_at.size()) > a.route.attempts) {
+        if (s.send_count - s.lost_send_count > sent.route.attempts ||
+            static_cast<int>(s.servers_run_at.size()) > sent.route.attempts) {
             return "more servers than its route allows";
         }
         if (r.disconnected) {
@@ -323,36 +326,37 @@
             return "the connection ended without an answer";
         }
         if (r.status == 200) {
-            return check_success(id, s, r, a.route.resumable);
+            return check_success(id, s, r, sent.route.resumable);
         }
-        return check_failure(s, r, repeatable);
+        return check_failure(s, r, retryable);
     }
 
     static std::string check_success(const std::string& id,
                                      const observed_request& s,
                                      const request_result& r, bool resumable) {
-        const auto whole = s.streamed ? make_events(id) : make_plain_body(id);
+        const auto expected_body =
+            s.streamed ? make_events(id) : make_plain_body(id);
         if (r.request_id != id || r.stamp != "of-" + id) {
             return "the answer belongs to another request";
         }
         if (r.complete) {
-            return r.body == whole ? "" : "another body came";
+            return r.body == expected_body ? "" : "another body came";
         }
         // Without a length, an end can't be told from a cut between two events.
-        const bool open_end =
+        const bool may_look_incomplete =
             resumable &&
             s.last_behavior == server_behavior::responds_without_length;
         if (!s.streamed ||
-            (must_complete_stream(s.last_behavior) && !open_end)) {
+            (must_complete_stream(s.last_behavior) && !may_look_incomplete)) {
             return "a sound answer broke off";
         }
-        return whole.compare(0, r.body.size(), r.body) == 0
+        return expected_body.compare(0, r.body.size(), r.body) == 0
                    ? ""
                    : "pieces are missing or come twice";
     }
 
     static std::string check_failure(const observed_request& s,
-                                     const request_result& r, bool repeatable) {
+                                     const request_result& r, bool retryable) {
         if (!r.complete) {
             return "a failure broke off";
         }
@@ -364,9 +368,9 @@
             !s.last_send_lost && r.status != 504) {
             return "a sound answer was not handed on";
         }
-        const bool promise = r.status == 503 || r.status == 429 ||
-                             r.status == 408 || r.status == 421;
-        if (promise && !repeatable && s.run_count > 0) {
+        const bool claims_not_run = r.status == 503 || r.status == 429 ||
+                                    r.status == 408 || r.status == 421;
+        if (claims_not_run && !retryable && s.run_count > 0) {
             return "called not run, but it ran";
         }
         return "";
@@ -381,8 +385,8 @@
     transport::upstream_client client_{io_};
     entry::forwarder forwarder_{state_, client_};
     transport::streaming_http_server server_{
-        io_, {}, [this](auto request, auto answer) {
-            on_request(std::move(request), std::move(answer));
+        io_, {}, [this](auto request, auto response) {
+            on_request(std::move(request), std::move(response));
         }};
     std::vector<std::unique_ptr<keep_alive_caller>> callers_;
     std::int64_t version_ = 0;
--- a/packages/entry/test/forwarder_test.cpp
+++ b/packages/entry/test/forwarder_test.cpp
@@ -10,10 +10,10 @@
 protected:
     /// Returns what a caller gets if each send meets this conduct.
     std::shared_ptr<request_result>
-    send_request(const test_route& shape, std::vector<server_behavior> plan,
+    send_request(const test_route& route, std::vector<server_behavior> plan,
                  std::size_t body_bytes = 20) {
         auto result =
-            harness_.send_request(shape, 0, std::move(plan), body_bytes);
+            harness_.send_request(route, 0, std::move(plan), body_bytes);
         EXPECT_EQ(harness_.finish_and_check(), "");
         return result;
     }
@@ -22,7 +22,8 @@
 };
 
 // Guards against a status that says "not run" to a request that has run.
-TEST_F(forwarder_test, an_unmarked_refusal_of_what_may_not_repeat_is_unclear) {
+TEST_F(forwarder_test,
+       unmarked_rejection_of_non_idempotent_request_returns_502) {
     EXPECT_EQ(
         send_request(non_idempotent_route, {server_behavior::rejects_after_run})
             ->status,
@@ -34,7 +35,7 @@
 }
 
 // Guards against a failure of a lookup whose server dropped a kept connection.
-TEST_F(forwarder_test, a_request_outlives_a_dropped_kept_connection) {
+TEST_F(forwarder_test, request_succeeds_after_idle_connection_reset) {
     send_request(single_attempt_route,
                  {server_behavior::resets_idle_connection});
     EXPECT_EQ(
@@ -43,7 +44,7 @@
 }
 
 // Guards against a failure of the request behind an answer that came twice.
-TEST_F(forwarder_test, a_request_outlives_a_late_answer_to_another_one) {
+TEST_F(forwarder_test, request_succeeds_after_duplicate_response) {
     send_request(single_attempt_route,
                  {server_behavior::repeats_response_before_next});
     EXPECT_EQ(
@@ -70,10 +71,10 @@
 }
 
 // Guards against a request that is lost with its route or its server's entry.
-TEST_F(forwarder_test, a_request_under_way_outlives_its_route_and_entry) {
-    const auto asked = harness_.send_request(
+TEST_F(forwarder_test, in_flight_requests_survive_removal_of_route_and_server) {
+    const auto idempotent_result = harness_.send_request(
         idempotent_route, 0, {server_behavior::responds_slowly}, 20);
-    const auto once_asked = harness_.send_request(
+    const auto non_idempotent_result = harness_.send_request(
         non_idempotent_route, 1, {server_behavior::responds_slowly}, 20);
     EXPECT_TRUE(harness_.run_until_sends(2));
     harness_.configure(1, 1);
@@ -82,12 +83,12 @@
         harness_.remove_server(n);
     }
     EXPECT_EQ(harness_.finish_and_check(), "");
-    EXPECT_EQ(asked->status, 200);
-    EXPECT_EQ(once_asked->status, 200);
+    EXPECT_EQ(idempotent_result->status, 200);
+    EXPECT_EQ(non_idempotent_result->status, 200);
 }
 
 // Guards against work of servers for a caller that has left.
-TEST_F(forwarder_test, nothing_is_sent_for_a_caller_that_has_left) {
+TEST_F(forwarder_test, nothing_is_sent_for_a_disconnected_caller) {
     harness_.forward_for_disconnected_caller();
     EXPECT_EQ(harness_.finish_and_check(), "");
 }
--- a/packages/entry/test/keep_alive_caller.hpp
+++ b/packages/entry/test/keep_alive_caller.hpp
@@ -45,8 +45,9 @@
 /// it can.
 class keep_alive_caller {
 public:
-    keep_alive_caller(boost::asio::io_context& io, base::endpoint to)
-        : io_(io), server_address_(std::move(to)), timer_(io) {}
+    keep_alive_caller(boost::asio::io_context& io,
+                      base::endpoint server_address)
+        : io_(io), server_address_(std::move(server_address)), timer_(io) {}
 
     void enqueue(queued_request request) {
         queue_.push_back(std::move(request));
@@ -138,10 +139,10 @@
         r.body = p.get().body();
     }
 
-    void finish(bool keep) {
+    void finish(bool keep_connection) {
         timer_.cancel();
         parser_.reset();
-        if (!keep && socket_) {
+        if (!keep_connection && socket_) {
             error_code ignored;
             socket_->close(ignored);
             socket_.reset();
--- a/packages/entry/test/node_table_test.cpp
+++ b/packages/entry/test/node_table_test.cpp
@@ -40,7 +40,7 @@
     int added_ = 0;
 };
 
-TEST_F(node_table_test, names_the_nodes_of_the_zone_if_it_has_enough) {
+TEST_F(node_table_test, returns_nodes_of_the_zone_if_it_has_enough) {
     table_.put("n1", make_entry(1));
     table_.put("n2", make_entry(2));
     table_.put("n3", make_entry(3, "y"));
@@ -51,7 +51,7 @@
 // Most nodes of a zone have an eighth of a core. A trainer that reads a
 // megabyte of results through one of them gets it 0.3 s later than through a
 // larger one.
-TEST_F(node_table_test, sends_callers_to_roomy_nodes) {
+TEST_F(node_table_test, prefers_large_nodes) {
     add_nodes(30, 0.12);
     add_nodes(9, 0.5);
     EXPECT_EQ(count_addresses(), 9U);
@@ -59,7 +59,7 @@
 
 // Three of four roomy nodes are lost. The one that is left, or two, would get
 // all callers of the zone, and take them along if it fails.
-TEST_F(node_table_test, sends_callers_to_all_nodes_if_few_are_roomy) {
+TEST_F(node_table_test, returns_all_nodes_if_few_are_large) {
     add_nodes(30, 0.12);
     add_nodes(3, 0.5);
     EXPECT_EQ(count_addresses(), 33U);
@@ -67,18 +67,18 @@
 
 // The roomy nodes have less processor time than all the others together. Alone
 // they would have to carry several times their part.
-TEST_F(node_table_test, sends_callers_to_all_nodes_if_these_are_needed) {
+TEST_F(node_table_test, returns_all_nodes_if_large_nodes_lack_capacity) {
     add_nodes(40, 0.12);
     add_nodes(4, 0.5);
     EXPECT_EQ(count_addresses(), 44U);
 }
 
-TEST_F(node_table_test, sends_callers_to_all_nodes_that_are_alike) {
+TEST_F(node_table_test, returns_all_nodes_of_equal_size) {
     add_nodes(9, 0.5);
     EXPECT_EQ(count_addresses(), 9U);
 }
 
-TEST_F(node_table_test, leaves_out_who_does_not_renew_but_not_itself) {
+TEST_F(node_table_test, omits_expired_nodes_but_not_itself) {
     table_.put("n1", make_entry(1));
     table_.put("n2", make_entry(2));
     time_->advance(2001);
@@ -86,7 +86,7 @@
     EXPECT_TRUE(table_.peer_addresses().empty());
 }
 
-TEST_F(node_table_test, leaves_out_who_stops) {
+TEST_F(node_table_test, omits_stopping_nodes) {
     table_.put("n2", make_entry(2));
     auto e = make_entry(2);
     e.stopping = true;
@@ -94,7 +94,7 @@
     EXPECT_EQ(count_addresses(), 0U);
 }
 
-TEST_F(node_table_test, keeps_the_list_while_the_store_is_away) {
+TEST_F(node_table_test, keeps_nodes_while_the_store_is_unreachable) {
     // Renewals go through the store. Without this rule each node would name
     // only itself after two seconds of an outage.
     table_.put("n2", make_entry(2));
@@ -108,7 +108,7 @@
     EXPECT_EQ(count_addresses(), 0U);
 }
 
-TEST_F(node_table_test, who_was_gone_before_an_outage_does_not_come_back) {
+TEST_F(node_table_test, nodes_expired_before_an_outage_stay_omitted) {
     // A node is removed for good, and the store is lost and found again by
     // turns. Callers were sent to the address for as long as that went on.
     table_.put("n2", make_entry(2));
--- a/packages/entry/test/settings_test.cpp
+++ b/packages/entry/test/settings_test.cpp
@@ -13,7 +13,7 @@
 class settings_test : public testing::Test {
 protected:
     base::result<node_settings, settings::setting_errors>
-    load(const std::string& more) {
+    load(const std::string& extra) {
         std::ofstream(path_) << "node: n1\n"
                                 "zone: z\n"
                                 "listen:\n"
@@ -23,7 +23,7 @@
                                 "  metrics: 127.0.0.1:4\n"
                                 "store:\n"
                                 "  address: 127.0.0.1:5\n"
-                             << more;
+                             << extra;
         return load_node_settings(path_);
     }
 
@@ -33,7 +33,7 @@
         testing::UnitTest::GetInstance()->current_test_info()->name() + ".yaml";
 };
 
-TEST_F(settings_test, all_mechanisms_are_on_unless_switched_off) {
+TEST_F(settings_test, all_features_are_enabled_by_default) {
     const auto loaded = load("policy:\n  run_ahead: false\n");
     const auto* s = base::value_if(loaded);
     ASSERT_NE(s, nullptr);
@@ -43,7 +43,7 @@
 
 // A name is misspelt. An operator who believes to have switched a mechanism off
 // would measure nothing.
-TEST_F(settings_test, a_misspelt_mechanism_is_an_error_that_names_all) {
+TEST_F(settings_test, an_unknown_feature_is_an_error_that_lists_all) {
     const auto loaded = load("policy:\n  run_ahaed: false\n");
     const auto* errors = std::get_if<settings::setting_errors>(&loaded);
     ASSERT_NE(errors, nullptr);
@@ -57,7 +57,7 @@
     }
 }
 
-TEST_F(settings_test, a_mechanism_is_on_or_off) {
+TEST_F(settings_test, a_feature_value_must_be_a_boolean) {
     const auto loaded = load("policy:\n  run_ahead: sometimes\n");
     const auto* errors = std::get_if<settings::setting_errors>(&loaded);
     ASSERT_NE(errors, nullptr);
