--- a/packages/entry/include/hibiscus/entry/settings.hpp
+++ b/packages/entry/include/hibiscus/entry/settings.hpp
@@ -12,7 +12,7 @@
 
 namespace hibiscus::entry {
 
-/// The settings of one entry node, from its YAML file.
+/// Settings of one entry node, read from its YAML file.
 struct node_settings {
     base::node_id node;
     base::zone_id zone;
@@ -21,32 +21,36 @@
     base::endpoint listen_directory;
     base::endpoint listen_metrics;
     base::endpoint store;
-    /// The number of partitions of a topic.
+    /// Number of partitions per topic.
     int partitions_per_topic = 24;
     std::size_t max_record_bytes = 262144;
     std::size_t max_append_bytes = 2097152;
-    /// The share of a processor's core that this node has.
+    /// CPU share of this node, in cores.
     double cpu_share = 1;
-    /// Two holders must not order the same server within this time, in ms.
+    /// Minimum time between orders of two owners to the same server, in ms.
     base::millis order_lease_ms = 3000;
-    /// Servers refuse orders with a lower fence than one they have seen.
+    /// Whether servers reject orders with a lower fencing token than the
+    /// highest they have seen.
     bool servers_check_fences = false;
-    /// How long a server serves on after it said that it leaves, in ms.
+    /// Time for which a server still accepts requests after it has announced
+    /// that it is draining, in ms.
     base::millis server_drain_ms = 2000;
-    /// How long results stay readable after a submission, in ms.
+    /// Time for which results stay readable after the submission, in ms.
     base::millis result_retention_ms = 120000;
-    /// How much longer the records of an ended job are kept, in ms: its caller
-    /// may still repeat the end, or read a little late.
+    /// Additional time for which records of an ended job are kept, in ms. The
+    /// caller may still repeat the end of the job, or read a little late.
     base::millis retention_margin_ms = 60000;
-    /// The time from SIGTERM to SIGKILL, in ms.
+    /// Time from SIGTERM to SIGKILL, in ms.
     base::millis shutdown_grace_ms = 8000;
-    /// Within this time of its end, no item of a job may start, in ms.
+    /// Time after the end of a job within which the node stops starting its
+    /// items, in ms.
     base::millis cancel_deadline_ms = 3000;
-    /// What is switched off takes effect at the start of the process.
+    /// Enabled features. Changes take effect when the process restarts.
     base::feature_set features;
 };
 
-/// Returns the settings in the YAML file `path`, or all of its errors.
+/// Reads the settings from the YAML file `path`. Returns all errors if it is
+/// invalid.
 base::result<node_settings, settings::setting_errors>
 load_node_settings(const std::string& path);
 
--- a/packages/entry/src/batch_api.cpp
+++ b/packages/entry/src/batch_api.cpp
@@ -9,24 +9,26 @@
 
 namespace {
 
-/// How often calls that wait are looked at besides each change, in ms.
+/// Interval between two sweeps of pending calls, in ms. They are also checked
+/// after each change of the job table.
 constexpr base::millis sweep_interval_ms = 50;
 
-/// How long a call may wait for a view that is current, in ms. The view is
-/// proved current each 300 ms; a second without proof means that the store is
-/// out of reach.
+/// Maximum time for which a call waits for a current view, in ms. The view is
+/// confirmed every 300 ms, so the store is unreachable if there is no
+/// confirmation for this long.
 constexpr base::millis view_timeout_ms = 900;
 
-/// How soon a caller should come back while the store is out of reach, in ms.
+/// Retry-after time for callers while the store is unreachable, in ms.
 constexpr base::millis store_retry_after_ms = 300;
 
-/// The pause before an append is sent again, in ms.
+/// Delay before an append is sent again, in ms.
 constexpr base::millis append_retry_delay_ms = 50;
 
-/// How long a submission may take if its caller names no time, in ms.
+/// Timeout of a submission without a deadline, and of the end of a job, in ms.
 constexpr base::millis default_submit_timeout_ms = 3000;
 
-/// The most bytes of text in one answer. An answer may hold a megabyte.
+/// Maximum size of the texts in one response, in bytes. A response may have one
+/// megabyte.
 constexpr std::size_t max_response_text_bytes = 900 * 1024;
 
 const store::partition journal_partition{adapter::journal_topic, 0};
@@ -62,7 +64,7 @@
     s->header.accepted_wall_ms = state_.clock.wall_time();
     const auto chunks = batch::split_into_chunks(
         s->header, std::move(job.items), state_.settings.max_record_bytes);
-    // Until the header stands in the journal, the items are nothing.
+    // Without a header in the journal, the stored items have no effect.
     job_store_.append_items(
         s->header.id, chunks,
         [this, s](const store::append_result& r) { on_items_appended(s, r); });
@@ -99,8 +101,8 @@
         return;
     }
     if (std::holds_alternative<store::outcome_unknown>(result)) {
-        // The job may be stored, or be stored later. To say "not run" now
-        // would be a lie; to store it again is harmless.
+        // The job may be stored already, or may be stored later. It must not be
+        // reported as not executed, and storing it again is harmless.
         s->may_be_stored = true;
     }
     if (s->may_be_stored &&
@@ -194,7 +196,8 @@
     run_after_(sweep_interval_ms, [this] { sweep_pending_calls(); });
 }
 
-/// Answers a call if it can be answered now.
+/// Responds to the call if that is possible now. Returns false if it stays
+/// pending.
 bool batch_api::try_respond(const pending_call& call) {
     const auto* row = state_.jobs.find(call.job);
     if (row != nullptr) {
@@ -242,7 +245,7 @@
     return false;
 }
 
-/// Refuses a call that needs the store.
+/// Rejects a call that can't be served without the store.
 void batch_api::reject_unavailable(const pending_call& call, const char* reason,
                                    int records) {
     state_.log.write(
@@ -259,7 +262,7 @@
     call.response->send(adapter::not_run_response(store_retry_after_ms));
 }
 
-/// Writes what an answer rests on that takes something for absent.
+/// Logs the state on which a "not found" or empty response is based.
 void batch_api::log_not_found(const char* event, const pending_call& call,
                               const batch::job_row* row, int items) {
     const auto now = state_.clock.now();
@@ -301,7 +304,7 @@
     call.response->send(adapter::status_response(404));
 }
 
-/// Answers that nothing stands at the position yet.
+/// Responds that there are no results at the position yet.
 void batch_api::send_empty_results(const pending_call& call,
                                    const batch::job_row& row) {
     const auto delivered = delivered_.find(call.job);
@@ -315,8 +318,8 @@
         {}));
 }
 
-/// Notes up to which position results of a job were handed out; notes of jobs
-/// that nobody has asked for in the time that results are kept go.
+/// Records up to which position results of a job were delivered. Drops the
+/// records of jobs that nobody has read within the retention time.
 void batch_api::record_delivery(const batch::job_id& job, std::size_t next) {
     const auto now = state_.clock.now();
     const auto entry = delivered_.find(job);
@@ -346,8 +349,8 @@
         [this, call](const auto& texts) { send_results(call, texts); });
 }
 
-/// Answers with the results from the asked position on, as far as their texts
-/// were read.
+/// Responds with the results from the requested position on, as far as their
+/// texts were read.
 void batch_api::send_results(
     const pending_call& call,
     const std::optional<std::vector<store::record>>& texts) {
--- a/packages/entry/src/batch_api.hpp
+++ b/packages/entry/src/batch_api.hpp
@@ -16,22 +16,24 @@
 
 namespace hibiscus::entry {
 
-/// What a call about a job waits for.
+/// The kind of a pending call.
 enum class pending_call_kind { results, item_body, job_end };
 
-/// Answers the calls about batch jobs, at any node, from the ledger that it
-/// reads. What it can't be sure of it does not deny: "no such job" and
-/// "nothing yet" need a view that was current after the call came.
+/// Serves the batch job calls at any node from the job table, which follows the
+/// journal. It never denies what it can't be sure of: "no such job" and "no
+/// results yet" need a view of the journal that became current after the call
+/// was received.
 class batch_api {
 public:
     batch_api(node_state& state, const store::log_store& log_store,
               store::partition_watcher& journal, const job_store& jobs,
               store::run_after_function run_after);
 
-    /// Starts to look after calls that wait.
+    /// Starts the periodic sweep of pending calls.
     void start();
 
-    /// A job was submitted. `deadline_ms` is the caller's patience.
+    /// Stores a job. `deadline_ms` is the time for which the caller waits; 0
+    /// selects a default.
     void submit(batch::job job, base::millis deadline_ms,
                 std::shared_ptr<transport::response_writer> response);
     void read_results(const adapter::results_request& request,
@@ -41,7 +43,8 @@
     void end_job(const adapter::end_job_request& request,
                  std::shared_ptr<transport::response_writer> response);
 
-    /// The ledger has changed: calls that wait may have their answer.
+    /// Called after the job table has changed. Responds to pending calls that
+    /// can be completed now.
     void on_jobs_changed();
 
 private:
@@ -52,9 +55,9 @@
         base::millis deadline = 0;
         std::shared_ptr<transport::response_writer> response;
     };
-    /// What this node has told callers of a job.
+    /// What this node has delivered to callers of a job.
     struct delivered_results {
-        /// The position behind the last result.
+        /// The position after the last delivered result.
         std::size_t next_position = 0;
         base::millis delivered_at = 0;
     };
@@ -64,7 +67,7 @@
         batch::item_id item;
         std::size_t from_position = 0;
         base::millis received_at = 0;
-        /// Until then it waits for a result.
+        /// Time until which the call waits for results.
         base::millis wait_until = 0;
         std::shared_ptr<transport::response_writer> response;
     };
--- a/packages/entry/src/daemon.cpp
+++ b/packages/entry/src/daemon.cpp
@@ -34,48 +34,50 @@
 
 namespace asio = boost::asio;
 
-/// How often nodes that don't own the jobs read the journal while there is
-/// something new, in ms. The owner appends up to 30 times a second, and each
-/// would be one read of every node; callers ask twice a second.
+/// Interval between two reads of the journal at nodes that are not the owner,
+/// in ms. The owner appends up to 30 times a second, and each append would
+/// cause a read at every node, while callers poll only twice a second.
 constexpr base::millis journal_poll_interval_ms = 60;
 
-/// How long a read of the journal waits, in ms. An owner's silence shows only
-/// in reads that have ended, so that this adds to the time of a takeover.
+/// Maximum wait time of a journal read, in ms. The silence of an owner is
+/// noticed only when a read has completed, so this adds to the time of a
+/// takeover.
 constexpr base::millis journal_read_wait_ms = 150;
 
-/// How often held log lines are written, in ms.
+/// Interval between two writes of buffered log lines, in ms.
 constexpr base::millis log_flush_interval_ms = 200;
 
-/// How long a node serves on after SIGTERM at least, in ms: callers keep an
-/// answer of the directory for two seconds, and some connect a little later.
+/// Minimum time for which a node still serves requests after SIGTERM, in ms.
+/// Callers cache a response of the directory for two seconds, and some connect
+/// a little later.
 constexpr base::millis min_shutdown_ms = 3000;
 
-/// The part of the grace period that is left for the exit itself, in ms.
+/// Part of the grace period that is reserved for the exit of the process, in
+/// ms.
 constexpr base::millis exit_margin_ms = 1200;
 
-/// How long before the end of a stop connections are closed at the latest, in
-/// ms: longer than most requests take.
+/// Time before the end of the shutdown at which connections are closed at the
+/// latest, in ms. It is longer than most requests take.
 constexpr base::millis connection_close_ms = 2000;
 
-/// How often a stopping node looks whether it may exit, in ms.
+/// Interval between two checks whether a stopping node may exit, in ms.
 constexpr base::millis shutdown_poll_interval_ms = 50;
 
-/// How long callers keep an answer of the directory, in seconds. Longer ones
-/// would send callers to nodes that are gone.
+/// Time for which callers cache a response of the directory, in seconds. A
+/// longer time would send callers to nodes that no longer exist.
 constexpr int directory_ttl_s = 2;
 
-/// How soon a caller should come back to a node that has no configuration
-/// yet, in ms.
+/// Retry-after time for callers of a node that has no configuration yet, in ms.
 constexpr base::millis startup_retry_after_ms = 300;
 
-/// How often the settings file is looked at, in ms: a kilobyte, which is read
-/// far sooner than operators need a change in force.
+/// Interval between two reads of the settings file, in ms. The file has about a
+/// kilobyte, so a read costs little.
 constexpr base::millis settings_poll_interval_ms = 2000;
 
-/// The default patience of a caller that names none, in ms.
+/// Timeout of requests without a deadline, in ms.
 constexpr base::millis default_deadline_ms = 10000;
 
-/// One entry node: wires its parts to the addresses and the store.
+/// An entry node: its components and the servers on its listen addresses.
 class entry_node {
 public:
     entry_node(const node_settings& settings, std::string path)
@@ -201,9 +203,9 @@
         });
     }
 
-    /// Takes the bounds and the store's address from the settings file. What
-    /// the process listens on can't change while it runs; a file that can't be
-    /// read leaves the settings in force as they are.
+    /// Applies the settings that can change at run time, such as limits and the
+    /// address of the store. Listen addresses need a restart. If the file can't
+    /// be read, the current settings stay in effect.
     void reload_settings(const char* cause) {
         const auto loaded = load_node_settings(settings_path_);
         const auto* updated = base::value_if(loaded);
@@ -244,7 +246,7 @@
         return {std::istreambuf_iterator<char>(in), {}};
     }
 
-    /// The file may change without a signal.
+    /// Reloads the settings if the file has changed without a signal.
     void poll_settings_file() {
         auto text = read_settings_file();
         if (!text.empty() && text != settings_text_) {
@@ -312,9 +314,9 @@
                      {"handed_over", handed_over_},
                      {"ms", elapsed_ms}});
         close_servers();
-        // Requests that were read may wait for their handlers' turn.
+        // Handlers of requests that were already read may still be queued.
         asio::post(io_, [this] {
-            // A server may have run what is still open.
+            // A server may have executed the requests that are still open.
             constexpr int gateway_timeout = 504;
             for (auto* s : servers()) {
                 s->fail_open_requests(gateway_timeout);
@@ -411,8 +413,8 @@
         response.send(adapter::resolve_response(addresses, directory_ttl_s));
     }
 
-    /// Answers other nodes, whose calls to the store it passes on, and the
-    /// collector of metrics.
+    /// Serves other nodes, whose calls to the store are relayed, and the
+    /// metrics collector.
     void on_internal_request(
         const transport::inbound_request& request,
         const std::shared_ptr<transport::response_writer>& response) {
@@ -463,7 +465,7 @@
                    adapter::parse_client_request(request));
     }
 
-    /// Tells of a request that has ended without a complete answer.
+    /// Logs a request that ended without a complete response.
     void on_request_aborted(const transport::aborted_request& aborted) {
         const std::string cause(base::name_of(aborted.cause));
         state_.counters.count_response("caller", "cut", cause);
@@ -481,7 +483,7 @@
                       transport::inbound_request request,
                       std::shared_ptr<transport::response_writer> response) {
         if (!state_.configuration) {
-            // A node that knows no configuration can't say what does not
+            // Without a configuration the node can't tell which routes do not
             // exist.
             log_rejection(call, "no_configuration");
             response->send(adapter::not_run_response(startup_retry_after_ms));
@@ -561,7 +563,7 @@
     asio::io_context io_{1};
     node_state state_;
     std::string settings_path_;
-    /// The settings file as it was last read.
+    /// The content of the settings file when it was last read.
     std::string settings_text_;
     asio::signal_set signals_;
     transport::upstream_client client_;
--- a/packages/entry/src/forwarder.cpp
+++ b/packages/entry/src/forwarder.cpp
@@ -12,27 +12,28 @@
 
 namespace {
 
-/// How long one server may take before another is tried, in ms: a server
-/// works 25 to 80 ms on a request, and up to 600 on the longest.
+/// Minimum time for one attempt before another server is tried, in ms, and the
+/// multiple of the mean response time of the server that an attempt may take. A
+/// server takes 25 to 80 ms for a request, and up to 600 ms for the longest.
 constexpr base::millis min_attempt_timeout_ms = 250;
 constexpr base::millis attempt_timeout_factor = 6;
 
-/// A connection to a server in the same region opens within 4 ms; one that
-/// does not open for so long leads nowhere.
+/// Timeout for opening a connection, in ms. Within a region a connection opens
+/// within 4 ms.
 constexpr base::millis connect_timeout_ms = 200;
 
-/// Time kept back for the way to the caller, in ms.
+/// Time reserved for sending the response to the caller, in ms.
 constexpr base::millis response_margin_ms = 10;
 
-/// How long a server that refused is left alone, in ms.
+/// Time for which a server gets no requests after it has rejected one, in ms.
 constexpr base::millis refusal_backoff_ms = 60;
 
-/// A resumable stream whose server is silent for so long goes on at another,
-/// in ms: ten times the time between two events of a sound server, and half
-/// of the least gap after which callers abandon a stream.
+/// Idle timeout after which a resumable stream moves to another server, in ms.
+/// It is ten times the time between two events of a healthy server, and half of
+/// the shortest gap after which callers abandon a stream.
 constexpr base::millis stream_idle_timeout_ms = 1000;
 
-/// Sends to one server after the other until one answers.
+/// Sends a request to one server after the other until one responds.
 class forward_attempts : public active_forward,
                          public std::enable_shared_from_this<forward_attempts> {
 public:
@@ -135,7 +136,7 @@
         if (request_.streaming && response_ && head.status / 100 == 2 &&
             !parsed.signature.empty()) {
             forwarding_stream_ = true;
-            // A stream that goes on keeps the head of its first server.
+            // A resumed stream keeps the head of the first server.
             if (!std::exchange(response_started_, true)) {
                 response_->send_head(head.status, end_to_end_headers(head));
             }
@@ -182,8 +183,8 @@
     }
 
     void on_stream_end(transport::call_outcome outcome) {
-        // A resumable stream without a length that ends with its connection
-        // may have been cut between two events.
+        // A resumable stream without a length may have been cut off between two
+        // events when its connection closed.
         const bool is_complete =
             outcome == transport::call_outcome::complete ||
             (outcome == transport::call_outcome::closed_without_length &&
@@ -200,8 +201,8 @@
         state_.samplers.on_failure(server_);
         may_have_executed_ = true;
         count_attempt(std::string(base::name_of(outcome)));
-        // Events without an id can't be named to the next server; it would
-        // send them again.
+        // Without an event id the next server can't tell where to resume and
+        // would send the events again.
         const bool can_resume = !events_forwarded_ || !last_event_id_.empty();
         if (request_.resumable && can_resume) {
             log("stream", "moves");
@@ -211,7 +212,8 @@
         abort_stream();
     }
 
-    /// Ends a stream that can't be finished so that it does not look whole.
+    /// Aborts a stream that can't be completed, so that the caller does not
+    /// take it for complete.
     void abort_stream() {
         finished_ = true;
         response_->abort();
@@ -219,8 +221,8 @@
         count_request("cut", "");
     }
 
-    /// Sends to the same server once more, on a new connection: a kept one
-    /// that has ended says nothing about its server.
+    /// Sends to the same server again on a new connection. The end of an idle
+    /// connection says nothing about the health of the server.
     void retry_same_server() {
         const auto* row = state_.samplers.find(server_);
         const auto remaining_ms =
@@ -258,8 +260,8 @@
         }
         if (response_started_ ||
             (parsed.status / 100 == 2 && parsed.signature.empty())) {
-            // Bytes that no server signed are not its answer, and what does
-            // not go on with a stream is none to one that began.
+            // A response without the signature of a server is not trusted, and
+            // a plain response can't continue a stream that has begun.
             on_attempt_failed(transport::call_outcome::broken);
             return;
         }
@@ -267,8 +269,9 @@
                                     state_.clock.now() - attempt_sent_at_);
         may_have_executed_ = true;
         if (parsed.implies_not_run && !request_.retryable) {
-            // Without the server's word that it did not run, callers must not
-            // read so in the status.
+            // The status suggests that the request was not executed, but the
+            // server has not confirmed it. It must not be passed on, because
+            // the caller would repeat the request.
             log_attempt("unclear");
             fail(false);
             return;
@@ -315,7 +318,7 @@
         }
     }
 
-    /// Answers a caller of a stream that never began.
+    /// Sends the result to the caller if no stream has begun.
     void respond_to_caller(const forward_result& result);
 
     static transport::headers
@@ -372,26 +375,27 @@
     base::millis started_at_;
     base::millis attempt_sent_at_ = 0;
     int attempts_ = 0;
-    /// How many of the sends opened a connection.
+    /// Number of attempts that opened a connection.
     int connections_opened_ = 0;
-    /// Whether the last send went out on a kept connection.
+    /// Whether the last attempt reused an idle connection.
     bool connection_reused_ = false;
     int failed_attempts_ = 0;
     bool may_have_executed_ = false;
-    /// The answer of the present server is handed on as it comes.
+    /// Whether the response of the current server is passed on as it arrives.
     bool forwarding_stream_ = false;
-    /// The caller has got the head of a stream.
+    /// Whether the response head was sent to the caller.
     bool response_started_ = false;
-    /// Whether the caller has got events.
+    /// Whether events were sent to the caller.
     bool events_forwarded_ = false;
-    /// The id of the last event that was handed on.
+    /// Id of the last event that was sent to the caller.
     std::string last_event_id_;
     transport::event_assembler event_assembler_;
     bool finished_ = false;
 };
 
-/// How soon a caller whose request could not be placed should come back, in
-/// ms: a refusing server has a free place again after a request's work.
+/// Retry-after time for a caller whose request could not be placed, in ms. A
+/// server that rejected it has a free slot again after about the time of one
+/// request.
 constexpr base::millis retry_after_ms = 100;
 
 void forward_attempts::respond_to_caller(const forward_result& result) {
--- a/packages/entry/src/forwarder.hpp
+++ b/packages/entry/src/forwarder.hpp
@@ -11,71 +11,73 @@
 
 namespace hibiscus::entry {
 
-/// A request on its way to a service.
+/// A request to be forwarded to a service.
 struct forward_request {
-    /// Its id and what it is about, for the log: "lookup" or "reward".
+    /// Request id and kind of the request for logs and metrics, such as
+    /// "request" or "reward".
     std::string id;
     const char* kind = "request";
     transport::upstream_request http_request;
     samplers::service_name service;
-    /// The most servers that it may be sent to.
+    /// Maximum number of servers that the request is sent to.
     int max_attempts = 1;
-    /// Whether it may run more than once.
+    /// Whether the request may be executed more than once.
     bool retryable = false;
-    /// Whether the answer is handed on as it comes.
+    /// Whether the response body is passed on as it arrives.
     bool streaming = false;
-    /// Whether a stream that breaks off goes on at another server.
+    /// Whether an interrupted stream is resumed at another server.
     bool resumable = false;
-    /// Whether a server's own failure is tried again elsewhere.
+    /// Whether a response with a 5xx status is retried at another server.
     bool retry_server_errors = false;
-    /// When it must be answered, by the node's clock.
+    /// Time by which the response is due, by the clock of the node.
     base::millis deadline = 0;
-    /// Within which its answer is worth the most, in ms.
+    /// Latency goal for the response, in ms.
     base::millis latency_target_ms = 0;
 };
 
-/// A server's whole answer.
+/// The complete response of a server.
 struct forwarded_response {
     transport::response_head head;
     std::string body;
     std::string signature;
-    /// How many servers answered that it failed there, this one included.
+    /// Number of servers that responded with status 500, including this one.
     int failed_attempts = 0;
 };
 
-/// No server answered.
+/// No server gave a usable response.
 struct forward_failure {
-    /// True if a server may have run it.
+    /// True if a server may have executed the request.
     bool may_have_executed = false;
-    /// True if the time was over, not the servers.
+    /// True if the deadline passed; false if the servers failed.
     bool timed_out = false;
-    /// How many servers answered that it failed there.
+    /// Number of servers that responded with status 500.
     int failed_attempts = 0;
 };
 
 using forward_result = std::variant<forwarded_response, forward_failure>;
 
-/// A request under way; it ends when the last holder lets go or cancels.
+/// A request in flight. It ends when it is cancelled or completed.
 class active_forward {
 public:
     virtual ~active_forward() = default;
-    /// Gives the request up; nothing is called afterwards.
+    /// Cancels the request. No callback is invoked afterwards.
     virtual void cancel() = 0;
 };
 
-/// Sends requests to the servers of a service, and again to others as far as
-/// the kind of the request allows.
+/// Sends requests to the servers of a service and retries them at other servers
+/// as far as their kind allows.
 class forwarder {
 public:
     forwarder(node_state& state, transport::upstream_client& client)
         : state_(state), client_(client) {}
 
-    /// Sends a request and calls `done` once with what came of it.
+    /// Sends a request and calls `done` exactly once with the result, unless it
+    /// is cancelled.
     std::shared_ptr<active_forward>
     send(forward_request request, std::function<void(forward_result)> done);
 
-    /// Sends a request whose answer goes to a caller. It is given up if the
-    /// caller leaves.
+    /// Forwards the request of a caller and writes the result to `response`.
+    /// The request is cancelled if the caller disconnects.
     void
     forward_to_caller(forward_request request,
                       std::shared_ptr<transport::response_writer> response);
--- a/packages/entry/src/job_owner.cpp
+++ b/packages/entry/src/job_owner.cpp
@@ -10,25 +10,27 @@
 
 namespace {
 
-/// How often waiting items and silent runs are looked at, in ms. Places that
-/// fall free are filled at once by the run's end itself.
+/// Interval of the checks for waiting items and silent runs, in ms. Slots that
+/// become free are filled when the run ends, without waiting for a tick.
 constexpr base::millis tick_interval_ms = batch::item_scheduler::tick_ms;
 
-/// How often open jobs are compared with their routes, in ms.
+/// Interval between checks that each open job still uses a service of its
+/// route, in ms.
 constexpr base::millis service_update_interval_ms = 250;
 
-/// The pause before a job's items are read again, in ms.
+/// Delay before the items of a job are read again after a failure, in ms.
 constexpr base::millis load_retry_delay_ms = 100;
 
-/// Epochs of texts under way that one owner may use: it starts texts anew
-/// only where versions must not mix.
+/// Number of text epochs reserved for each owner. An owner restarts a text only
+/// where versions must not be mixed, which needs a new epoch.
 constexpr std::int64_t epochs_per_owner = 1000;
 
-/// New items start only while the store was heard within this share of the
-/// time in which the end of a job must take effect.
+/// New items start only if the journal was read within this fraction of
+/// `cancel_deadline_ms`, the time within which the end of a job must take
+/// effect.
 constexpr base::millis cancel_deadline_divisor = 2;
 
-/// How many of an ended job's slowest items are logged.
+/// Maximum number of slow items logged for an ended job.
 constexpr std::size_t max_slow_items_logged = 12;
 
 } // namespace
@@ -70,7 +72,8 @@
            age < state_.settings.cancel_deadline_ms / cancel_deadline_divisor;
 }
 
-/// New items start only while this node would know if their job had ended.
+/// Returns true if this node would know by now that a job has ended, or if the
+/// store is unreachable for all nodes, so that no job can be ended.
 bool job_owner::may_start_items() const {
     return !handover_.has_begun() &&
            (is_journal_current() || store_router_.is_store_down_for_all());
@@ -121,10 +124,11 @@
                       {"fence", owner ? owner->record.fencing_token : 0},
                       {"read_to", journal_.next_offset()}});
     if (gained) {
-        // Another owner's order may still be under way, and a server that
-        // does not check fences would carry it out after this owner's. Where
-        // they check, and for the first owner of all and one that follows on
-        // itself, there is nothing to wait for.
+        // A load order of the previous owner may still be in flight. A server
+        // that does not check fencing tokens would execute it after an order of
+        // this owner, so the order lease has to expire first. There is nothing
+        // to wait for if servers check the tokens, if there was no owner
+        // before, or if this node was the previous owner.
         const bool may_order_now = owner->record.fencing_token == 0 ||
                                    previous_owner_ == state_.settings.node ||
                                    state_.settings.servers_check_fences;
@@ -146,7 +150,7 @@
     active_rewards_.clear();
 }
 
-/// Tells what an ended job waited for: its slowest items, one line each.
+/// Logs the timelines of the slowest items of an ended job.
 void job_owner::log_slow_items(const batch::job_id& id,
                                const batch::job_row& row) {
     const auto timelines = scheduler_.item_timelines(id);
@@ -191,7 +195,7 @@
     return options;
 }
 
-/// Takes up all open jobs that are not in work yet.
+/// Loads all open jobs that the scheduler does not have yet.
 void job_owner::load_open_jobs() {
     for (const auto& [id, row] : state_.jobs.jobs()) {
         if (row.has_ended || !row.header || scheduler_.has_job(id) ||
@@ -203,8 +207,8 @@
     }
 }
 
-/// Open jobs go where their routes go now: the service that was chosen when
-/// they were taken up may lose its servers.
+/// Moves open jobs to a service that their routes name now. The service chosen
+/// when a job was loaded may lose its servers.
 void job_owner::update_job_services() {
     const auto now = state_.clock.now();
     if (!state_.configuration ||
@@ -242,7 +246,7 @@
         {{"job", id}, {"before", before}, {"service", new_service}});
 }
 
-/// Reads a job's items and what was saved of them.
+/// Reads the items and the saved progress of a job from the store.
 void job_owner::load_job(const batch::job_id& id) {
     struct job_parts {
         std::optional<std::vector<batch::item>> items;
@@ -359,8 +363,8 @@
     advance_handover();
 }
 
-/// Says in the journal that the ownership is vacant, so that the next owner
-/// need not wait for this one's silence.
+/// Marks the lease as released in the journal, so that the next owner need not
+/// wait for it to expire.
 void job_owner::advance_handover() {
     switch (handover_.next_action(is_owner(), appending_)) {
     case batch::handover_action::wait:
@@ -382,7 +386,8 @@
 }
 
 void job_owner::finish_handover() {
-    // Whatever the journal says, this process no longer acts as the owner.
+    // This process stops acting as the owner even if the release was not
+    // recorded in the journal.
     if (std::exchange(was_owner_, false)) {
         on_owner_changed(false);
     }
--- a/packages/entry/src/job_owner.hpp
+++ b/packages/entry/src/job_owner.hpp
@@ -22,10 +22,10 @@
 
 namespace hibiscus::entry {
 
-/// Runs the jobs while this node owns them, and orders loads of weights. The
-/// owner is named by a record in the journal, which it renews. All that
-/// matters is appended on the condition that the journal ends where this node
-/// has read to, so that of two owners at a time one always loses.
+/// Runs batch jobs and orders servers to load weights while this node holds the
+/// owner lease. The lease is a record in the journal that the owner renews.
+/// Every append that matters is conditional on the journal offset up to which
+/// this node has read, so that at most one of two concurrent owners succeeds.
 class job_owner {
 public:
     job_owner(node_state& state, const store::log_store& log_store,
@@ -34,20 +34,22 @@
               transport::upstream_client& client, forwarder& request_forwarder,
               store::run_after_function run_after);
 
-    /// Starts to take part.
+    /// Starts the periodic tick, which claims the lease when it is free.
     void start();
 
-    /// The store was lost or is heard again.
+    /// Called when the store becomes reachable or unreachable.
     void set_store_reachable(bool reachable);
 
-    /// The ledger has changed in these jobs, or in its owner.
+    /// Called after the rows of `jobs`, or the owner record, have changed in
+    /// the job table.
     void on_jobs_changed(const std::set<batch::job_id>& jobs);
 
-    /// A trainer named a version.
+    /// Called when a trainer has published `version` of `model`.
     void on_version_published(const std::string& model, std::int64_t version);
 
-    /// Saves what is under way, stops it and lets the others take over, then
-    /// calls `done`, within a bounded time.
+    /// Saves the partial texts of active runs, releases the lease so that
+    /// another node can claim it, and stops the runs. Calls `done` within a
+    /// bounded time.
     void start_handover(std::function<void()> done);
 
     bool is_owner() const;
@@ -66,7 +68,7 @@
         base::millis started_at = 0;
     };
 
-    /// A server's answer; status 0 stands for none.
+    /// The response of a server. The status is 0 if there was none.
     struct server_response {
         int status = 0;
         std::string body;
@@ -162,18 +164,18 @@
     std::int64_t renewals_ = 0;
     std::uint64_t text_key_counter_ = 0;
     base::node_id previous_owner_;
-    /// The keys of the texts under way that this owner saved, by open job.
+    /// Keys of the progress records that this owner has saved, by open job.
     std::map<batch::job_id, std::vector<std::string>> progress_keys_;
     bool erasing_job_ = false;
     base::millis next_erase_at_ = 0;
-    /// Saves of texts under way that the store has not answered.
+    /// Number of progress saves whose appends have not completed.
     int saves_in_flight_ = 0;
     bool appending_ = false;
     bool committing_ = false;
-    /// Jobs whose texts the store did not take, and until when they are left
-    /// out.
+    /// When to try again to commit results of jobs whose texts could not be
+    /// stored.
     std::map<batch::job_id, base::millis> commit_retry_at_;
-    /// Set while what waits is about to be placed.
+    /// True while a placement of waiting items is scheduled.
     bool placement_scheduled_ = false;
     bool renew_due_ = false;
     base::millis last_overdue_renewal_at_ = 0;
--- a/packages/entry/src/job_owner_limits.hpp
+++ b/packages/entry/src/job_owner_limits.hpp
@@ -2,11 +2,11 @@
 
 #include "hibiscus/base/clock.hpp"
 
-/// Limits that several parts of the owner share.
+/// Limits shared by the source files of job_owner.
 namespace hibiscus::entry {
 
-/// How long a connection to a server may take to open, in ms: in
-/// one region it opens within a few ms.
+/// Timeout for opening a connection to a server, in ms. Within a region a
+/// connection opens within a few ms.
 constexpr base::millis server_connect_timeout_ms = 250;
 
 } // namespace hibiscus::entry
--- a/packages/entry/src/job_owner_orders.cpp
+++ b/packages/entry/src/job_owner_orders.cpp
@@ -2,12 +2,12 @@
 #include "job_owner_limits.hpp"
 #include "platform/sampler_calls.hpp"
 
-/// The orders of an owner to load weights.
+/// Load orders of job_owner: commands to servers to load weights.
 namespace hibiscus::entry {
 
 namespace {
 
-/// How long an order may take to be answered, in ms.
+/// Timeout of a report request or a load order, in ms.
 constexpr base::millis order_timeout_ms = 800;
 
 } // namespace
@@ -54,8 +54,8 @@
     }
 }
 
-/// Orders on the condition that the server has accepted as many orders as it
-/// reports.
+/// Sends the order on the condition that the server has accepted as many orders
+/// as it reports, so that no other order comes in between.
 void job_owner::on_order_report(
     const samplers::load_order& order,
     const std::optional<adapter::server_report>& report) {
--- a/packages/entry/src/job_owner_reports.cpp
+++ b/packages/entry/src/job_owner_reports.cpp
@@ -1,21 +1,22 @@
 #include "job_owner.hpp"
 
-/// What an owner tells of items that wait and of its hand-over.
+/// Reports of job_owner on waiting items and on its handover.
 namespace hibiscus::entry {
 
 namespace {
 
-/// How often it is told that items wait, in ms.
+/// Interval between two reports on waiting items, in ms.
 constexpr base::millis wait_report_interval_ms = 1000;
 
-/// Items that have waited for less are not told of, in ms: a step has more
-/// items than places at first, and weights take that long to load.
+/// Items that have waited for less than this time are not reported, in ms. At
+/// first a step has more items than there are slots, and loading weights takes
+/// about as long.
 constexpr base::millis long_wait_threshold_ms = 1000;
 
 } // namespace
 
-/// Tells why items wait although some server has a free place, and which jobs
-/// are not in work.
+/// Logs the largest group of items that wait although some server has a free
+/// slot, and how many jobs are not loaded.
 void job_owner::report_waiting_items() {
     const auto now = state_.clock.now();
     if (now - last_wait_report_at_ < wait_report_interval_ms) {
--- a/packages/entry/src/job_owner_retention.cpp
+++ b/packages/entry/src/job_owner_retention.cpp
@@ -2,23 +2,23 @@
 #include "hibiscus/batch/retention.hpp"
 #include "job_owner.hpp"
 
-/// What an owner erases from the store.
+/// Erasure of expired jobs and of saved progress by job_owner.
 namespace hibiscus::entry {
 
 namespace {
 
-/// The pause between two jobs that are erased, in ms: one job's texts are read
-/// to find their keys, which takes a node with half a core some ten ms a
-/// megabyte (an estimate). Four trainers end one job a second.
+/// Delay between two erasures of jobs, in ms. To find the keys of a job, its
+/// texts are read, which takes a node with half a core about 10 ms per
+/// megabyte. Four trainers end one job a second.
 constexpr base::millis erase_interval_ms = 500;
 
-/// The pause after an erasure that the store did not take, in ms.
+/// Delay after an erasure that the store did not accept, in ms.
 constexpr base::millis erase_retry_delay_ms = 5000;
 
 } // namespace
 
-/// Erases one job whose time is over: first its files, then, on the condition
-/// that this node is still the owner, what the journal has of it.
+/// Erases one expired job: first its items, texts and progress, then its
+/// journal records on the condition that this node is still the owner.
 void job_owner::erase_next_expired_job() {
     const auto now = state_.clock.now();
     if (erasing_job_ || appending_ || handover_.has_begun() ||
@@ -57,8 +57,8 @@
          {"done", erased}});
 }
 
-/// Erases the texts under way that this owner saved of a job that has ended:
-/// nobody goes on with them, and they are as large as its results.
+/// Erases the progress that this owner has saved for an ended job. Nobody
+/// resumes these texts, and they are as large as the results.
 void job_owner::erase_progress(const batch::job_id& id) {
     const auto saved = progress_keys_.find(id);
     if (saved == progress_keys_.end()) {
@@ -72,7 +72,7 @@
     job_store_.append_progress(
         id, erasures, [this, id](const store::append_result& r) {
             if (base::value_if(r) == nullptr) {
-                // They go with the rest of the job, later.
+                // The records are erased later, together with the job.
                 state_.log.write("append_refused",
                                  {{"reason", "erasure"}, {"job", id}});
             }
--- a/packages/entry/src/job_owner_runs.cpp
+++ b/packages/entry/src/job_owner_runs.cpp
@@ -5,22 +5,22 @@
 
 #include <algorithm>
 
-/// The runs and reward calls of an owner.
+/// Runs and reward calls of job_owner.
 namespace hibiscus::entry {
 
 namespace {
 
-/// The share of the places of a service that reward calls may take; callers'
-/// own requests to it come first.
+/// Fraction of the slots of a service that reward calls may use. Requests of
+/// callers to the same service have priority.
 constexpr double reward_slot_share = 0.6;
 
 constexpr std::size_t min_concurrent_rewards = 2;
 
-/// How long a reward call may take, in ms: its servers work 80 ms on it, 600
-/// at most.
+/// Timeout of a reward call, in ms. A server takes 80 ms for one, and at most
+/// 600 ms.
 constexpr base::millis reward_timeout_ms = 2000;
 
-/// How long after the end of a run its place is given to another one, in ms.
+/// Delay between the end of a run and the placement of waiting items, in ms.
 constexpr base::millis placement_delay_ms = 5;
 
 } // namespace
@@ -116,8 +116,9 @@
 batch::run_outcome
 job_owner::classify_run_end(const active_run& active,
                             transport::call_outcome outcome) const {
-    // A body without a length that ends with its connection may have been cut
-    // between two events; going on behind the last one shows whether it was.
+    // A body without a length may have been cut off between two events when its
+    // connection closed. Resuming after the last event shows whether it was
+    // complete.
     if (outcome != transport::call_outcome::complete) {
         return batch::run_outcome::cut;
     }
@@ -166,9 +167,9 @@
     commit_results();
 }
 
-/// Places what waits after a run has ended. Not at once: in a large fleet
-/// hundreds of runs end in a second, and to look at all that waits and all
-/// servers after each of them would leave no time for their events.
+/// Schedules a placement of waiting items after a run has ended. In a large
+/// fleet hundreds of runs end each second; matching all waiting items with all
+/// servers after each of them would leave no time to process events.
 void job_owner::schedule_placement() {
     if (std::exchange(placement_scheduled_, true)) {
         return;
--- a/packages/entry/src/job_owner_writes.cpp
+++ b/packages/entry/src/job_owner_writes.cpp
@@ -2,34 +2,37 @@
 #include "job_owner.hpp"
 #include "platform/store_client.hpp"
 
-/// What an owner writes: listings, its own record, texts under way.
+/// Writes of job_owner: committed results, the owner record and the progress of
+/// active runs.
 namespace hibiscus::entry {
 
 namespace {
 
-/// The least time between two appends of results, in ms: each wakes a read
-/// of every node, and readers ask only twice a second.
+/// Minimum time between two commits of results, in ms. Each append triggers a
+/// read at every node, and readers poll only twice a second.
 constexpr base::millis commit_interval_ms = 30;
 
-/// The pause before results are stored again after a failure, in ms.
+/// Delay before texts are stored again after a failure, in ms.
 constexpr base::millis commit_retry_delay_ms = 150;
 
-/// The pause between two renewals that go out by themselves, in ms: more
-/// would only add calls while the store is away.
+/// Minimum time between two renewals that are appended without results, in ms.
+/// More of them would only add load while the store is unreachable.
 constexpr base::millis overdue_renewal_interval_ms = 150;
 
-/// How often texts under way are saved, in ms, and the least number of new
-/// events of a run. A kill then costs half a second of a run.
+/// Interval between two saves of progress, in ms, and the minimum number of
+/// unsaved events of a run for it to be saved. A killed owner then loses half a
+/// second of each run.
 constexpr base::millis progress_save_interval_ms = 500;
 
 constexpr int min_unsaved_events = 6;
 
-/// The text in one append, in bytes; half of what the store takes, since the
-/// last result may be long.
+/// Maximum size of the texts in one commit, in bytes. This is half of what the
+/// store accepts, because the last result may be long.
 constexpr std::size_t max_commit_bytes = 768 * 1024;
 
-/// The share of a record that results fill before the next one is begun; the
-/// last result may be long.
+/// Results fill a record up to `max_record_bytes` divided by this number; then
+/// the next record is started. The rest is left for the last result, which may
+/// be long.
 constexpr std::size_t record_fill_divisor = 2;
 
 } // namespace
@@ -42,7 +45,8 @@
                                               ++renewals_, handed_over})};
 }
 
-/// Appends to the journal if nothing came that this node has not read.
+/// Appends to the journal on the condition that it ends where this node has
+/// read to. Calls `done` with whether the records were stored.
 void job_owner::append_to_journal(const std::vector<store::record>& records,
                                   std::function<void(bool)> done) {
     appending_ = true;
@@ -89,7 +93,7 @@
                result);
 }
 
-/// Renews the ownership apart from results, if those do not come through.
+/// Renews the lease without results if no append has renewed it in time.
 void job_owner::renew_if_overdue() {
     const auto now = state_.clock.now();
     if (appending_ || handover_.has_begun() || !lease_.is_renewal_overdue() ||
@@ -104,8 +108,9 @@
         [](bool) {});
 }
 
-/// Lists what is ready: first the texts, under keys that nobody else uses,
-/// then, on the condition that this node is still the owner, where they are.
+/// Commits ready results. Stores the texts first, under keys that nobody else
+/// uses, and then appends their positions to the journal on the condition that
+/// this node is still the owner.
 void job_owner::commit_results() {
     const auto now = state_.clock.now();
     if (committing_ || !is_owner() || handover_.may_release() ||
@@ -164,8 +169,9 @@
         });
 }
 
-/// Jobs whose texts were not stored are left out for a while: each try would
-/// encode and send all that has become ready once more.
+/// Commits the results whose texts were stored. Jobs whose texts were not
+/// stored are skipped for some time, because each attempt encodes and sends all
+/// of their ready results again.
 void job_owner::on_texts_stored(std::vector<batch::planned_commit> commits,
                                 const std::set<batch::job_id>& unstored) {
     for (const auto& id : unstored) {
@@ -193,8 +199,8 @@
             {batch::format_key(batch::commit_key{l.job, l.position}),
              batch::encode(l.commit)});
     }
-    // Each append renews the ownership as well; a separate one would find the
-    // journal's end moved half of the time.
+    // Each append also renews the lease. A separate renewal would fail half of
+    // the time because the end of the journal has moved.
     renew_due_ = false;
     records.push_back(
         make_owner_record(state_.jobs.owner()->record.fencing_token, false));
@@ -213,7 +219,7 @@
     });
 }
 
-/// Saves what has come of texts under way.
+/// Saves the partial texts of active runs at an interval.
 void job_owner::save_progress_if_due() {
     const auto now = state_.clock.now();
     const bool is_enabled =
--- a/packages/entry/src/job_store.cpp
+++ b/packages/entry/src/job_store.cpp
@@ -12,10 +12,10 @@
 
 namespace {
 
-/// More than any job holds: a call without a bound.
+/// Larger than any job: reads without a size limit.
 constexpr std::size_t unlimited_bytes = std::size_t{1} << 40U;
 
-/// Appends to one partition that follow on each other.
+/// Consecutive appends to one partition.
 struct append_sequence : std::enable_shared_from_this<append_sequence> {
     const store::log_store& store;
     store::partition target;
@@ -148,7 +148,7 @@
             }
             progress_by_item out;
             for (const auto& r : *records) {
-                // A part that can't be read only costs its events.
+                // An unreadable part only loses its events.
                 if (auto part = batch::decode_progress(r.value)) {
                     out[part->item_index].push_back(std::move(*part));
                 }
--- a/packages/entry/src/job_store.hpp
+++ b/packages/entry/src/job_store.hpp
@@ -11,9 +11,9 @@
 
 namespace hibiscus::entry {
 
-/// What lies in the store for each job besides the journal: its items, its
-/// texts and texts under way. A job's records lie in one partition of each
-/// topic, so that one reading finds little of other jobs.
+/// Stores the items, texts and progress of jobs, in topics of their own beside
+/// the journal. All records of a job are in one partition of each topic, so
+/// that a read finds few records of other jobs.
 class job_store {
 public:
     job_store(const store::log_store& log_store, int partitions,
@@ -22,8 +22,8 @@
 
     using append_callback = std::function<void(const store::append_result&)>;
 
-    /// Each stores records of any size, in as many appends as it takes; the
-    /// first that fails ends them and is what `done` gets.
+    /// These functions store records of any size in as many appends as needed.
+    /// They stop at the first append that fails, and `done` gets its result.
 
     void append_items(const batch::job_id& job,
                       const std::vector<store::record>& records,
@@ -35,10 +35,10 @@
                          const std::vector<store::record>& records,
                          append_callback done) const;
 
-    /// Erases all of a job; `done` is told whether all of it is gone.
+    /// Erases all records of a job. `done` gets whether all of them are gone.
     void erase(const batch::job_id& job, std::function<void(bool)> done) const;
 
-    /// Each calls `done` with nothing if the store gave no answer.
+    /// These functions call `done` with no value if the store did not respond.
     void load_items(const batch::job_id& job,
                     std::function<void(std::optional<std::vector<batch::item>>)>
                         done) const;
@@ -46,8 +46,8 @@
     void load_progress(
         const batch::job_id& job,
         std::function<void(std::optional<progress_by_item>)> done) const;
-    /// Reads the records with texts from those named `texts` at a listed
-    /// position on, up to `most_bytes`.
+    /// Reads the text records of a job in key order, from the one at the
+    /// committed `position` with the name `texts_name` on, up to `max_bytes`.
     void
     load_texts(const batch::job_id& job, int position,
                const std::string& texts_name, std::size_t max_bytes,
--- a/packages/entry/src/main.cpp
+++ b/packages/entry/src/main.cpp
@@ -19,8 +19,8 @@
 
 } // namespace
 
-/// Runs one entry node. Exits with 0 after a graceful shutdown, 1 if an
-/// address can't be had, 2 if a setting is wrong.
+/// Runs one entry node. Exits with 0 after a graceful shutdown, 1 if it can't
+/// listen on an address, 2 if the settings are invalid.
 int main(int argc, char** argv) {
     hibiscus::entry::set_reload_signal_blocked(true);
     absl::SetProgramUsageMessage(
--- a/packages/entry/src/node_directory.cpp
+++ b/packages/entry/src/node_directory.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-/// How often a node says that it is there, in ms.
+/// Interval between two renewals of the own record, in ms.
 constexpr base::millis renew_interval_ms = 500;
 
-/// How often the entries of the others are read, in ms. Each renewal wakes
-/// whoever reads: nodes that read on at once would ask as often as the store
-/// answers, all together many thousand times a second.
+/// Interval between two reads of the records, in ms. Each renewal wakes all
+/// readers. Nodes that read again at once would all send as many reads as the
+/// store can answer, many thousand a second together.
 constexpr base::millis poll_interval_ms = 400;
 
 } // namespace
@@ -54,7 +54,7 @@
     log_store_.append({adapter::nodes_topic, 0},
                       {{state_.settings.node.str(), bytes}}, nullptr,
                       [this, is_final](const store::append_result&) {
-                          // A lost renewal is made good by the next one.
+                          // The next renewal makes up for one that failed.
                           if (!is_final) {
                               run_after_(renew_interval_ms, [this] {
                                   if (!state_.stopping) {
--- a/packages/entry/src/node_directory.hpp
+++ b/packages/entry/src/node_directory.hpp
@@ -10,17 +10,17 @@
 
 namespace hibiscus::entry {
 
-/// The nodes that callers may use, as they say themselves in the store. Each
-/// renews its own record; one that does not is left out after a while.
+/// The directory of nodes, built from records in the store. Each node renews
+/// its own record; a node that does not renew it in time is omitted.
 class node_directory {
 public:
     node_directory(node_state& state, const store::log_store& log_store,
                    store::run_after_function run_after);
 
-    /// Starts to read and to renew.
+    /// Starts to read the records and to renew the own one.
     void start();
 
-    /// Tells the others that this node stops.
+    /// Announces to the other nodes that this node is stopping.
     void announce_shutdown();
 
     const node_table& nodes() const { return nodes_; }
--- a/packages/entry/src/node_state.hpp
+++ b/packages/entry/src/node_state.hpp
@@ -15,7 +15,7 @@
 
 namespace hibiscus::entry {
 
-/// What the parts of a node share. All of it belongs to the one thread.
+/// State shared by the parts of a node. It is used by one thread only.
 struct node_state {
     explicit node_state(node_settings s, base::clock time = {},
                         int log_descriptor = 1)
@@ -28,15 +28,15 @@
     node_settings settings;
     telemetry::event_log log;
     telemetry::metrics counters;
-    /// The configuration in force; nothing before the first one came.
+    /// The current configuration; empty until the first one is read.
     std::optional<gateway::configuration> configuration;
     batch::job_table jobs;
     samplers::sampler_table samplers;
     std::mt19937 random_engine;
-    /// Set once the node has been told to stop.
+    /// Set once the node has received a stop signal.
     bool stopping = false;
 
-    /// Returns a number from 0 to 1.
+    /// Returns a random number in [0, 1).
     double random_fraction() {
         return std::uniform_real_distribution<double>(0, 1)(random_engine);
     }
--- a/packages/entry/src/node_table.cpp
+++ b/packages/entry/src/node_table.cpp
@@ -7,26 +7,27 @@
 
 namespace {
 
-/// A node that has not renewed its entry for so long is left out, in ms:
-/// three renewals and the time of a slow store.
+/// Time without a renewal after which a node is omitted, in ms: three renewals
+/// and the delay of a slow store.
 constexpr base::millis entry_ttl_ms = 2000;
 
-/// A zone with fewer nodes than this is helped by all others: one alone may
-/// fail, and its callers would have to ask again.
+/// Callers of a zone with fewer nodes get all nodes. A single node may fail,
+/// and its callers would have to resolve again.
 constexpr std::size_t min_nodes_in_zone = 2;
 
-/// A node with this share of the processor time of the largest one is roomy.
+/// Fraction of the CPU share of the largest node from which a node counts as
+/// large.
 constexpr double large_node_cpu_share = 0.5;
 
-/// Fewer roomy nodes than this don't serve a zone alone: callers that meet one
-/// which has just failed need others to go to.
+/// Minimum number of large nodes that are returned alone. Callers of a node
+/// that has just failed need others to retry at.
 constexpr std::size_t min_large_nodes = 4;
 
-/// Roomy nodes serve alone if they have this share of the processor time of
-/// all, so that none gets more than twice its part.
+/// Minimum fraction of the total CPU share that the large nodes must have to be
+/// returned alone, so that none gets more than twice its part of the load.
 constexpr double min_large_nodes_cpu_share = 0.5;
 
-/// The most addresses that a caller takes from one answer.
+/// Maximum number of addresses in one response.
 constexpr std::size_t max_addresses = 64;
 
 } // namespace
--- a/packages/entry/src/node_table.hpp
+++ b/packages/entry/src/node_table.hpp
@@ -11,18 +11,18 @@
 
 namespace hibiscus::entry {
 
-/// What a node says of itself.
+/// The record in which a node announces itself.
 struct node_entry {
     base::endpoint caller_address;
-    /// Where it takes calls of other nodes.
+    /// The address for calls of other nodes.
     base::endpoint peer_address;
     base::zone_id zone;
     bool stopping = false;
-    /// The processor time that it may use, as a share of a core.
+    /// CPU share of the node, in cores.
     double cpu_share = 1;
 };
 
-/// The nodes, as far as they have renewed their entries lately.
+/// The known nodes, each with the time of its last renewal.
 class node_table {
 public:
     node_table(base::clock clock, std::string own_name,
@@ -33,22 +33,23 @@
     void put(const std::string& name, node_entry entry);
     void remove(const std::string& name);
 
-    /// The store was lost or is heard again. Meanwhile nobody's renewal
-    /// arrives, so that those who were there at the loss count as there, and
-    /// for a moment afterwards. Who was gone before stays gone: its address
-    /// leads callers nowhere.
+    /// Called when the store becomes reachable or unreachable. Renewals go
+    /// through the store, so during an outage, and for a short time after it, a
+    /// node counts as alive if it was alive when the outage began. A node that
+    /// had expired before stays omitted, because its address leads nowhere.
     void set_store_reachable(bool reachable);
 
-    /// Returns the nodes that callers in `zone` may use: those of the zone,
-    /// or all if it has too few. Answers a fleet in which most nodes are small:
-    /// a megabyte of results takes a third of a second through one with an
-    /// eighth of a core, and each of many nodes opens connections to servers
-    /// for the few requests that it gets. As long as the roomy ones have half
-    /// of the processor time, callers are sent to these alone.
+    /// Returns the addresses of the nodes that callers in `zone` may use: the
+    /// nodes of the zone, or all nodes if the zone has too few. If the large
+    /// nodes hold at least half of the CPU share of the selected nodes, only
+    /// these are returned. In a fleet of mostly small nodes, a megabyte of
+    /// results takes a third of a second through a node with an eighth of a
+    /// core, and each of many nodes opens connections to servers for the few
+    /// requests that it gets.
     std::vector<base::endpoint>
     caller_addresses(const base::zone_id& zone) const;
 
-    /// Returns where the other nodes take calls of nodes.
+    /// Returns the addresses at which other nodes accept calls of nodes.
     std::vector<base::endpoint> peer_addresses() const;
 
 private:
--- a/packages/entry/src/reload_signal.hpp
+++ b/packages/entry/src/reload_signal.hpp
@@ -4,9 +4,9 @@
 
 namespace hibiscus::entry {
 
-/// Blocks or unblocks SIGHUP. While the process has no handler for it, at its
-/// start and at its end, the signal's default action would end the process. A
-/// signal that comes while it is blocked is delivered once it is unblocked.
+/// Blocks or unblocks SIGHUP. Without a handler, at the start and the end of
+/// the process, its default action would terminate the process. A signal that
+/// arrives while blocked is delivered when it is unblocked.
 inline void set_reload_signal_blocked(bool blocked) {
     sigset_t signals;
     sigemptyset(&signals);
--- a/packages/entry/src/server_registry.cpp
+++ b/packages/entry/src/server_registry.cpp
@@ -7,12 +7,12 @@
 
 namespace {
 
-/// Entries of living servers are back within two seconds of the store's
-/// return; for so long a missing one is not believed, in ms.
+/// Time after an outage of the store during which the removal of a registration
+/// is not trusted, in ms. Running servers register again within two seconds.
 constexpr base::millis reregistration_ms = 2200;
 
-/// How often the entries are read while there is something new, in ms: each
-/// server writes its own every 1.2 s, which with 60 of them is all the time.
+/// Interval between two reads of the registrations, in ms. Each server renews
+/// its own every 1.2 s, so with 60 servers there is always something to read.
 constexpr base::millis poll_interval_ms = 100;
 
 } // namespace
--- a/packages/entry/src/server_registry.hpp
+++ b/packages/entry/src/server_registry.hpp
@@ -6,9 +6,9 @@
 
 namespace hibiscus::entry {
 
-/// Keeps the table of backend servers as they register in the store. Entries
-/// that vanish while the store is in trouble may belong to servers that live:
-/// these are given a moment to come back.
+/// Keeps the table of backend servers up to date with their registrations in
+/// the store. Registrations that disappear during an outage of the store may
+/// belong to running servers, which get some time to register again.
 class server_registry {
 public:
     server_registry(node_state& state, const store::log_store& log_store,
--- a/packages/entry/src/store_monitor.cpp
+++ b/packages/entry/src/store_monitor.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-/// How often the link to the store is looked at, in ms: that a call is overdue
-/// shows no sooner.
+/// Interval between two checks for overdue calls to the store, in ms.
 constexpr base::millis check_interval_ms = 50;
 
-/// How often the store is tried while it is away, in ms. A try does not wait
-/// for the one before: a silent store leaves each of them hanging for a second.
+/// Interval between two probes of an unreachable store, in ms. A probe does not
+/// wait for the one before, because a silent store leaves each of them hanging
+/// for a second.
 constexpr base::millis probe_interval_ms = 200;
 
 } // namespace
@@ -32,7 +32,7 @@
     check_store();
 }
 
-/// Returns the nodes that may pass calls to the store on.
+/// Returns the nodes that may relay calls to the store.
 std::vector<base::endpoint> store_monitor::relay_peers(
     const store::store_router::peer_list_function& peers) const {
     return state_.settings.features.is_enabled(
@@ -41,15 +41,15 @@
                : std::vector<base::endpoint>();
 }
 
-/// An owner that is cut off from the store for a moment keeps the jobs if its
-/// reads and appends go through another node before the others claim. Those
-/// that hang would hold it up for a second.
+/// Cancels the calls to the store itself. An owner that briefly loses the store
+/// keeps its jobs if its reads and appends go through another node before
+/// others claim the lease. Hanging calls would delay them by a second.
 void store_monitor::cancel_direct_calls() {
     if (!state_.settings.features.is_enabled(
             base::feature::give_up_silent_store)) {
         return;
     }
-    // Not at once: the link may be in the middle of another call.
+    // Deferred, because the router may be in the middle of another call.
     run_after_(0, [this] {
         client_.end_calls_started_before(state_.settings.store,
                                          state_.clock.now());
@@ -70,10 +70,10 @@
     run_after_(check_interval_ms, [this] { check_store(); });
 }
 
-/// Tries the store itself. Once it serves, all that was asked before and has no
-/// answer is given up: a store that was silent does not answer it any more, and
-/// reads and appends would wait for up to another second while every trainer
-/// stands still.
+/// Probes the store directly. Once it responds, cancels all calls that were
+/// sent before the probe and have no response: a store that was silent no
+/// longer answers them, and reads and appends would block all trainers for up
+/// to another second.
 void store_monitor::probe() {
     const auto started_at = state_.clock.now();
     adapter::probe_store(
--- a/packages/entry/src/store_monitor.hpp
+++ b/packages/entry/src/store_monitor.hpp
@@ -8,18 +8,20 @@
 
 namespace hibiscus::entry {
 
-/// Watches the way to the store: notices that it is out of reach, tries it
-/// until it serves again, and gives up what hangs there meanwhile.
+/// Monitors the connection to the store. Detects that the store is unreachable,
+/// probes it until it responds again, and cancels the calls that hang
+/// meanwhile.
 class store_monitor {
 public:
     store_monitor(node_state& state, transport::upstream_client& client,
                   store::run_after_function run_after,
                   store::store_router::peer_list_function peers);
 
-    /// Starts to watch.
+    /// Starts the periodic check.
     void start();
 
-    /// Where calls to the store go.
+    /// Returns the router that decides whether a call goes to the store or
+    /// through another node.
     store::store_router& router() { return router_; }
 
 private:
--- a/packages/entry/test/batch_api_fuzz_test.cpp
+++ b/packages/entry/test/batch_api_fuzz_test.cpp
@@ -17,7 +17,7 @@
 constexpr int job_count = 10;
 constexpr std::size_t node_count = 3;
 
-/// Results stay readable for so long, in ms, as small_settings() says.
+/// Time for which results stay readable, in ms, as in small_settings().
 constexpr base::millis retention_ms = 8000;
 
 batch::item_id make_item_id(int job, int number) {
@@ -25,7 +25,8 @@
                           std::to_string(number));
 }
 
-/// Bodies and texts of all sizes: below a record and over several.
+/// Returns a body or text whose size ranges from less than a record to several
+/// records.
 std::string make_content(const std::string& prefix, int job, int number) {
     return prefix + make_item_id(job, number).str() +
            std::string(static_cast<std::size_t>((job * 7 + number * 13) % 9) *
@@ -33,7 +34,7 @@
                        'x');
 }
 
-/// A caller's job: what it was told of it, which must never change.
+/// A job of a caller and the results delivered for it, which must never change.
 struct expected_job {
     int number = 0;
     batch::job_id id;
@@ -41,7 +42,7 @@
     std::optional<base::millis> submitted_at;
     bool accepted = false;
     bool ended = false;
-    /// The results by position.
+    /// The delivered results by position.
     std::vector<std::string> delivered_results;
     std::set<std::string> delivered_items;
 
@@ -50,7 +51,8 @@
     }
 };
 
-/// Callers of some nodes, and what no answer to them may be.
+/// Sends calls to several nodes and checks the responses against what was
+/// accepted and delivered before.
 class batch_api_fuzz_model {
 public:
     explicit batch_api_fuzz_model(
@@ -142,7 +144,7 @@
         }
     }
 
-    /// Returns a node that takes itself for the owner, or `n`.
+    /// Returns a node that considers itself the owner, or `n` if there is none.
     std::size_t find_owner_or(std::size_t n) const {
         const auto found =
             std::find_if(nodes_.begin(), nodes_.end(),
@@ -152,7 +154,7 @@
                    : static_cast<std::size_t>(found - nodes_.begin());
     }
 
-    /// Lets a node take the ownership over while the owner lists.
+    /// Lets another node claim the lease while the owner commits results.
     void commit_at_two_owners(std::size_t n, expected_job& j, int seed) {
         const auto owner = find_owner_or(n);
         const auto other = (owner + 1) % node_count;
@@ -255,7 +257,8 @@
             }));
     }
 
-    /// Reads on at one node, and at once again what came at another.
+    /// Reads new results at one node, then reads them again at another node at
+    /// once.
     void read_at_two_nodes(std::size_t n, expected_job& j) {
         const auto known_results = j.delivered_results.size();
         read_results(n, j, known_results, wait_ms);
@@ -268,24 +271,25 @@
     void check_read(expected_job& j, std::size_t after,
                     std::size_t known_results, const response& r) {
         if (r.status == 404) {
-            fail(j.id.str() + " is not known");
+            fail(j.id.str() + " was not found");
         }
         if (r.status != 200) {
             return;
         }
         const auto body = json::parse(r.body);
         if (body.at("total") != j.items) {
-            fail(j.id.str() + " has another number of items");
+            fail(j.id.str() + " has a wrong number of items");
         }
         if (body.at("results").empty() && after < known_results) {
-            fail(j.id.str() + " has nothing at " + std::to_string(after));
+            fail(j.id.str() + " has no results at delivered position " +
+                 std::to_string(after));
         }
         auto position = after;
         for (const auto& row : body.at("results")) {
             check_result(j, position++, row);
         }
         if (body.at("next") != position) {
-            fail(j.id.str() + " goes on at another position");
+            fail(j.id.str() + " has a wrong next position");
         }
     }
 
@@ -293,17 +297,18 @@
         const auto text = row.dump();
         if (position < j.delivered_results.size()) {
             if (j.delivered_results[position] != text) {
-                fail(j.id.str() + " changed at " + std::to_string(position));
+                fail(j.id.str() + " has a changed result at position " +
+                     std::to_string(position));
             }
             return;
         }
         const auto id = row.at("id").get<std::string>();
         const auto number = std::stoi(id.substr(id.find('-') + 1));
         if (row.at("text") != make_content("text", j.number, number)) {
-            fail(id + " has another text");
+            fail(id + " has a wrong text");
         }
         if (!j.delivered_items.insert(id).second) {
-            fail(id + " stands at two positions");
+            fail(id + " was delivered at two positions");
         }
         j.delivered_results.push_back(text);
     }
@@ -325,7 +330,7 @@
             fail(make_item_id(j.number, item).str() + " has no body");
         } else if (r.status == 200 &&
                    r.body != make_content("body", j.number, item)) {
-            fail(make_item_id(j.number, item).str() + " has another body");
+            fail(make_item_id(j.number, item).str() + " has a wrong body");
         }
     }
 
@@ -340,13 +345,13 @@
             make_response_writer([this, &j, was_retained](const response& r) {
                 if (r.status == 404 && was_retained &&
                     j.is_retained(time_.now())) {
-                    fail(j.id.str() + " is not known at its end");
+                    fail(j.id.str() + " was not found when it was ended");
                 }
             }));
     }
 
-    /// Reads a job from the start at a node while the store is sound, and all
-    /// bodies.
+    /// Reads a whole job and all of its bodies at a node while the store has no
+    /// faults.
     void read_whole_job(std::size_t n, expected_job& j) {
         std::size_t position = 0;
         bool more = true;
@@ -364,7 +369,8 @@
                 }));
             time_.run_for(response_time_ms);
             if (status != 200) {
-                fail(j.id.str() + " can't be read: " + std::to_string(status));
+                fail(j.id.str() + " can't be read: status " +
+                     std::to_string(status));
             }
             more = next > position;
             position = next;
@@ -381,12 +387,12 @@
             time_.run_for(response_time_ms);
             if (status != 200 && j.is_retained(time_.now())) {
                 fail(make_item_id(j.number, item).str() +
-                     " has no body: " + std::to_string(status));
+                     " has no body: status " + std::to_string(status));
             }
         }
     }
 
-    /// A job that was refused at each call must not be stored.
+    /// Checks that a job that was rejected at each submission is not stored.
     void check_rejected_not_stored() {
         const auto journal =
             store_.newest_values(batch_node::journal_partition());
@@ -396,12 +402,12 @@
                 submit_statuses_[j.number] == std::set<int>{503};
             if (only_rejected && journal.count(batch::format_key(
                                      batch::header_key{j.id})) != 0) {
-                fail(j.id.str() + " is stored and was refused");
+                fail(j.id.str() + " is stored although it was rejected");
             }
         }
     }
 
-    /// Covers late appends and what follows them.
+    /// Covers late appends and the calls that depend on them.
     static constexpr base::millis settle_time_ms = 6000;
     static constexpr base::millis response_time_ms = 400;
     static constexpr base::millis wait_ms = 1000;
--- a/packages/entry/test/batch_api_test.cpp
+++ b/packages/entry/test/batch_api_test.cpp
@@ -26,7 +26,8 @@
         return out;
     }
 
-    /// Stores a job of which the items `from` on are not there.
+    /// Stores a job with `items` items of which only the first `stored_items`
+    /// are in the store.
     void store_partial_job(int items, int stored_items) {
         auto job = make_job(items);
         auto header = job.header;
@@ -81,7 +82,8 @@
 }
 
 TEST_F(batch_api_test, out_of_range_position_returns_no_results) {
-    // Guards against nodes that end at a position that no job has.
+    // Guards against nodes that crash on a position beyond the results of any
+    // job.
     call_and_wait(
         [&](auto caller) { node_.api().submit(make_job(3), 1000, caller); });
     for (const auto after : {std::size_t{0xffffffff}, ~std::size_t{0}}) {
--- a/packages/entry/test/batch_node.hpp
+++ b/packages/entry/test/batch_node.hpp
@@ -20,7 +20,7 @@
 
 namespace hibiscus::entry {
 
-/// Takes a node's answer in the place of a connection.
+/// Passes the response of a node to a callback instead of a connection.
 class test_response_writer : public transport::response_writer {
 public:
     using response_callback =
@@ -44,11 +44,12 @@
     response_callback on_response_;
 };
 
-/// The part of a node that answers calls about jobs, with an owner that lists
-/// results without running anything, on a store in virtual time.
+/// The batch API of a node with an owner that commits given results without
+/// running items, on a simulated store in virtual time.
 class batch_node {
 public:
-    /// Small records, so that jobs and texts are cut into pieces.
+    /// Returns settings with small records, so that jobs and texts are split
+    /// into chunks.
     static node_settings small_settings(const std::string& name) {
         node_settings s;
         s.node = base::node_id(name);
@@ -104,7 +105,8 @@
 
     bool is_owner() const { return lease_.is_held(state_.jobs); }
 
-    /// Claims or renews the ownership; `hasty` claims without cause.
+    /// Claims or renews the lease. With `force`, claims it even if the lease
+    /// has not expired.
     void claim_or_renew(bool force) {
         if (appending_ || !journal_.is_loaded()) {
             return;
@@ -121,7 +123,7 @@
         append_to_journal({make_owner_record(fencing_token)}, [](bool) {});
     }
 
-    /// Stores and lists results, as far as this node owns the jobs.
+    /// Stores and commits results if this node is the owner.
     void commit_results(std::vector<batch::ready_result> results) {
         if (committing_ || !is_owner()) {
             return;
@@ -151,7 +153,7 @@
         }
     }
 
-    /// Erases a job whose time is over, if this node owns the jobs.
+    /// Erases one expired job if this node is the owner.
     void erase_next_expired_job() {
         const auto id =
             batch::find_expired_job(state_.jobs, state_.clock.now(),
--- a/packages/entry/test/faulty_server.hpp
+++ b/packages/entry/test/faulty_server.hpp
@@ -20,7 +20,7 @@
 
 namespace hibiscus::testing {
 
-/// What a faulty server does with one request.
+/// The behavior of a faulty server at one request.
 enum class server_behavior {
     responds,
     responds_chunked,
@@ -49,18 +49,18 @@
 constexpr int server_behavior_count =
     static_cast<int>(server_behavior::is_wrong_server) + 1;
 
-/// Returns true if a stream that meets this conduct must end whole.
+/// Returns true if a stream must be complete when the server behaves like this.
 inline bool must_complete_stream(server_behavior c) {
     return c <= server_behavior::resets_idle_connection;
 }
 
-/// What the servers have seen of one request.
+/// What the servers have observed of one request.
 struct observed_request {
     std::string body;
     bool streamed = false;
     std::vector<server_behavior> behaviors;
     int send_count = 0;
-    /// Sends on kept connections that ended before an answer.
+    /// Requests on reused connections that ended before a response.
     int lost_send_count = 0;
     int run_count = 0;
     std::set<std::string> servers_run_at;
@@ -74,7 +74,7 @@
 
 constexpr int stream_events = 6;
 
-/// Returns the events of a stream behind the event `after`.
+/// Returns the events of a stream after the event `after`.
 inline std::string make_events(const std::string& id, int after = 0) {
     std::string out;
     for (int n = after + 1; n <= stream_events; ++n) {
@@ -84,13 +84,13 @@
     return out;
 }
 
-/// Returns the plain answer to a request.
+/// Returns the body of a plain response.
 inline std::string make_plain_body(const std::string& id) {
     return "answer to " + id + std::string(200, '.');
 }
 
-/// A server that does with each request what the request's plan says for that
-/// send, and notes what it has got.
+/// A server that follows the plan of each request and records what it has
+/// received.
 class faulty_server {
 public:
     faulty_server(boost::asio::io_context& io, std::string name,
@@ -98,7 +98,8 @@
         : io_(io), name_(std::move(name)), observed_(observed),
           acceptor_(io,
                     tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0)) {
-        // A long body must not fit into the kernel's buffers.
+        // Keeps the buffer small so that a long body does not fit into the
+        // buffers of the kernel.
         acceptor_.set_option(boost::asio::socket_base::receive_buffer_size(
             receive_buffer_bytes));
         accept();
@@ -131,7 +132,7 @@
     };
     using connection_ptr = std::shared_ptr<connection>;
 
-    /// The parts of a request's head that count here.
+    /// The fields of a request head that the server uses.
     struct request_head {
         std::string id;
         int last_event_id = 0;
@@ -183,7 +184,8 @@
         return h;
     }
 
-    /// Takes what has come. Returns false once the connection has ended.
+    /// Processes the received bytes. Returns false once the connection has
+    /// ended.
     bool process_input(const connection_ptr& c) {
         while (!c->input.empty()) {
             if (c->reset_at_next) {
@@ -219,7 +221,7 @@
                 return true;
             }
             if (c->input.substr(h.head_bytes, h.body_bytes) != s.body) {
-                s.failure = "another body was sent";
+                s.failure = "request has a wrong body";
             }
             c->input.erase(0, h.head_bytes + h.body_bytes);
             if (std::exchange(c->responded_early, false)) {
@@ -233,7 +235,7 @@
         return true;
     }
 
-    /// Returns what the plan says for the next send of a request.
+    /// Returns the behavior planned for the next send of a request.
     static server_behavior next_behavior(const observed_request& s) {
         return s.behaviors.empty()
                    ? server_behavior::responds
@@ -258,8 +260,8 @@
         s.servers_run_at.insert(name_);
     }
 
-    /// Does what the plan says with a whole request. Returns false once the
-    /// connection has ended.
+    /// Applies the planned behavior to a complete request. Returns false once
+    /// the connection has ended.
     bool apply_behavior(const connection_ptr& c, observed_request& s,
                         const request_head& h, server_behavior behavior) {
         const bool ran = behavior != server_behavior::rejects &&
@@ -401,7 +403,7 @@
         });
     }
 
-    /// Resets once the other side can have read what was sent.
+    /// Resets the connection after the peer has had time to read what was sent.
     void reset_later(const connection_ptr& c) {
         run_later([c] { reset(c); });
     }
--- a/packages/entry/test/forwarder_fuzz_test.cpp
+++ b/packages/entry/test/forwarder_fuzz_test.cpp
@@ -11,7 +11,8 @@
 
 constexpr std::size_t long_body_bytes = std::size_t{4} * 1024 * 1024;
 
-/// Returns what servers do with the sends of a request; half are answered.
+/// Returns the server behavior for each attempt of a request. Half of the
+/// attempts get a normal response.
 std::vector<server_behavior> make_plan(int number) {
     std::vector<server_behavior> out;
     for (int n = 0; n < 3; ++n, number /= 37) {
@@ -53,7 +54,7 @@
     harness.run_for(std::chrono::milliseconds(0));
 }
 
-// Guards against requests that end without an answer, or with a wrong one.
+// Guards against requests that end without a response or with a wrong one.
 TEST(forwarder_fuzz_test, callers_get_one_response_whatever_servers_do) {
     std::size_t requests = 0;
     fuzz("forwarder", 12, [&](const auto& commands) {
@@ -64,7 +65,8 @@
         requests += harness.request_count();
         auto violation = harness.finish_and_check();
         if (!violation.empty()) {
-            // Requests race, and the shrunk list may fail for another reason.
+            // Requests race with each other, so the shrunk command list may
+            // fail for another reason. Print the original violation.
             std::cout << violation << std::endl;
         }
         return violation;
--- a/packages/entry/test/forwarder_harness.hpp
+++ b/packages/entry/test/forwarder_harness.hpp
@@ -33,7 +33,7 @@
 constexpr base::millis stream_deadline_ms = 1500;
 constexpr base::millis max_wait_ms = 60000;
 
-/// The kinds of routes that callers use.
+/// A route of the test configuration.
 struct test_route {
     const char* prefix = "";
     gateway::route_kind kind = gateway::route_kind::idempotent;
@@ -59,7 +59,7 @@
     return "service-" + std::to_string(n % service_count);
 }
 
-/// A file descriptor that takes what is written and drops it.
+/// A file descriptor that discards its output.
 class null_output {
 public:
     null_output() : descriptor_(::open("/dev/null", O_WRONLY | O_CLOEXEC)) {}
@@ -77,7 +77,7 @@
     std::shared_ptr<request_result> result;
 };
 
-/// The way to a caller whose connection has ended.
+/// The response writer of a caller that has already disconnected.
 class disconnected_response_writer : public transport::response_writer {
 public:
     void send(transport::outbound_response) override {}
@@ -88,7 +88,8 @@
     void on_disconnect(std::function<void()> closed) override { closed(); }
 };
 
-/// Callers, a front with a forwarder, and faulty servers on one event loop.
+/// Connects callers, a server with a forwarder, and faulty servers on one event
+/// loop.
 class forwarder_harness {
 public:
     forwarder_harness() : state_({}, {}, null_.descriptor()) {
@@ -105,8 +106,8 @@
         }
     }
 
-    /// Takes a configuration; `a` says where routes lead and which is missing,
-    /// `b` how long their requests may take.
+    /// Applies a new configuration. `a` selects the services of the routes and
+    /// the route that is missing, `b` the timeout of the routes.
     void configure(int a, int b) {
         gateway::configuration next;
         next.version = ++version_;
@@ -128,7 +129,8 @@
         state_.configuration = std::move(next);
     }
 
-    /// Has a caller send a request; `plan` is what servers do with its sends.
+    /// Makes a caller send a request. `plan` lists the behavior of the server
+    /// at each attempt.
     std::shared_ptr<request_result>
     send_request(const test_route& route, int caller,
                  std::vector<server_behavior> plan, std::size_t body_bytes,
@@ -158,7 +160,7 @@
         return result;
     }
 
-    /// Forwards a request whose caller has left.
+    /// Forwards a request of a caller that has already disconnected.
     void forward_for_disconnected_caller() {
         entry::forward_request f;
         f.http_request.fields = {{"Host", "h"}, {"Request-Id", "gone"}};
@@ -191,7 +193,8 @@
         io_.poll();
     }
 
-    /// Runs until servers have got so many sends; false if that never happens.
+    /// Runs until the servers have received `sends` requests. Returns false if
+    /// that does not happen in time.
     bool run_until_sends(int sends) {
         const base::clock clock;
         const auto deadline = clock.now() + max_wait_ms;
@@ -205,7 +208,7 @@
 
     std::size_t request_count() const { return sent_requests_.size(); }
 
-    /// Runs until all callers are done. Returns what is wrong, or "".
+    /// Runs until all callers are done. Returns the first violation, or "".
     std::string finish_and_check() {
         const base::clock clock;
         const auto deadline = clock.now() + max_wait_ms;
@@ -213,12 +216,12 @@
             run_for(std::chrono::milliseconds(2));
         }
         if (has_busy_callers()) {
-            return "a caller waits without end";
+            return "a caller never got a response";
         }
         run_for(std::chrono::milliseconds(30));
         for (const auto& c : callers_) {
             if (c->unsolicited_bytes() > 0) {
-                return "bytes came behind the last answer";
+                return "received bytes after the last response";
             }
         }
         return check_all();
@@ -279,7 +282,7 @@
         for (const auto& [id, s] : observed_) {
             const auto found = sent_requests_.find(id);
             if (found == sent_requests_.end()) {
-                return "nobody asked for it: " + s.failure;
+                return "server received an unknown request: " + s.failure;
             }
             auto violation = check(id, s, found->second);
             if (!violation.empty()) {
@@ -313,17 +316,17 @@
             sent.route.kind == gateway::route_kind::idempotent ||
             sent.route.resumable;
         if (!retryable && s.run_count > 1) {
-            return "ran twice";
+            return "non-idempotent request was executed more than once";
         }
         if (s.send_count - s.lost_send_count > sent.route.attempts ||
             static_cast<int>(s.servers_run_at.size()) > sent.route.attempts) {
-            return "more servers than its route allows";
+            return "more attempts than the route allows";
         }
         if (r.disconnected) {
             return "";
         }
         if (!r.head_received) {
-            return "the connection ended without an answer";
+            return "connection ended without a response";
         }
         if (r.status == 200) {
             return check_success(id, s, r, sent.route.resumable);
@@ -337,41 +340,42 @@
         const auto expected_body =
             s.streamed ? make_events(id) : make_plain_body(id);
         if (r.request_id != id || r.stamp != "of-" + id) {
-            return "the answer belongs to another request";
+            return "response belongs to another request";
         }
         if (r.complete) {
-            return r.body == expected_body ? "" : "another body came";
+            return r.body == expected_body ? "" : "response has a wrong body";
         }
-        // Without a length, an end can't be told from a cut between two events.
+        // Without a length, the end of a stream can't be told from a cut
+        // between two events.
         const bool may_look_incomplete =
             resumable &&
             s.last_behavior == server_behavior::responds_without_length;
         if (!s.streamed ||
             (must_complete_stream(s.last_behavior) && !may_look_incomplete)) {
-            return "a sound answer broke off";
+            return "complete response was cut off";
         }
         return expected_body.compare(0, r.body.size(), r.body) == 0
                    ? ""
-                   : "pieces are missing or come twice";
+                   : "events are missing or duplicated";
     }
 
     static std::string check_failure(const observed_request& s,
                                      const request_result& r, bool retryable) {
         if (!r.complete) {
-            return "a failure broke off";
+            return "failure response was cut off";
         }
         if (!r.stamp.empty() &&
             s.signed_failure_statuses.count(r.status) == 0) {
-            return "no server signed this failure";
+            return "failure response was not sent by a server";
         }
         if (s.send_count > 0 && must_complete_stream(s.last_behavior) &&
             !s.last_send_lost && r.status != 504) {
-            return "a sound answer was not handed on";
+            return "successful response was not forwarded";
         }
         const bool claims_not_run = r.status == 503 || r.status == 429 ||
                                     r.status == 408 || r.status == 421;
         if (claims_not_run && !retryable && s.run_count > 0) {
-            return "called not run, but it ran";
+            return "reported as not executed, but was executed";
         }
         return "";
     }
--- a/packages/entry/test/forwarder_test.cpp
+++ b/packages/entry/test/forwarder_test.cpp
@@ -8,7 +8,8 @@
 
 class forwarder_test : public ::testing::Test {
 protected:
-    /// Returns what a caller gets if each send meets this conduct.
+    /// Sends a request and returns its result; `plan` lists the behavior of the
+    /// server at each attempt.
     std::shared_ptr<request_result>
     send_request(const test_route& route, std::vector<server_behavior> plan,
                  std::size_t body_bytes = 20) {
@@ -21,7 +22,8 @@
     forwarder_harness harness_;
 };
 
-// Guards against a status that says "not run" to a request that has run.
+// Guards against a status that means "not executed" for a request that was
+// executed.
 TEST_F(forwarder_test,
        unmarked_rejection_of_non_idempotent_request_returns_502) {
     EXPECT_EQ(
@@ -34,7 +36,8 @@
         503);
 }
 
-// Guards against a failure of a lookup whose server dropped a kept connection.
+// Guards against a request that fails because the server has reset the idle
+// connection on which it was sent.
 TEST_F(forwarder_test, request_succeeds_after_idle_connection_reset) {
     send_request(single_attempt_route,
                  {server_behavior::resets_idle_connection});
@@ -43,7 +46,8 @@
         200);
 }
 
-// Guards against a failure of the request behind an answer that came twice.
+// Guards against a request that fails because the previous response on the
+// connection arrived twice.
 TEST_F(forwarder_test, request_succeeds_after_duplicate_response) {
     send_request(single_attempt_route,
                  {server_behavior::repeats_response_before_next});
@@ -52,7 +56,7 @@
         200);
 }
 
-// Guards against attempts that can't be told apart in the metrics.
+// Guards against metrics that do not tell the outcomes of attempts apart.
 TEST_F(forwarder_test, attempts_are_counted_by_outcome_and_connection) {
     send_request(single_attempt_route,
                  {server_behavior::resets_idle_connection});
@@ -70,7 +74,8 @@
     expect("broken", "opened");
 }
 
-// Guards against a request that is lost with its route or its server's entry.
+// Guards against requests that are lost when their route or the registration of
+// their server is removed.
 TEST_F(forwarder_test, in_flight_requests_survive_removal_of_route_and_server) {
     const auto idempotent_result = harness_.send_request(
         idempotent_route, 0, {server_behavior::responds_slowly}, 20);
@@ -87,7 +92,8 @@
     EXPECT_EQ(non_idempotent_result->status, 200);
 }
 
-// Guards against work of servers for a caller that has left.
+// Guards against requests that are sent to servers after the caller has
+// disconnected.
 TEST_F(forwarder_test, nothing_is_sent_for_a_disconnected_caller) {
     harness_.forward_for_disconnected_caller();
     EXPECT_EQ(harness_.finish_and_check(), "");
--- a/packages/entry/test/keep_alive_caller.hpp
+++ b/packages/entry/test/keep_alive_caller.hpp
@@ -18,7 +18,7 @@
 
 namespace hibiscus::testing {
 
-/// What a caller got for one request.
+/// What a caller received for one request.
 struct request_result {
     bool done = false;
     bool disconnected = false;
@@ -28,21 +28,21 @@
     std::string request_id;
     std::string stamp;
     std::string body;
-    /// How the connection ended, if it did before the answer.
+    /// The connection error that ended the response early, if any.
     std::string error;
     std::string failure;
 };
 
-/// A request of a caller.
+/// A request that a caller is to send.
 struct queued_request {
     std::string bytes;
-    /// After which the caller closes its connection.
+    /// Time after which the caller closes its connection.
     std::optional<std::chrono::milliseconds> disconnect_after;
     std::shared_ptr<request_result> result;
 };
 
-/// Sends requests one after the other on a connection that it keeps as long as
-/// it can.
+/// Sends requests one after the other and reuses the connection as long as
+/// possible.
 class keep_alive_caller {
 public:
     keep_alive_caller(boost::asio::io_context& io,
@@ -58,7 +58,7 @@
 
     bool is_busy() const { return busy_; }
 
-    /// Returns how many bytes have come that belong to no request.
+    /// Returns the number of bytes received that belong to no request.
     std::size_t unsolicited_bytes() const {
         if (!socket_) {
             return 0;
@@ -81,7 +81,8 @@
         request_ = std::move(queue_.front());
         queue_.pop_front();
         if (unsolicited_bytes() > 0) {
-            request_.result->failure = "bytes came while no request waited";
+            request_.result->failure =
+                "received bytes without a pending request";
         }
         if (socket_) {
             send();
--- a/packages/entry/test/node_table_test.cpp
+++ b/packages/entry/test/node_table_test.cpp
@@ -21,7 +21,7 @@
                 cpu_share};
     }
 
-    /// Adds so many nodes with this share of a core.
+    /// Adds `count` nodes with the given CPU share.
     void add_nodes(int count, double cpu_share) {
         for (int n = 0; n < count; ++n) {
             ++added_;
@@ -48,25 +48,25 @@
     EXPECT_EQ(count_addresses("y"), 3U);
 }
 
-// Most nodes of a zone have an eighth of a core. A trainer that reads a
+// Most nodes of the zone have an eighth of a core. A trainer that reads a
 // megabyte of results through one of them gets it 0.3 s later than through a
-// larger one.
+// larger node.
 TEST_F(node_table_test, prefers_large_nodes) {
     add_nodes(30, 0.12);
     add_nodes(9, 0.5);
     EXPECT_EQ(count_addresses(), 9U);
 }
 
-// Three of four roomy nodes are lost. The one that is left, or two, would get
-// all callers of the zone, and take them along if it fails.
+// Only three large nodes are left. One or two of them would get all callers of
+// the zone, and fail all of them if they fail.
 TEST_F(node_table_test, returns_all_nodes_if_few_are_large) {
     add_nodes(30, 0.12);
     add_nodes(3, 0.5);
     EXPECT_EQ(count_addresses(), 33U);
 }
 
-// The roomy nodes have less processor time than all the others together. Alone
-// they would have to carry several times their part.
+// The large nodes have less CPU share than the small ones together. Alone they
+// would carry several times their part of the load.
 TEST_F(node_table_test, returns_all_nodes_if_large_nodes_lack_capacity) {
     add_nodes(40, 0.12);
     add_nodes(4, 0.5);
@@ -95,7 +95,7 @@
 }
 
 TEST_F(node_table_test, keeps_nodes_while_the_store_is_unreachable) {
-    // Renewals go through the store. Without this rule each node would name
+    // Renewals go through the store. Without this rule each node would return
     // only itself after two seconds of an outage.
     table_.put("n2", make_entry(2));
     time_->advance(1000);
@@ -109,8 +109,9 @@
 }
 
 TEST_F(node_table_test, nodes_expired_before_an_outage_stay_omitted) {
-    // A node is removed for good, and the store is lost and found again by
-    // turns. Callers were sent to the address for as long as that went on.
+    // The node has been removed for good, and the store becomes reachable and
+    // unreachable in turns. Callers must not be sent to the old address
+    // meanwhile.
     table_.put("n2", make_entry(2));
     time_->advance(2500);
     for (int n = 0; n < 10; ++n) {
--- a/packages/entry/test/settings_test.cpp
+++ b/packages/entry/test/settings_test.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Settings with only what must be there, and `more` behind it.
+/// Loads a file with the required settings followed by `extra`.
 class settings_test : public testing::Test {
 protected:
     base::result<node_settings, settings::setting_errors>
@@ -27,7 +27,7 @@
         return load_node_settings(path_);
     }
 
-    /// Tests run side by side, so that each has a file of its own.
+    /// Tests run in parallel, so each one needs its own file.
     const std::string path_ =
         testing::TempDir() + "entry_settings_" +
         testing::UnitTest::GetInstance()->current_test_info()->name() + ".yaml";
@@ -41,8 +41,8 @@
     EXPECT_TRUE(s->features.is_enabled(base::feature::longest_first));
 }
 
-// A name is misspelt. An operator who believes to have switched a mechanism off
-// would measure nothing.
+// If a misspelt name were accepted, an operator would believe that a feature is
+// switched off while it is still enabled.
 TEST_F(settings_test, an_unknown_feature_is_an_error_that_lists_all) {
     const auto loaded = load("policy:\n  run_ahaed: false\n");
     const auto* errors = std::get_if<settings::setting_errors>(&loaded);
