--- a/packages/entry/src/batch_api.cpp
+++ b/packages/entry/src/batch_api.cpp
@@ -36,10 +36,11 @@
 } // namespace
 
 batch_api::batch_api(node_state& state, const store::log_store& log_store,
-                     store::partition_watcher& journal, const job_store& jobs,
+                     store::partition_watcher& journal,
+                     const job_store& stored_jobs,
                      store::run_after_function run_after)
-    : state_(state), log_store_(log_store), journal_(journal), job_store_(jobs),
-      run_after_(std::move(run_after)) {}
+    : state_(state), log_store_(log_store), journal_(journal),
+      job_store_(stored_jobs), run_after_(std::move(run_after)) {}
 
 void batch_api::start() {
     sweep_pending_calls();
--- a/packages/entry/src/batch_api.hpp
+++ b/packages/entry/src/batch_api.hpp
@@ -26,7 +26,7 @@
 class batch_api {
 public:
     batch_api(node_state& state, const store::log_store& log_store,
-              store::partition_watcher& journal, const job_store& jobs,
+              store::partition_watcher& journal, const job_store& stored_jobs,
               store::run_after_function run_after);
 
     /// Starts the periodic sweep of pending calls.
--- a/packages/entry/src/daemon.cpp
+++ b/packages/entry/src/daemon.cpp
@@ -114,21 +114,21 @@
           batch_api_(state_, log_store_, journal_, job_store_, run_after_),
           caller_server_(
               io_, {},
-              [this](auto r, auto response) {
-                  on_caller_request(std::move(r), std::move(response));
+              [this](auto request, auto response) {
+                  on_caller_request(std::move(request), std::move(response));
               },
               {adapter::request_id_header,
                [this](const auto& aborted) { on_request_aborted(aborted); }}),
           readiness_server_(io_, {},
-                            [this](const auto& r, auto response) {
-                                on_readiness_request(r, *response);
+                            [this](const auto& request, auto response) {
+                                on_readiness_request(request, *response);
                             }),
           directory_server_(io_, {},
-                            [this](const auto& r, auto response) {
-                                on_directory_request(r, *response);
+                            [this](const auto& request, auto response) {
+                                on_directory_request(request, *response);
                             }),
-          internal_server_(io_, {}, [this](const auto& r, auto response) {
-              on_internal_request(r, response);
+          internal_server_(io_, {}, [this](const auto& request, auto response) {
+              on_internal_request(request, response);
           }) {}
 
     std::optional<listen_error> run() {
@@ -169,18 +169,18 @@
     }
 
     std::optional<listen_error> listen() {
-        const auto& c = state_.settings;
-        if (!caller_server_.listen(c.listen_callers)) {
-            return listen_error{c.listen_callers};
+        const auto& settings = state_.settings;
+        if (!caller_server_.listen(settings.listen_callers)) {
+            return listen_error{settings.listen_callers};
         }
-        if (!readiness_server_.listen(c.listen_readiness)) {
-            return listen_error{c.listen_readiness};
+        if (!readiness_server_.listen(settings.listen_readiness)) {
+            return listen_error{settings.listen_readiness};
         }
-        if (!directory_server_.listen(c.listen_directory)) {
-            return listen_error{c.listen_directory};
+        if (!directory_server_.listen(settings.listen_directory)) {
+            return listen_error{settings.listen_directory};
         }
-        if (!internal_server_.listen(c.listen_metrics)) {
-            return listen_error{c.listen_metrics};
+        if (!internal_server_.listen(settings.listen_metrics)) {
+            return listen_error{settings.listen_metrics};
         }
         return std::nullopt;
     }
@@ -489,19 +489,19 @@
             response->send(adapter::not_run_response(startup_retry_after_ms));
             return;
         }
-        const auto* r = gateway::find_route(*state_.configuration, call.host,
-                                            request.target);
-        if (r == nullptr) {
+        const auto* route = gateway::find_route(*state_.configuration,
+                                                call.host, request.target);
+        if (route == nullptr) {
             log_rejection(call, "no_route");
             response->send(adapter::status_response(404));
             return;
         }
-        if (r->kind == gateway::route_kind::batch) {
+        if (route->kind == gateway::route_kind::batch) {
             on_submission(call, request, std::move(response));
             return;
         }
         forwarder_.forward_to_caller(
-            make_forward_request(call, *r, std::move(request)),
+            make_forward_request(call, *route, std::move(request)),
             std::move(response));
     }
 
@@ -530,7 +530,7 @@
     }
 
     forward_request make_forward_request(const adapter::routed_request& call,
-                                         const gateway::route& r,
+                                         const gateway::route& route,
                                          transport::inbound_request request) {
         forward_request f;
         f.id = call.id;
@@ -544,19 +544,20 @@
                 f.http_request.fields.push_back(std::move(field));
             }
         }
-        f.service =
-            samplers::service_name(choose_service(r, state_.random_fraction()));
-        f.max_attempts = r.max_attempts;
-        f.streaming = r.kind == gateway::route_kind::streaming;
-        f.resumable = f.streaming && r.resumable;
-        f.retryable = r.kind == gateway::route_kind::idempotent || f.resumable;
+        f.service = samplers::service_name(
+            choose_service(route, state_.random_fraction()));
+        f.max_attempts = route.max_attempts;
+        f.streaming = route.kind == gateway::route_kind::streaming;
+        f.resumable = f.streaming && route.resumable;
+        f.retryable =
+            route.kind == gateway::route_kind::idempotent || f.resumable;
         auto timeout_ms =
             call.deadline_ms > 0 ? call.deadline_ms : default_deadline_ms;
-        if (r.timeout_ms > 0) {
-            timeout_ms = std::min(timeout_ms, r.timeout_ms);
+        if (route.timeout_ms > 0) {
+            timeout_ms = std::min(timeout_ms, route.timeout_ms);
         }
         f.deadline = state_.clock.now() + timeout_ms;
-        f.latency_target_ms = r.latency_target_ms;
+        f.latency_target_ms = route.latency_target_ms;
         return f;
     }
 
--- a/packages/entry/src/forwarder.cpp
+++ b/packages/entry/src/forwarder.cpp
@@ -149,13 +149,13 @@
         } else if (!request_.resumable) {
             response_->write(data);
         } else {
-            auto is_complete = event_assembler_.feed(data);
-            if (!is_complete.last_event_id.empty()) {
-                last_event_id_ = std::move(is_complete.last_event_id);
+            auto complete_events = event_assembler_.feed(data);
+            if (!complete_events.last_event_id.empty()) {
+                last_event_id_ = std::move(complete_events.last_event_id);
             }
-            if (!is_complete.bytes.empty()) {
+            if (!complete_events.bytes.empty()) {
                 events_forwarded_ = true;
-                response_->write(is_complete.bytes);
+                response_->write(complete_events.bytes);
             }
         }
     }
@@ -323,13 +323,13 @@
 
     static transport::headers
     end_to_end_headers(const transport::response_head& head) {
-        transport::headers out;
-        for (const auto& f : head.fields) {
-            if (!transport::is_hop_by_hop(f.name)) {
-                out.push_back(f);
+        transport::headers fields;
+        for (const auto& field : head.fields) {
+            if (!transport::is_hop_by_hop(field.name)) {
+                fields.push_back(field);
             }
         }
-        return out;
+        return fields;
     }
 
     void count_request(const std::string& outcome, const std::string& reason) {
--- a/packages/entry/src/job_owner.cpp
+++ b/packages/entry/src/job_owner.cpp
@@ -37,12 +37,13 @@
 
 job_owner::job_owner(node_state& state, const store::log_store& log_store,
                      const store::store_router& router,
-                     store::partition_watcher& journal, const job_store& jobs,
+                     store::partition_watcher& journal,
+                     const job_store& stored_jobs,
                      transport::upstream_client& client,
                      forwarder& request_forwarder,
                      store::run_after_function run_after)
     : state_(state), log_store_(log_store), store_router_(router),
-      journal_(journal), job_store_(jobs), client_(client),
+      journal_(journal), job_store_(stored_jobs), client_(client),
       forwarder_(request_forwarder), run_after_(std::move(run_after)),
       scheduler_(state.clock, state.samplers), rollout_(state.clock),
       incarnation_(std::to_string(state.random_engine()) + "-" +
@@ -157,21 +158,22 @@
     const auto age = state_.clock.now() - row.first_seen_at;
     state_.counters.observe("job", age);
     std::size_t logged_count = 0;
-    for (const auto& l : timelines) {
+    for (const auto& timeline : timelines) {
         if (++logged_count > max_slow_items_logged) {
             return;
         }
-        state_.log.write("slow_item",
-                         {{"job", id},
-                          {"step", row.header->step},
-                          {"job_ms", age},
-                          {"item", l.item_index},
-                          {"first_start_ms", l.first_start_ms},
-                          {"text_ms", l.text_complete_ms},
-                          {"ready_ms", l.ready_ms},
-                          {"runs", l.run_count},
-                          {"events", l.event_count},
-                          {"expected_tokens", l.expected_output_tokens}});
+        state_.log.write(
+            "slow_item",
+            {{"job", id},
+             {"step", row.header->step},
+             {"job_ms", age},
+             {"item", timeline.item_index},
+             {"first_start_ms", timeline.first_start_ms},
+             {"text_ms", timeline.text_complete_ms},
+             {"ready_ms", timeline.ready_ms},
+             {"runs", timeline.run_count},
+             {"events", timeline.event_count},
+             {"expected_tokens", timeline.expected_output_tokens}});
     }
 }
 
@@ -180,18 +182,18 @@
     if (!state_.configuration) {
         return std::nullopt;
     }
-    const auto* r =
+    const auto* route =
         gateway::find_route(*state_.configuration, header.host, header.path);
-    if (r == nullptr) {
+    if (route == nullptr) {
         return std::nullopt;
     }
     batch::job_options options;
-    options.service =
-        samplers::service_name(choose_service(*r, state_.random_fraction()));
-    options.max_attempts = r->max_attempts;
-    options.single_version = r->single_version;
-    options.target_ms = r->batch_target_ms;
-    options.item_expiry_ms = r->batch_item_expiry_ms;
+    options.service = samplers::service_name(
+        choose_service(*route, state_.random_fraction()));
+    options.max_attempts = route->max_attempts;
+    options.single_version = route->single_version;
+    options.target_ms = route->batch_target_ms;
+    options.item_expiry_ms = route->batch_item_expiry_ms;
     return options;
 }
 
@@ -225,17 +227,17 @@
 
 void job_owner::update_job_service(const batch::job_id& id,
                                    const batch::job_header& header) {
-    const auto* r =
+    const auto* route =
         gateway::find_route(*state_.configuration, header.host, header.path);
     const auto before = scheduler_.job_service(id);
     const bool is_service_usable =
-        r == nullptr || (gateway::has_service(*r, before.str()) &&
-                         state_.samplers.has_model(before, header.model));
+        route == nullptr || (gateway::has_service(*route, before.str()) &&
+                             state_.samplers.has_model(before, header.model));
     if (is_service_usable) {
         return;
     }
     const samplers::service_name new_service(
-        choose_service(*r, state_.random_fraction()));
+        choose_service(*route, state_.random_fraction()));
     if (new_service == before ||
         !state_.samplers.has_model(new_service, header.model)) {
         return;
--- a/packages/entry/src/job_owner.hpp
+++ b/packages/entry/src/job_owner.hpp
@@ -24,13 +24,13 @@
 
 /// Runs batch jobs and orders servers to load weights while this node holds the
 /// owner lease. The lease is a record in the journal that the owner renews.
-/// Every append that matters is conditional on the journal offset up to which
-/// this node has read, so that at most one of two concurrent owners succeeds.
+/// Appends to the journal fail if it holds records that this node has not read,
+/// so that at most one of two concurrent owners succeeds.
 class job_owner {
 public:
     job_owner(node_state& state, const store::log_store& log_store,
               const store::store_router& router,
-              store::partition_watcher& journal, const job_store& jobs,
+              store::partition_watcher& journal, const job_store& stored_jobs,
               transport::upstream_client& client, forwarder& request_forwarder,
               store::run_after_function run_after);
 
@@ -87,7 +87,7 @@
     void append_to_journal(const std::vector<store::record>& records,
                            std::function<void(bool)> done);
     void log_append_failure(const store::append_result& result,
-                            std::size_t records, base::millis ms);
+                            std::size_t record_count, base::millis ms);
     void on_owner_changed(bool gained);
     void log_slow_items(const batch::job_id& id, const batch::job_row& row);
     void load_job(const batch::job_id& id);
@@ -103,7 +103,7 @@
     void on_run_ended(batch::run_number run_id,
                       transport::call_outcome outcome);
     void schedule_placement();
-    batch::run_outcome classify_run_end(const active_run& live,
+    batch::run_outcome classify_run_end(const active_run& active,
                                         transport::call_outcome outcome) const;
     void start_rewards();
     void send_reward(const reward_task& task);
@@ -124,7 +124,7 @@
     void advance_handover();
     void finish_handover();
     void erase_next_expired_job();
-    void on_erase_finished(const batch::job_id& id, bool done);
+    void on_erase_finished(const batch::job_id& id, bool erased);
     void erase_progress(const batch::job_id& id);
     void order_weight_loads();
     void request_report(
--- a/packages/entry/src/job_owner_runs.cpp
+++ b/packages/entry/src/job_owner_runs.cpp
@@ -68,18 +68,18 @@
     options.connect_timeout_ms = server_connect_timeout_ms;
     transport::upstream_callbacks events;
     const auto run_id = r.run;
-    events.on_head = [this, run_id](const transport::response_head& h) {
+    events.on_head = [this, run_id](const transport::response_head& head) {
         const auto found = active_runs_.find(run_id);
         if (found == active_runs_.end()) {
             return;
         }
-        const auto a = adapter::parse_response_head(h);
-        found->second.status = a.status;
-        found->second.not_executed = a.not_run;
-        found->second.wrong_server = a.misdirected;
-        if (a.status == 200 && a.first_weight_version) {
+        const auto parsed = adapter::parse_response_head(head);
+        found->second.status = parsed.status;
+        found->second.not_executed = parsed.not_run;
+        found->second.wrong_server = parsed.misdirected;
+        if (parsed.status == 200 && parsed.first_weight_version) {
             apply_effects(scheduler_.on_response_started(
-                run_id, *a.first_weight_version));
+                run_id, *parsed.first_weight_version));
         }
     };
     events.on_data = [this, run_id](std::string_view data) {
@@ -197,14 +197,15 @@
 void job_owner::start_rewards() {
     while (!pending_rewards_.empty()) {
         const auto& first = pending_rewards_.front();
-        const auto* r =
+        const auto* route =
             state_.configuration
                 ? gateway::find_route(*state_.configuration, first.call.host,
                                       first.call.path)
                 : nullptr;
-        if (r != nullptr && active_rewards_.size() >=
-                                max_concurrent_rewards(samplers::service_name(
-                                    r->services.front().service))) {
+        if (route != nullptr &&
+            active_rewards_.size() >=
+                max_concurrent_rewards(
+                    samplers::service_name(route->services.front().service))) {
             return;
         }
         const auto task = std::move(pending_rewards_.front());
@@ -214,9 +215,9 @@
 }
 
 void job_owner::send_reward(const reward_task& task) {
-    const auto* r = gateway::find_route(*state_.configuration, task.call.host,
-                                        task.call.path);
-    if (r == nullptr) {
+    const auto* route = gateway::find_route(*state_.configuration,
+                                            task.call.host, task.call.path);
+    if (route == nullptr) {
         state_.log.write("reward_failed", {{"job", task.job},
                                            {"item", task.item_index},
                                            {"reason", "no route"}});
@@ -224,29 +225,31 @@
                                                  batch::reward_failure{}));
         return;
     }
-    forward_request f;
-    f.id = task.call.id;
-    f.kind = "reward";
-    f.http_request = adapter::make_reward_request(task.call);
-    f.service =
-        samplers::service_name(choose_service(*r, state_.random_fraction()));
-    f.max_attempts = r->max_attempts;
-    f.retryable = true;
-    f.retry_server_errors = true;
-    f.deadline = state_.clock.now() + reward_timeout_ms;
-    f.latency_target_ms = r->latency_target_ms;
+    forward_request request;
+    request.id = task.call.id;
+    request.kind = "reward";
+    request.http_request = adapter::make_reward_request(task.call);
+    request.service = samplers::service_name(
+        choose_service(*route, state_.random_fraction()));
+    request.max_attempts = route->max_attempts;
+    request.retryable = true;
+    request.retry_server_errors = true;
+    request.deadline = state_.clock.now() + reward_timeout_ms;
+    request.latency_target_ms = route->latency_target_ms;
     const auto number = ++last_reward_number_;
-    const int attempts = r->max_attempts;
+    const int attempts = route->max_attempts;
     auto on_scored = [this, number, attempts,
                       task](const forward_result& result) {
         active_rewards_.erase(number);
         const auto outcome = std::visit(
             base::overloaded{
-                [&](const forwarded_response& f) -> batch::reward_outcome {
-                    if (f.head.status / 100 == 2) {
-                        return batch::reward_score{f.signature};
+                [&](const forwarded_response& request)
+                    -> batch::reward_outcome {
+                    if (request.head.status / 100 == 2) {
+                        return batch::reward_score{request.signature};
                     }
-                    return batch::reward_failure{f.failed_attempts, attempts};
+                    return batch::reward_failure{request.failed_attempts,
+                                                 attempts};
                 },
                 [&](const forward_failure& n) -> batch::reward_outcome {
                     return batch::reward_failure{n.failed_attempts, attempts};
@@ -257,7 +260,7 @@
         commit_results();
     };
     active_rewards_[number] = nullptr;
-    auto active = forwarder_.send(std::move(f), std::move(on_scored));
+    auto active = forwarder_.send(std::move(request), std::move(on_scored));
     const auto found = active_rewards_.find(number);
     if (found != active_rewards_.end()) {
         found->second = std::move(active);
--- a/packages/entry/src/job_owner_writes.cpp
+++ b/packages/entry/src/job_owner_writes.cpp
@@ -59,36 +59,36 @@
                           const auto ms = state_.clock.now() - sent_at;
                           state_.counters.observe("store_append", ms);
                           log_append_failure(r, records.size(), ms);
-                          const auto* a = base::value_if(r);
-                          if (a != nullptr) {
+                          const auto* stored = base::value_if(r);
+                          if (stored != nullptr) {
                               lease_.on_renewed();
-                              journal_.apply_own_append(a->first, records,
+                              journal_.apply_own_append(stored->first, records,
                                                         sent_at);
                           }
-                          done(a != nullptr);
+                          done(stored != nullptr);
                       });
 }
 
 void job_owner::log_append_failure(const store::append_result& result,
-                                   std::size_t records, base::millis ms) {
+                                   std::size_t record_count, base::millis ms) {
     std::visit(base::overloaded{
                    [&](const store::appended&) {},
-                   [&](const store::append_conflict& d) {
+                   [&](const store::append_conflict& conflict) {
                        state_.log.write("append_refused",
                                         {{"reason", "end_differs"},
-                                         {"end", d.end},
+                                         {"end", conflict.end},
                                          {"read_to", journal_.next_offset()}});
                    },
-                   [&](const store::rejected& f) {
+                   [&](const store::rejected& failure) {
                        state_.log.write(
                            "append_refused",
-                           {{"reason", "store"}, {"status", f.status}});
+                           {{"reason", "store"}, {"status", failure.status}});
                    },
                    [&](const store::outcome_unknown&) {
-                       state_.log.write(
-                           "append_unanswered",
-                           {{"records", static_cast<std::int64_t>(records)},
-                            {"ms", ms}});
+                       state_.log.write("append_unanswered",
+                                        {{"records", static_cast<std::int64_t>(
+                                                         record_count)},
+                                         {"ms", ms}});
                    }},
                result);
 }
--- a/packages/entry/src/job_store.cpp
+++ b/packages/entry/src/job_store.cpp
@@ -119,7 +119,7 @@
                 done(std::nullopt);
                 return;
             }
-            std::vector<batch::item> out;
+            std::vector<batch::item> all_items;
             for (const auto& r : *records) {
                 auto items = batch::decode_items(r.value);
                 if (!items) {
@@ -127,9 +127,9 @@
                     return;
                 }
                 std::move(items->begin(), items->end(),
-                          std::back_inserter(out));
+                          std::back_inserter(all_items));
             }
-            done(std::move(out));
+            done(std::move(all_items));
         });
 }
 
@@ -146,14 +146,14 @@
                 done(std::nullopt);
                 return;
             }
-            progress_by_item out;
+            progress_by_item progress;
             for (const auto& r : *records) {
                 // An unreadable part only loses its events.
                 if (auto part = batch::decode_progress(r.value)) {
-                    out[part->item_index].push_back(std::move(*part));
+                    progress[part->item_index].push_back(std::move(*part));
                 }
             }
-            done(std::move(out));
+            done(std::move(progress));
         });
 }
 
--- a/packages/entry/src/node_table.cpp
+++ b/packages/entry/src/node_table.cpp
@@ -69,18 +69,18 @@
         largest = std::max(largest, n->cpu_share);
         total_cpu_share += n->cpu_share;
     }
-    std::vector<const node_entry*> out;
+    std::vector<const node_entry*> large_nodes;
     double large_cpu_share = 0;
     for (const auto* n : nodes) {
         if (n->cpu_share >= large_node_cpu_share * largest) {
-            out.push_back(n);
+            large_nodes.push_back(n);
             large_cpu_share += n->cpu_share;
         }
     }
     const bool is_enough =
-        out.size() >= min_large_nodes &&
+        large_nodes.size() >= min_large_nodes &&
         large_cpu_share >= min_large_nodes_cpu_share * total_cpu_share;
-    return is_enough ? out : nodes;
+    return is_enough ? large_nodes : nodes;
 }
 
 std::vector<base::endpoint>
@@ -100,23 +100,23 @@
     if (features_.is_enabled(base::feature::roomy_nodes_first)) {
         chosen = select_large_nodes(chosen);
     }
-    std::vector<base::endpoint> out;
+    std::vector<base::endpoint> addresses;
     const auto count = std::min(chosen.size(), max_addresses);
     std::transform(chosen.begin(),
                    chosen.begin() + static_cast<std::ptrdiff_t>(count),
-                   std::back_inserter(out),
+                   std::back_inserter(addresses),
                    [](const auto* n) { return n->caller_address; });
-    return out;
+    return addresses;
 }
 
 std::vector<base::endpoint> node_table::peer_addresses() const {
-    std::vector<base::endpoint> out;
+    std::vector<base::endpoint> addresses;
     for (const auto& [name, r] : rows_) {
         if (name != own_name_ && is_alive(name, r)) {
-            out.push_back(r.entry.peer_address);
+            addresses.push_back(r.entry.peer_address);
         }
     }
-    return out;
+    return addresses;
 }
 
 } // namespace hibiscus::entry
--- a/packages/entry/test/batch_api_fuzz_test.cpp
+++ b/packages/entry/test/batch_api_fuzz_test.cpp
@@ -191,15 +191,15 @@
     }
 
     static batch::job make_submission(const expected_job& j) {
-        batch::job out;
-        out.header.id = j.id;
+        batch::job job;
+        job.header.id = j.id;
         for (int n = 0; n < j.items; ++n) {
-            batch::item i;
-            i.id = make_item_id(j.number, n);
-            i.body = make_content("body", j.number, n);
-            out.items.push_back(std::move(i));
+            batch::item item;
+            item.id = make_item_id(j.number, n);
+            item.body = make_content("body", j.number, n);
+            job.items.push_back(std::move(item));
         }
-        return out;
+        return job;
     }
 
     std::shared_ptr<test_response_writer>
@@ -229,18 +229,18 @@
         if (row == nullptr || row->has_ended) {
             return;
         }
-        std::vector<batch::ready_result> out;
+        std::vector<batch::ready_result> results;
         for (int k = 0; k <= seed % 3; ++k) {
             const int item = (seed + k) % j.items;
-            out.push_back({j.id,
-                           item,
-                           {make_item_id(j.number, item),
-                            batch::item_outcome::succeeded,
-                            make_content("text", j.number, item),
-                            {1},
-                            "s"}});
+            results.push_back({j.id,
+                               item,
+                               {make_item_id(j.number, item),
+                                batch::item_outcome::succeeded,
+                                make_content("text", j.number, item),
+                                {1},
+                                "s"}});
         }
-        nodes_[n]->commit_results(std::move(out));
+        nodes_[n]->commit_results(std::move(results));
     }
 
     void read_results(std::size_t n, expected_job& j, std::size_t after,
--- a/packages/entry/test/batch_api_test.cpp
+++ b/packages/entry/test/batch_api_test.cpp
@@ -15,15 +15,15 @@
     batch_api_test() { time_.run_for(500); }
 
     static batch::job make_job(int items) {
-        batch::job out;
-        out.header.id = test_job_id;
+        batch::job job;
+        job.header.id = test_job_id;
         for (int n = 0; n < items; ++n) {
-            batch::item i;
-            i.id = batch::item_id("i" + std::to_string(n));
-            i.body = "body " + std::to_string(n);
-            out.items.push_back(std::move(i));
+            batch::item item;
+            item.id = batch::item_id("i" + std::to_string(n));
+            item.body = "body " + std::to_string(n);
+            job.items.push_back(std::move(item));
         }
-        return out;
+        return job;
     }
 
     /// Stores a job with `items` items of which only the first `stored_items`
@@ -53,11 +53,11 @@
 
     template <class Call>
     transport::outbound_response call_and_wait(Call call) {
-        transport::outbound_response out{0, {}, ""};
+        transport::outbound_response response{0, {}, ""};
         call(std::make_shared<test_response_writer>(
-            [&](const auto& r) { out = r; }));
+            [&](const auto& r) { response = r; }));
         time_.run_for(3000);
-        return out;
+        return response;
     }
 
     testing::virtual_scheduler time_;
--- a/packages/entry/test/faulty_server.hpp
+++ b/packages/entry/test/faulty_server.hpp
@@ -50,8 +50,8 @@
     static_cast<int>(server_behavior::is_wrong_server) + 1;
 
 /// Returns true if a stream must be complete when the server behaves like this.
-inline bool must_complete_stream(server_behavior c) {
-    return c <= server_behavior::resets_idle_connection;
+inline bool must_complete_stream(server_behavior behavior) {
+    return behavior <= server_behavior::resets_idle_connection;
 }
 
 /// What the servers have observed of one request.
@@ -76,12 +76,12 @@
 
 /// Returns the events of a stream after the event `after`.
 inline std::string make_events(const std::string& id, int after = 0) {
-    std::string out;
+    std::string events;
     for (int n = after + 1; n <= stream_events; ++n) {
-        out += "id: " + std::to_string(n) + "\ndata: " + id + "." +
-               std::to_string(n) + "\n\n";
+        events += "id: " + std::to_string(n) + "\ndata: " + id + "." +
+                  std::to_string(n) + "\n\n";
     }
-    return out;
+    return events;
 }
 
 /// Returns the body of a plain response.
@@ -321,16 +321,16 @@
     }
 
     static std::string encode_chunked(const std::string& body) {
-        std::string out;
+        std::string encoded;
         constexpr std::size_t chunk_bytes = 16;
         for (std::size_t offset = 0; offset < body.size();
              offset += chunk_bytes) {
             const auto part = body.substr(offset, chunk_bytes);
             char size[16];
             std::snprintf(size, sizeof size, "%zx\r\n", part.size());
-            out += size + part + "\r\n";
+            encoded += size + part + "\r\n";
         }
-        return out + "0\r\n\r\n";
+        return encoded + "0\r\n\r\n";
     }
 
     static std::string make_response(observed_request& s, const request_head& h,
--- a/packages/entry/test/forwarder_fuzz_test.cpp
+++ b/packages/entry/test/forwarder_fuzz_test.cpp
@@ -14,14 +14,14 @@
 /// Returns the server behavior for each attempt of a request. Half of the
 /// attempts get a normal response.
 std::vector<server_behavior> make_plan(int number) {
-    std::vector<server_behavior> out;
+    std::vector<server_behavior> plan;
     for (int n = 0; n < 3; ++n, number /= 37) {
         const int index = number % (2 * server_behavior_count);
-        out.push_back(index < server_behavior_count
-                          ? static_cast<server_behavior>(index)
-                          : server_behavior::responds);
+        plan.push_back(index < server_behavior_count
+                           ? static_cast<server_behavior>(index)
+                           : server_behavior::responds);
     }
-    return out;
+    return plan;
 }
 
 void send_random_request(forwarder_harness& harness, const fuzz_command& c) {
--- a/packages/entry/test/forwarder_harness.hpp
+++ b/packages/entry/test/forwarder_harness.hpp
@@ -115,16 +115,17 @@
             if (a % 11 == static_cast<int>(n) + 1) {
                 continue;
             }
-            gateway::route r;
-            r.host = "h";
-            r.path_prefix = test_routes[n].prefix;
-            r.kind = test_routes[n].kind;
-            r.resumable = test_routes[n].resumable;
-            r.max_attempts = test_routes[n].attempts;
-            const bool plain = r.kind != gateway::route_kind::streaming;
-            r.timeout_ms = plain && b % 2 == 1 ? 300 + b % 300 : 0;
-            r.services = {{make_service_name(a + static_cast<int>(n)), 1}};
-            next.routes.push_back(std::move(r));
+            gateway::route route;
+            route.host = "h";
+            route.path_prefix = test_routes[n].prefix;
+            route.kind = test_routes[n].kind;
+            route.resumable = test_routes[n].resumable;
+            route.max_attempts = test_routes[n].attempts;
+            const bool has_timeout =
+                route.kind != gateway::route_kind::streaming;
+            route.timeout_ms = has_timeout && b % 2 == 1 ? 300 + b % 300 : 0;
+            route.services = {{make_service_name(a + static_cast<int>(n)), 1}};
+            next.routes.push_back(std::move(route));
         }
         state_.configuration = std::move(next);
     }
@@ -262,11 +263,11 @@
     }
 
     int total_sends() const {
-        int out = 0;
+        int total = 0;
         for (const auto& [id, s] : observed_) {
-            out += s.send_count;
+            total += s.send_count;
         }
-        return out;
+        return total;
     }
 
     bool has_busy_callers() const {
@@ -295,15 +296,15 @@
 
     static std::string describe(const observed_request& s,
                                 const sent_request& sent) {
-        std::string out = sent.route.prefix;
-        out += " " + sent.result->error;
-        out += " status " + std::to_string(sent.result->status) + ", sends " +
-               std::to_string(s.send_count) + ", runs " +
-               std::to_string(s.run_count) + ", plan";
-        for (const auto c : s.behaviors) {
-            out += " " + std::to_string(static_cast<int>(c));
+        std::string text = sent.route.prefix;
+        text += " " + sent.result->error;
+        text += " status " + std::to_string(sent.result->status) + ", sends " +
+                std::to_string(s.send_count) + ", runs " +
+                std::to_string(s.run_count) + ", plan";
+        for (const auto behavior : s.behaviors) {
+            text += " " + std::to_string(static_cast<int>(behavior));
         }
-        return out;
+        return text;
     }
 
     static std::string check(const std::string& id, const observed_request& s,
