--- a/packages/entry/src/forwarder.cpp
+++ b/packages/entry/src/forwarder.cpp
@@ -12,10 +12,11 @@
 
 namespace {
 
-/// Minimum time for one attempt before another server is tried, in ms, and the
-/// multiple of the mean response time of the server that an attempt may take. A
+/// Minimum timeout of an attempt after which another server is tried, in ms. A
 /// server takes 25 to 80 ms for a request, and up to 600 ms for the longest.
 constexpr base::millis min_attempt_timeout_ms = 250;
+
+/// Timeout of an attempt as a multiple of the mean response time of the server.
 constexpr base::millis attempt_timeout_factor = 6;
 
 /// Timeout for opening a connection, in ms. Within a region a connection opens
--- a/packages/entry/src/forwarder.hpp
+++ b/packages/entry/src/forwarder.hpp
@@ -13,9 +13,9 @@
 
 /// A request to be forwarded to a service.
 struct forward_request {
-    /// Request id and kind of the request for logs and metrics, such as
-    /// "request" or "reward".
+    /// The request id, for logs.
     std::string id;
+    /// The kind of the request for logs and metrics: "request" or "reward".
     const char* kind = "request";
     transport::upstream_request http_request;
     samplers::service_name service;
--- a/packages/entry/src/job_owner_writes.cpp
+++ b/packages/entry/src/job_owner_writes.cpp
@@ -19,11 +19,11 @@
 /// More of them would only add load while the store is unreachable.
 constexpr base::millis overdue_renewal_interval_ms = 150;
 
-/// Interval between two saves of progress, in ms, and the minimum number of
-/// unsaved events of a run for it to be saved. A killed owner then loses half a
-/// second of each run.
+/// Interval between two saves of progress, in ms. A killed owner then loses
+/// half a second of each run.
 constexpr base::millis progress_save_interval_ms = 500;
 
+/// Minimum number of unsaved events of a run for its progress to be saved.
 constexpr int min_unsaved_events = 6;
 
 /// Maximum size of the texts in one commit, in bytes. This is half of what the
@@ -137,10 +137,10 @@
     auto pending = std::make_shared<pending_commits>();
     pending->commits = std::move(commits);
     pending->waiting = pending->commits.size();
-    for (const auto& l : pending->commits) {
+    for (const auto& planned : pending->commits) {
         job_store_.append_texts(
-            l.job, {l.texts_record},
-            [this, pending, job = l.job](const store::append_result& r) {
+            planned.job, {planned.texts_record},
+            [this, pending, job = planned.job](const store::append_result& r) {
                 if (base::value_if(r) == nullptr) {
                     pending->unstored.insert(job);
                 }
@@ -194,10 +194,10 @@
     }
     std::vector<store::record> records;
     records.reserve(commits.size() + 1);
-    for (const auto& l : commits) {
-        records.push_back(
-            {batch::format_key(batch::commit_key{l.job, l.position}),
-             batch::encode(l.commit)});
+    for (const auto& planned : commits) {
+        records.push_back({batch::format_key(batch::commit_key{
+                               planned.job, planned.position}),
+                           batch::encode(planned.commit)});
     }
     // Each append also renews the lease. A separate renewal would fail half of
     // the time because the end of the journal has moved.
@@ -209,12 +209,13 @@
         if (!done) {
             return;
         }
-        for (const auto& l : commits) {
-            state_.log.write("listed",
-                             {{"job", l.job},
-                              {"position", l.position},
-                              {"items", static_cast<int>(l.commit.rows.size())},
-                              {"ms", state_.clock.now() - last_commit_at_}});
+        for (const auto& planned : commits) {
+            state_.log.write(
+                "listed",
+                {{"job", planned.job},
+                 {"position", planned.position},
+                 {"items", static_cast<int>(planned.commit.rows.size())},
+                 {"ms", state_.clock.now() - last_commit_at_}});
         }
     });
 }
--- a/packages/entry/src/node_table.hpp
+++ b/packages/entry/src/node_table.hpp
@@ -40,12 +40,12 @@
     void set_store_reachable(bool reachable);
 
     /// Returns the addresses of the nodes that callers in `zone` may use: the
-    /// nodes of the zone, or all nodes if the zone has too few. If the large
-    /// nodes hold at least half of the CPU share of the selected nodes, only
-    /// these are returned. In a fleet of mostly small nodes, a megabyte of
-    /// results takes a third of a second through a node with an eighth of a
-    /// core, and each of many nodes opens connections to servers for the few
-    /// requests that it gets.
+    /// nodes of the zone, or all nodes if the zone has too few. If there are at
+    /// least four large nodes and they hold at least half of the CPU share of
+    /// the selected nodes, only these are returned. In a fleet of mostly small
+    /// nodes, a megabyte of results takes a third of a second through a node
+    /// with an eighth of a core, and each of many nodes opens connections to
+    /// servers for the few requests that it gets.
     std::vector<base::endpoint>
     caller_addresses(const base::zone_id& zone) const;
 
--- a/packages/entry/test/forwarder_harness.hpp
+++ b/packages/entry/test/forwarder_harness.hpp
@@ -238,9 +238,9 @@
                     std::shared_ptr<transport::response_writer> response) {
         const auto parsed = adapter::parse_client_request(request);
         const auto& call = std::get<adapter::routed_request>(parsed);
-        const auto* r = gateway::find_route(*state_.configuration, call.host,
-                                            request.target);
-        if (r == nullptr) {
+        const auto* route = gateway::find_route(*state_.configuration,
+                                                call.host, request.target);
+        if (route == nullptr) {
             response->send(adapter::status_response(404));
             return;
         }
@@ -250,15 +250,17 @@
         f.http_request.target = std::move(request.target);
         f.http_request.body = std::move(request.body);
         f.http_request.fields = {{"Host", call.host}, {"Request-Id", call.id}};
-        f.service = samplers::service_name(r->services.front().service);
-        f.max_attempts = r->max_attempts;
-        f.streaming = r->kind == gateway::route_kind::streaming;
-        f.resumable = f.streaming && r->resumable;
-        f.retryable = r->kind == gateway::route_kind::idempotent || f.resumable;
-        const auto time = r->timeout_ms > 0
-                              ? std::min(call.deadline_ms, r->timeout_ms)
-                              : call.deadline_ms;
-        f.deadline = state_.clock.now() + time;
+        f.service = samplers::service_name(route->services.front().service);
+        f.max_attempts = route->max_attempts;
+        f.streaming = route->kind == gateway::route_kind::streaming;
+        f.resumable = f.streaming && route->resumable;
+        f.retryable =
+            route->kind == gateway::route_kind::idempotent || f.resumable;
+        const auto timeout_ms =
+            route->timeout_ms > 0
+                ? std::min(call.deadline_ms, route->timeout_ms)
+                : call.deadline_ms;
+        f.deadline = state_.clock.now() + timeout_ms;
         forwarder_.forward_to_caller(std::move(f), std::move(response));
     }
 
--- a/packages/entry/test/node_table_test.cpp
+++ b/packages/entry/test/node_table_test.cpp
@@ -57,8 +57,8 @@
     EXPECT_EQ(count_addresses(), 9U);
 }
 
-// Only three large nodes are left. One or two of them would get all callers of
-// the zone, and fail all of them if they fail.
+// Only three large nodes are left. They would get all callers of the zone, and
+// if they failed, so would the requests of all these callers.
 TEST_F(node_table_test, returns_all_nodes_if_few_are_large) {
     add_nodes(30, 0.12);
     add_nodes(3, 0.5);
