--- a/packages/entry/include/hibiscus/entry/settings.hpp
+++ b/packages/entry/include/hibiscus/entry/settings.hpp
@@ -27,7 +27,8 @@
     std::size_t max_append_bytes = 2097152;
     /// CPU share of this node, in cores.
     double cpu_share = 1;
-    /// Minimum time between orders of two owners to the same server, in ms.
+    /// Minimum time between load orders of two successive job owners to the
+    /// same server, in ms.
     base::millis order_lease_ms = 3000;
     /// Whether servers reject orders with a lower fencing token than the
     /// highest they have seen.
@@ -42,7 +43,7 @@
     base::millis retention_margin_ms = 60000;
     /// Time from SIGTERM to SIGKILL, in ms.
     base::millis shutdown_grace_ms = 8000;
-    /// Time after the end of a job within which the node stops starting its
+    /// Maximum time from the end of a job until the node starts no more of its
     /// items, in ms.
     base::millis cancel_deadline_ms = 3000;
     /// Enabled features. Changes take effect when the process restarts.
--- a/packages/entry/src/batch_api.cpp
+++ b/packages/entry/src/batch_api.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// Interval between two sweeps of pending calls, in ms. They are also checked
-/// after each change of the job table.
+/// Interval of the checks of pending calls for timeouts, in ms. Pending calls
+/// are also checked after each change of the job table.
 constexpr base::millis sweep_interval_ms = 50;
 
 /// Maximum time for which a call waits for a current view, in ms. The view is
@@ -24,11 +24,12 @@
 /// Delay before an append is sent again, in ms.
 constexpr base::millis append_retry_delay_ms = 50;
 
-/// Timeout of a submission without a deadline, and of the end of a job, in ms.
-constexpr base::millis default_submit_timeout_ms = 3000;
+/// Timeout of a submission without a deadline, and of a request to end a job,
+/// in ms.
+constexpr base::millis default_write_timeout_ms = 3000;
 
-/// Maximum size of the texts in one response, in bytes. A response may have one
-/// megabyte.
+/// Maximum size of the texts in one response, in bytes. A response may be at
+/// most one megabyte.
 constexpr std::size_t max_response_text_bytes = 900 * 1024;
 
 const store::partition journal_partition{adapter::journal_topic, 0};
@@ -57,7 +58,7 @@
     s->response = std::move(response);
     s->started_at = state_.clock.now();
     s->deadline = s->started_at +
-                  (deadline_ms > 0 ? deadline_ms : default_submit_timeout_ms);
+                  (deadline_ms > 0 ? deadline_ms : default_write_timeout_ms);
     if (state_.jobs.find(s->header.id) != nullptr) {
         accept(*s, "known");
         return;
@@ -74,25 +75,25 @@
 void batch_api::on_items_appended(const std::shared_ptr<submission>& s,
                                   const store::append_result& result) {
     if (std::holds_alternative<store::appended>(result)) {
-        append_header(s);
+        append_job_header(s);
     } else if (state_.jobs.find(s->header.id) != nullptr) {
         accept(*s, "seen");
     } else {
-        reject(*s, "items_not_stored");
+        fail_submission(*s, "items_not_stored");
     }
 }
 
-void batch_api::append_header(const std::shared_ptr<submission>& s) {
+void batch_api::append_job_header(const std::shared_ptr<submission>& s) {
     log_store_.append(journal_partition,
                       {{batch::format_key(batch::header_key{s->header.id}),
                         batch::encode(s->header)}},
                       nullptr, [this, s](const store::append_result& r) {
-                          on_header_appended(s, r);
+                          on_job_header_appended(s, r);
                       });
 }
 
-void batch_api::on_header_appended(const std::shared_ptr<submission>& s,
-                                   const store::append_result& result) {
+void batch_api::on_job_header_appended(const std::shared_ptr<submission>& s,
+                                       const store::append_result& result) {
     if (std::holds_alternative<store::appended>(result)) {
         accept(*s, "stored");
         return;
@@ -108,10 +109,10 @@
     }
     if (s->may_be_stored &&
         state_.clock.now() + append_retry_delay_ms < s->deadline) {
-        run_after_(append_retry_delay_ms, [this, s] { append_header(s); });
+        run_after_(append_retry_delay_ms, [this, s] { append_job_header(s); });
         return;
     }
-    reject(*s, "header_not_stored");
+    fail_submission(*s, "header_not_stored");
 }
 
 void batch_api::accept(const submission& s, const char* reason) {
@@ -127,7 +128,7 @@
     s.response->send(adapter::status_response(202));
 }
 
-void batch_api::reject(const submission& s, const char* reason) {
+void batch_api::fail_submission(const submission& s, const char* reason) {
     state_.log.write("submit",
                      {{"job", s.header.id},
                       {"ms", state_.clock.now() - s.started_at},
@@ -209,7 +210,7 @@
             send_item_body(call);
             return true;
         case pending_call_kind::job_end:
-            append_job_end(call, state_.clock.now() + default_submit_timeout_ms,
+            append_job_end(call, state_.clock.now() + default_write_timeout_ms,
                            false);
             return true;
         }
@@ -381,8 +382,9 @@
                              {{"job", call.job}, {"position", commit->first}});
             break;
         }
-        const auto skip = position - static_cast<std::size_t>(commit->first);
-        for (std::size_t n = skip; n < results->size(); ++n) {
+        const auto skipped_results =
+            position - static_cast<std::size_t>(commit->first);
+        for (std::size_t n = skipped_results; n < results->size(); ++n) {
             bytes += (*results)[n].text.size();
             if (!selected.empty() && bytes > max_response_text_bytes) {
                 break;
--- a/packages/entry/src/batch_api.hpp
+++ b/packages/entry/src/batch_api.hpp
@@ -74,10 +74,10 @@
 
     void on_items_appended(const std::shared_ptr<submission>& s,
                            const store::append_result& result);
-    void append_header(const std::shared_ptr<submission>& s);
-    void on_header_appended(const std::shared_ptr<submission>& s,
-                            const store::append_result& result);
-    void reject(const submission& s, const char* reason);
+    void append_job_header(const std::shared_ptr<submission>& s);
+    void on_job_header_appended(const std::shared_ptr<submission>& s,
+                                const store::append_result& result);
+    void fail_submission(const submission& s, const char* reason);
     void accept(const submission& s, const char* reason);
     bool try_respond(const pending_call& call);
     bool try_respond_with_results(const pending_call& call,
--- a/packages/entry/src/daemon.cpp
+++ b/packages/entry/src/daemon.cpp
@@ -34,9 +34,9 @@
 
 namespace asio = boost::asio;
 
-/// Interval between two reads of the journal at nodes that are not the owner,
-/// in ms. The owner appends up to 30 times a second, and each append would
-/// cause a read at every node, while callers poll only twice a second.
+/// Interval between two reads of the journal at nodes that are not the job
+/// owner, in ms. The owner appends up to 30 times a second, and each append
+/// would cause a read at every node, while callers poll only twice a second.
 constexpr base::millis journal_poll_interval_ms = 60;
 
 /// Maximum wait time of a journal read, in ms. The silence of an owner is
@@ -56,9 +56,9 @@
 /// ms.
 constexpr base::millis exit_margin_ms = 1200;
 
-/// Time before the end of the shutdown at which connections are closed at the
-/// latest, in ms. It is longer than most requests take.
-constexpr base::millis connection_close_ms = 2000;
+/// Time before the exit deadline at which the servers stop listening and close
+/// idle connections at the latest, in ms. It is longer than most requests take.
+constexpr base::millis close_before_exit_ms = 2000;
 
 /// Interval between two checks whether a stopping node may exit, in ms.
 constexpr base::millis shutdown_poll_interval_ms = 50;
@@ -158,14 +158,15 @@
     }
 
 private:
-    void run_after(base::millis ms, std::function<void()> f) {
+    void run_after(base::millis ms, std::function<void()> callback) {
         auto timer = std::make_shared<asio::steady_timer>(
             io_, std::chrono::milliseconds(ms));
-        timer->async_wait([timer, f = std::move(f)](const auto& error) {
-            if (!error) {
-                f();
-            }
-        });
+        timer->async_wait(
+            [timer, callback = std::move(callback)](const auto& error) {
+                if (!error) {
+                    callback();
+                }
+            });
     }
 
     std::optional<listen_error> listen() {
@@ -279,7 +280,7 @@
         const auto elapsed_ms = state_.clock.now() - shutdown_started_at_;
         const auto exit_deadline_ms =
             state_.settings.shutdown_grace_ms - exit_margin_ms;
-        const auto close_deadline_ms = exit_deadline_ms - connection_close_ms;
+        const auto close_deadline_ms = exit_deadline_ms - close_before_exit_ms;
         if (elapsed_ms >= close_deadline_ms ||
             (handed_over_ && elapsed_ms >= min_shutdown_ms)) {
             close_servers();
@@ -346,8 +347,8 @@
                 continue;
             }
             std::visit(
-                base::overloaded{[&](gateway::configuration& n) {
-                                     apply_configuration(std::move(n));
+                base::overloaded{[&](gateway::configuration& next) {
+                                     apply_configuration(std::move(next));
                                  },
                                  [&](const adapter::published_version& v) {
                                      job_owner_.on_version_published(v.model,
--- a/packages/entry/src/forwarder.cpp
+++ b/packages/entry/src/forwarder.cpp
@@ -26,8 +26,9 @@
 /// Time reserved for sending the response to the caller, in ms.
 constexpr base::millis response_margin_ms = 10;
 
-/// Time for which a server gets no requests after it has rejected one, in ms.
-constexpr base::millis refusal_backoff_ms = 60;
+/// Time for which a server gets no requests after it has rejected one or
+/// reported it as misdirected, in ms.
+constexpr base::millis rejection_backoff_ms = 60;
 
 /// Idle timeout after which a resumable stream moves to another server, in ms.
 /// It is ten times the time between two events of a healthy server, and half of
@@ -43,7 +44,7 @@
                      std::function<void(forward_result)> done,
                      std::shared_ptr<transport::response_writer> response)
         : state_(state), client_(client), request_(std::move(request)),
-          on_done_(std::move(done)), response_(std::move(response)),
+          on_done_(std::move(done)), caller_response_(std::move(response)),
           started_at_(state.clock.now()) {}
 
     void try_next_server() {
@@ -76,7 +77,7 @@
             count_request("cancelled", "");
         }
         on_done_ = nullptr;
-        response_.reset();
+        caller_response_.reset();
         if (call_) {
             call_->cancel();
             call_.reset();
@@ -134,12 +135,13 @@
     void on_head(const transport::response_head& head) {
         head_ = head;
         const auto parsed = adapter::parse_response_head(head);
-        if (request_.streaming && response_ && head.status / 100 == 2 &&
+        if (request_.streaming && caller_response_ && head.status / 100 == 2 &&
             !parsed.signature.empty()) {
             forwarding_stream_ = true;
             // A resumed stream keeps the head of the first server.
             if (!std::exchange(response_started_, true)) {
-                response_->send_head(head.status, end_to_end_headers(head));
+                caller_response_->send_head(head.status,
+                                            end_to_end_headers(head));
             }
         }
     }
@@ -148,7 +150,7 @@
         if (!forwarding_stream_) {
             body_ += data;
         } else if (!request_.resumable) {
-            response_->write(data);
+            caller_response_->write(data);
         } else {
             auto complete_events = event_assembler_.feed(data);
             if (!complete_events.last_event_id.empty()) {
@@ -156,7 +158,7 @@
             }
             if (!complete_events.bytes.empty()) {
                 events_forwarded_ = true;
-                response_->write(complete_events.bytes);
+                caller_response_->write(complete_events.bytes);
             }
         }
     }
@@ -192,7 +194,7 @@
              !request_.resumable);
         if (is_complete) {
             finished_ = true;
-            response_->finish();
+            caller_response_->finish();
             may_have_executed_ = true;
             log("stream", "whole");
             count_request("whole", "");
@@ -217,7 +219,7 @@
     /// take it for complete.
     void abort_stream() {
         finished_ = true;
-        response_->abort();
+        caller_response_->abort();
         log("stream", "cut");
         count_request("cut", "");
     }
@@ -254,7 +256,7 @@
     void on_response() {
         const auto parsed = adapter::parse_response_head(head_);
         if (parsed.not_run || parsed.misdirected) {
-            state_.samplers.block(server_, refusal_backoff_ms);
+            state_.samplers.block(server_, rejection_backoff_ms);
             log_attempt("refused");
             try_next_server();
             return;
@@ -311,7 +313,7 @@
                                 state_.clock.now() - started_at_);
         count_request(has_response ? "answered" : "given_up",
                       has_response ? std::to_string(head_.status) : "");
-        if (response_) {
+        if (caller_response_) {
             respond_to_caller(result);
         } else if (on_done_) {
             const auto done = std::exchange(on_done_, nullptr);
@@ -367,7 +369,7 @@
     transport::upstream_client& client_;
     forward_request request_;
     std::function<void(forward_result)> on_done_;
-    std::shared_ptr<transport::response_writer> response_;
+    std::shared_ptr<transport::response_writer> caller_response_;
     std::shared_ptr<transport::upstream_call> call_;
     std::set<samplers::sampler_id> tried_;
     samplers::sampler_id server_;
@@ -402,15 +404,15 @@
 void forward_attempts::respond_to_caller(const forward_result& result) {
     std::visit(base::overloaded{
                    [&](const forwarded_response& f) {
-                       response_->send(
+                       caller_response_->send(
                            {f.head.status, end_to_end_headers(f.head), f.body});
                    },
                    [&](const forward_failure& failure) {
                        if (!failure.may_have_executed) {
-                           response_->send(
+                           caller_response_->send(
                                adapter::not_run_response(retry_after_ms));
                        } else {
-                           response_->send(adapter::status_response(
+                           caller_response_->send(adapter::status_response(
                                failure.timed_out ? 504 : 502));
                        }
                    }},
--- a/packages/entry/src/forwarder.hpp
+++ b/packages/entry/src/forwarder.hpp
@@ -19,7 +19,8 @@
     const char* kind = "request";
     transport::upstream_request http_request;
     samplers::service_name service;
-    /// Maximum number of servers that the request is sent to.
+    /// Maximum number of servers to try. A resend to the same server after a
+    /// stale connection does not count.
     int max_attempts = 1;
     /// Whether the request may be executed more than once.
     bool retryable = false;
@@ -29,9 +30,9 @@
     bool resumable = false;
     /// Whether a response with a 5xx status is retried at another server.
     bool retry_server_errors = false;
-    /// Time by which the response is due, by the clock of the node.
+    /// Deadline for the response, by the clock of the node.
     base::millis deadline = 0;
-    /// Latency goal for the response, in ms.
+    /// Target latency of the response, in ms.
     base::millis latency_target_ms = 0;
 };
 
--- a/packages/entry/src/job_owner.cpp
+++ b/packages/entry/src/job_owner.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-/// Interval of the checks for waiting items and silent runs, in ms. Slots that
-/// become free are filled when the run ends, without waiting for a tick.
+/// Interval of the periodic tick of job_owner, in ms. Free slots are also
+/// filled shortly after a run ends, without waiting for a tick.
 constexpr base::millis tick_interval_ms = batch::item_scheduler::tick_ms;
 
 /// Interval between checks that each open job still uses a service of its
@@ -73,8 +73,9 @@
            age < state_.settings.cancel_deadline_ms / cancel_deadline_divisor;
 }
 
-/// Returns true if this node would know by now that a job has ended, or if the
-/// store is unreachable for all nodes, so that no job can be ended.
+/// Returns whether items may be started: the handover has not begun, and either
+/// the journal was read recently enough to have shown the end of a job, or the
+/// store is unreachable for all nodes, so that no job can have been ended.
 bool job_owner::may_start_items() const {
     return !handover_.has_begun() &&
            (is_journal_current() || store_router_.is_store_down_for_all());
@@ -117,14 +118,14 @@
     load_open_jobs();
 }
 
-void job_owner::on_owner_changed(bool gained) {
+void job_owner::on_owner_changed(bool is_owner_now) {
     const auto& owner = state_.jobs.owner();
     state_.log.write("owner",
-                     {{"mine", gained},
+                     {{"mine", is_owner_now},
                       {"node", owner ? owner->record.node.str() : ""},
                       {"fence", owner ? owner->record.fencing_token : 0},
                       {"read_to", journal_.next_offset()}});
-    if (gained) {
+    if (is_owner_now) {
         // A load order of the previous owner may still be in flight. A server
         // that does not check fencing tokens would execute it after an order of
         // this owner, so the order lease has to expire first. There is nothing
@@ -209,8 +210,8 @@
     }
 }
 
-/// Moves open jobs to a service that their routes name now. The service chosen
-/// when a job was loaded may lose its servers.
+/// Moves each open job whose service is no longer on its route, or no longer
+/// has servers with its model, to another service of the route.
 void job_owner::update_job_services() {
     const auto now = state_.clock.now();
     if (!state_.configuration ||
@@ -230,10 +231,10 @@
     const auto* route =
         gateway::find_route(*state_.configuration, header.host, header.path);
     const auto before = scheduler_.job_service(id);
-    const bool is_service_usable =
+    const bool keep_service =
         route == nullptr || (gateway::has_service(*route, before.str()) &&
                              state_.samplers.has_model(before, header.model));
-    if (is_service_usable) {
+    if (keep_service) {
         return;
     }
     const samplers::service_name new_service(
@@ -253,11 +254,11 @@
     struct job_parts {
         std::optional<std::vector<batch::item>> items;
         std::optional<job_store::progress_by_item> progress;
-        int missing = 2;
+        int pending_parts = 2;
     };
     auto loaded = std::make_shared<job_parts>();
     const auto on_part_loaded = [this, id, loaded] {
-        if (--loaded->missing > 0) {
+        if (--loaded->pending_parts > 0) {
             return;
         }
         if (!loaded->items || !loaded->progress) {
--- a/packages/entry/src/job_owner.hpp
+++ b/packages/entry/src/job_owner.hpp
@@ -59,8 +59,8 @@
         std::shared_ptr<transport::upstream_call> call;
         transport::event_stream_parser parser;
         int status = 0;
-        bool not_executed = false;
-        bool wrong_server = false;
+        bool not_run = false;
+        bool misdirected = false;
         samplers::sampler_id server;
         batch::job_id job;
         int item_index = 0;
@@ -88,7 +88,7 @@
                            std::function<void(bool)> done);
     void log_append_failure(const store::append_result& result,
                             std::size_t record_count, base::millis ms);
-    void on_owner_changed(bool gained);
+    void on_owner_changed(bool is_owner_now);
     void log_slow_items(const batch::job_id& id, const batch::job_row& row);
     void load_job(const batch::job_id& id);
     void add_loaded_job(const batch::job_id& id, std::vector<batch::item> items,
@@ -127,13 +127,14 @@
     void on_erase_finished(const batch::job_id& id, bool erased);
     void erase_progress(const batch::job_id& id);
     void order_weight_loads();
-    void request_report(
+    void request_server_status(
         const samplers::sampler_id& id,
         std::function<void(const std::optional<adapter::server_report>&)> done);
     void on_load_done(const samplers::sampler_id& id,
                       const adapter::server_report& report);
-    void on_order_report(const samplers::load_order& order,
-                         const std::optional<adapter::server_report>& report);
+    void
+    on_status_before_order(const samplers::load_order& order,
+                           const std::optional<adapter::server_report>& report);
     void send_load_order(const samplers::load_order& order,
                          std::int64_t after_orders);
     void call_server(const samplers::sampler_id& id,
@@ -162,7 +163,7 @@
     std::map<std::uint64_t, std::shared_ptr<active_forward>> active_rewards_;
     std::uint64_t last_reward_number_ = 0;
     std::int64_t renewals_ = 0;
-    std::uint64_t text_key_counter_ = 0;
+    std::uint64_t last_texts_record_number_ = 0;
     base::node_id previous_owner_;
     /// Keys of the progress records that this owner has saved, by open job.
     std::map<batch::job_id, std::vector<std::string>> progress_keys_;
--- a/packages/entry/src/job_owner_orders.cpp
+++ b/packages/entry/src/job_owner_orders.cpp
@@ -18,7 +18,7 @@
         return;
     }
     for (const auto& id : rollout_.take_due_checks()) {
-        request_report(id, [this, id](const auto& report) {
+        request_server_status(id, [this, id](const auto& report) {
             if (report && !report->busy) {
                 on_load_done(id, *report);
             }
@@ -28,13 +28,13 @@
         rollout_.set_wanted_slots(model, slots);
     }
     for (const auto& order : rollout_.take_due_orders(state_.samplers)) {
-        request_report(order.sampler, [this, order](const auto& report) {
-            on_order_report(order, report);
+        request_server_status(order.sampler, [this, order](const auto& report) {
+            on_status_before_order(order, report);
         });
     }
 }
 
-void job_owner::request_report(
+void job_owner::request_server_status(
     const samplers::sampler_id& id,
     std::function<void(const std::optional<adapter::server_report>&)> done) {
     call_server(id, adapter::make_report_request(),
@@ -56,7 +56,7 @@
 
 /// Sends the order on the condition that the server has accepted as many orders
 /// as it reports, so that no other order comes in between.
-void job_owner::on_order_report(
+void job_owner::on_status_before_order(
     const samplers::load_order& order,
     const std::optional<adapter::server_report>& report) {
     if (!report || !is_owner() || !is_journal_current() ||
--- a/packages/entry/src/job_owner_reports.cpp
+++ b/packages/entry/src/job_owner_reports.cpp
@@ -8,9 +8,9 @@
 /// Interval between two reports on waiting items, in ms.
 constexpr base::millis wait_report_interval_ms = 1000;
 
-/// Items that have waited for less than this time are not reported, in ms. At
-/// first a step has more items than there are slots, and loading weights takes
-/// about as long.
+/// Minimum wait of an item to be reported, in ms. At the start of a step, waits
+/// of about a second are normal: there are more items than slots, and servers
+/// are still loading weights.
 constexpr base::millis long_wait_threshold_ms = 1000;
 
 } // namespace
--- a/packages/entry/src/job_owner_runs.cpp
+++ b/packages/entry/src/job_owner_runs.cpp
@@ -75,8 +75,8 @@
         }
         const auto parsed = adapter::parse_response_head(head);
         found->second.status = parsed.status;
-        found->second.not_executed = parsed.not_run;
-        found->second.wrong_server = parsed.misdirected;
+        found->second.not_run = parsed.not_run;
+        found->second.misdirected = parsed.misdirected;
         if (parsed.status == 200 && parsed.first_weight_version) {
             apply_effects(scheduler_.on_response_started(
                 run_id, *parsed.first_weight_version));
@@ -125,10 +125,10 @@
     if (active.status == 200) {
         return batch::run_outcome::complete;
     }
-    if (active.wrong_server) {
+    if (active.misdirected) {
         return batch::run_outcome::other_server;
     }
-    if (active.not_executed) {
+    if (active.not_run) {
         return batch::run_outcome::not_run;
     }
     if (active.status == 422) {
@@ -243,16 +243,17 @@
         active_rewards_.erase(number);
         const auto outcome = std::visit(
             base::overloaded{
-                [&](const forwarded_response& request)
+                [&](const forwarded_response& response)
                     -> batch::reward_outcome {
-                    if (request.head.status / 100 == 2) {
-                        return batch::reward_score{request.signature};
+                    if (response.head.status / 100 == 2) {
+                        return batch::reward_score{response.signature};
                     }
-                    return batch::reward_failure{request.failed_attempts,
+                    return batch::reward_failure{response.failed_attempts,
                                                  attempts};
                 },
-                [&](const forward_failure& n) -> batch::reward_outcome {
-                    return batch::reward_failure{n.failed_attempts, attempts};
+                [&](const forward_failure& failure) -> batch::reward_outcome {
+                    return batch::reward_failure{failure.failed_attempts,
+                                                 attempts};
                 }},
             result);
         apply_effects(
--- a/packages/entry/src/job_owner_writes.cpp
+++ b/packages/entry/src/job_owner_writes.cpp
@@ -165,7 +165,8 @@
     return batch::plan_commits(
         state_.jobs, scheduler_.ready_results(max_commit_bytes, excluded),
         state_.settings.max_record_bytes / record_fill_divisor, [this] {
-            return incarnation_ + "-" + std::to_string(++text_key_counter_);
+            return incarnation_ + "-" +
+                   std::to_string(++last_texts_record_number_);
         });
 }
 
--- a/packages/entry/src/job_store.cpp
+++ b/packages/entry/src/job_store.cpp
@@ -12,7 +12,8 @@
 
 namespace {
 
-/// Larger than any job: reads without a size limit.
+/// Size limit for reads that must return all records of a job, in bytes; larger
+/// than any job.
 constexpr std::size_t unlimited_bytes = std::size_t{1} << 40U;
 
 /// Consecutive appends to one partition.
@@ -148,7 +149,7 @@
             }
             progress_by_item progress;
             for (const auto& r : *records) {
-                // An unreadable part only loses its events.
+                // Skips a part that can't be decoded; only its events are lost.
                 if (auto part = batch::decode_progress(r.value)) {
                     progress[part->item_index].push_back(std::move(*part));
                 }
--- a/packages/entry/src/node_directory.cpp
+++ b/packages/entry/src/node_directory.cpp
@@ -11,9 +11,9 @@
 /// Interval between two renewals of the own record, in ms.
 constexpr base::millis renew_interval_ms = 500;
 
-/// Interval between two reads of the records, in ms. Each renewal wakes all
-/// readers. Nodes that read again at once would all send as many reads as the
-/// store can answer, many thousand a second together.
+/// Interval between two reads of the records, in ms. Each renewal completes the
+/// pending reads of all nodes. If they read again at once, the nodes together
+/// would send many thousand reads a second and saturate the store.
 constexpr base::millis poll_interval_ms = 400;
 
 } // namespace
--- a/packages/entry/src/node_table.cpp
+++ b/packages/entry/src/node_table.cpp
@@ -42,7 +42,8 @@
 
 void node_table::set_store_reachable(bool reachable) {
     store_reachable_ = reachable;
-    (reachable ? store_reachable_since_ : store_lost_at_) = clock_.now();
+    (reachable ? store_reachable_since_ : store_unreachable_since_) =
+        clock_.now();
 }
 
 bool node_table::is_alive(const std::string& name, const row& r) const {
@@ -58,7 +59,8 @@
     }
     const bool renewals_delayed =
         !store_reachable_ || now - store_reachable_since_ < entry_ttl_ms;
-    return renewals_delayed && store_lost_at_ - r.renewed_at < entry_ttl_ms;
+    return renewals_delayed &&
+           store_unreachable_since_ - r.renewed_at < entry_ttl_ms;
 }
 
 std::vector<const node_entry*>
--- a/packages/entry/src/node_table.hpp
+++ b/packages/entry/src/node_table.hpp
@@ -14,7 +14,7 @@
 /// The record in which a node announces itself.
 struct node_entry {
     base::endpoint caller_address;
-    /// The address for calls of other nodes.
+    /// Address on which the node accepts calls from other nodes.
     base::endpoint peer_address;
     base::zone_id zone;
     bool stopping = false;
@@ -36,7 +36,8 @@
     /// Called when the store becomes reachable or unreachable. Renewals go
     /// through the store, so during an outage, and for a short time after it, a
     /// node counts as alive if it was alive when the outage began. A node that
-    /// had expired before stays omitted, because its address leads nowhere.
+    /// had expired before stays omitted, because nothing listens at its address
+    /// any more.
     void set_store_reachable(bool reachable);
 
     /// Returns the addresses of the nodes that callers in `zone` may use: the
@@ -49,7 +50,7 @@
     std::vector<base::endpoint>
     caller_addresses(const base::zone_id& zone) const;
 
-    /// Returns the addresses at which other nodes accept calls of nodes.
+    /// Returns the peer addresses of all other nodes that are alive.
     std::vector<base::endpoint> peer_addresses() const;
 
 private:
@@ -68,7 +69,7 @@
     std::map<std::string, row> rows_;
     bool store_reachable_ = false;
     base::millis store_reachable_since_ = 0;
-    base::millis store_lost_at_ = 0;
+    base::millis store_unreachable_since_ = 0;
 };
 
 } // namespace hibiscus::entry
--- a/packages/entry/src/store_monitor.cpp
+++ b/packages/entry/src/store_monitor.cpp
@@ -41,9 +41,10 @@
                : std::vector<base::endpoint>();
 }
 
-/// Cancels the calls to the store itself. An owner that briefly loses the store
-/// keeps its jobs if its reads and appends go through another node before
-/// others claim the lease. Hanging calls would delay them by a second.
+/// Cancels the calls that were sent directly to the store, so that they are
+/// repeated through another node at once instead of after their timeout of a
+/// second. The job owner can then renew its lease before another node claims
+/// it.
 void store_monitor::cancel_direct_calls() {
     if (!state_.settings.features.is_enabled(
             base::feature::give_up_silent_store)) {
@@ -70,10 +71,10 @@
     run_after_(check_interval_ms, [this] { check_store(); });
 }
 
-/// Probes the store directly. Once it responds, cancels all calls that were
-/// sent before the probe and have no response: a store that was silent no
-/// longer answers them, and reads and appends would block all trainers for up
-/// to another second.
+/// Probes the store directly. Once the probe succeeds, cancels all calls sent
+/// before it. A store that was silent does not respond to calls from that time;
+/// each would block reads and appends, and with them all trainers, for up to
+/// another second.
 void store_monitor::probe() {
     const auto started_at = state_.clock.now();
     adapter::probe_store(
--- a/packages/entry/test/batch_api_fuzz_test.cpp
+++ b/packages/entry/test/batch_api_fuzz_test.cpp
@@ -245,14 +245,14 @@
 
     void read_results(std::size_t n, expected_job& j, std::size_t after,
                       base::millis wait) {
-        const auto known_results = j.delivered_results.size();
+        const auto known_result_count = j.delivered_results.size();
         const bool was_accepted = j.accepted;
         nodes_[n]->api().read_results(
             {j.id, after, wait},
-            make_response_writer([this, &j, after, known_results,
+            make_response_writer([this, &j, after, known_result_count,
                                   was_accepted](const response& r) {
                 if (was_accepted && j.is_retained(time_.now())) {
-                    check_read(j, after, known_results, r);
+                    check_read(j, after, known_result_count, r);
                 }
             }));
     }
@@ -260,16 +260,16 @@
     /// Reads new results at one node, then reads them again at another node at
     /// once.
     void read_at_two_nodes(std::size_t n, expected_job& j) {
-        const auto known_results = j.delivered_results.size();
-        read_results(n, j, known_results, wait_ms);
+        const auto known_result_count = j.delivered_results.size();
+        read_results(n, j, known_result_count, wait_ms);
         time_.run_for(second_read_delay_ms);
-        if (j.delivered_results.size() > known_results) {
-            read_results((n + 1) % node_count, j, known_results, 0);
+        if (j.delivered_results.size() > known_result_count) {
+            read_results((n + 1) % node_count, j, known_result_count, 0);
         }
     }
 
     void check_read(expected_job& j, std::size_t after,
-                    std::size_t known_results, const response& r) {
+                    std::size_t known_result_count, const response& r) {
         if (r.status == 404) {
             fail(j.id.str() + " was not found");
         }
@@ -280,7 +280,7 @@
         if (body.at("total") != j.items) {
             fail(j.id.str() + " has a wrong number of items");
         }
-        if (body.at("results").empty() && after < known_results) {
+        if (body.at("results").empty() && after < known_result_count) {
             fail(j.id.str() + " has no results at delivered position " +
                  std::to_string(after));
         }
--- a/packages/entry/test/batch_node.hpp
+++ b/packages/entry/test/batch_node.hpp
@@ -130,7 +130,8 @@
         }
         auto plan =
             batch::plan_commits(state_.jobs, std::move(results), 512, [this] {
-                return incarnation_ + "-" + std::to_string(++text_key_counter_);
+                return incarnation_ + "-" +
+                       std::to_string(++last_texts_record_number_);
             });
         if (plan.empty()) {
             return;
@@ -238,7 +239,7 @@
     std::string incarnation_;
     batch::owner_lease lease_;
     std::int64_t renewals_ = 0;
-    int text_key_counter_ = 0;
+    int last_texts_record_number_ = 0;
     bool appending_ = false;
     bool committing_ = false;
 };
--- a/packages/entry/test/faulty_server.hpp
+++ b/packages/entry/test/faulty_server.hpp
@@ -20,7 +20,8 @@
 
 namespace hibiscus::testing {
 
-/// The behavior of a faulty server at one request.
+/// The behavior of a faulty server at one request. The order matters: a stream
+/// must be complete for all values up to resets_idle_connection.
 enum class server_behavior {
     responds,
     responds_chunked,
@@ -35,7 +36,7 @@
     resets_before_reading,
     resets_after_run,
     resets_in_response,
-    resets_in_unsized_response,
+    resets_in_response_without_length,
     truncates_response,
     never_responds,
     sends_garbage,
@@ -54,11 +55,12 @@
     return behavior <= server_behavior::resets_idle_connection;
 }
 
-/// What the servers have observed of one request.
+/// The planned behavior of the servers for one request, and what they have
+/// observed of it.
 struct observed_request {
     std::string body;
     bool streamed = false;
-    std::vector<server_behavior> behaviors;
+    std::vector<server_behavior> planned_behaviors;
     int send_count = 0;
     /// Requests on reused connections that ended before a response.
     int lost_send_count = 0;
@@ -84,7 +86,7 @@
     return events;
 }
 
-/// Returns the body of a plain response.
+/// Returns the body of a response that is not streamed.
 inline std::string make_plain_body(const std::string& id) {
     return "answer to " + id + std::string(200, '.');
 }
@@ -237,10 +239,11 @@
 
     /// Returns the behavior planned for the next send of a request.
     static server_behavior next_behavior(const observed_request& s) {
-        return s.behaviors.empty()
+        return s.planned_behaviors.empty()
                    ? server_behavior::responds
-                   : s.behaviors[static_cast<std::size_t>(s.send_count) %
-                                 s.behaviors.size()];
+                   : s.planned_behaviors[static_cast<std::size_t>(
+                                             s.send_count) %
+                                         s.planned_behaviors.size()];
     }
 
     static void record_send(const connection_ptr& c, observed_request& s,
@@ -281,7 +284,7 @@
             reset(c);
             return false;
         case server_behavior::resets_in_response:
-        case server_behavior::resets_in_unsized_response:
+        case server_behavior::resets_in_response_without_length:
             send(c, response.substr(0, cut_offset),
                  [this, c] { reset_later(c); });
             return true;
@@ -362,7 +365,7 @@
         head += behavior == server_behavior::omits_response_stamp ? ""
                                                                   : stamp_field;
         if (behavior == server_behavior::responds_without_length ||
-            behavior == server_behavior::resets_in_unsized_response) {
+            behavior == server_behavior::resets_in_response_without_length) {
             return head + "\r\n" + body;
         }
         if (behavior == server_behavior::responds_and_closes) {
--- a/packages/entry/test/forwarder_harness.hpp
+++ b/packages/entry/test/forwarder_harness.hpp
@@ -140,7 +140,7 @@
         const auto id = "r" + std::to_string(observed_.size());
         auto& s = observed_[id];
         s.streamed = route.kind == gateway::route_kind::streaming;
-        s.behaviors = std::move(plan);
+        s.planned_behaviors = std::move(plan);
         s.body =
             id + std::string(body_bytes,
                              static_cast<char>('a' + observed_.size() % 26));
@@ -303,7 +303,7 @@
         text += " status " + std::to_string(sent.result->status) + ", sends " +
                 std::to_string(s.send_count) + ", runs " +
                 std::to_string(s.run_count) + ", plan";
-        for (const auto behavior : s.behaviors) {
+        for (const auto behavior : s.planned_behaviors) {
             text += " " + std::to_string(static_cast<int>(behavior));
         }
         return text;
