--- a/packages/entry/src/batch_api.hpp
+++ b/packages/entry/src/batch_api.hpp
@@ -16,32 +16,35 @@
 
 namespace hibiscus::entry {
 
-/// What a call about a job waits for.
+/// The kind of a pending call.
 enum class pending_call_kind { results, item_body, job_end };
 
-/// Answers the calls about batch jobs, at any node, from the ledger that it
-/// reads. What it can't be sure of it does not deny: "no such job" and
-/// "nothing yet" need a view that was current after the call came.
+/// Serves the batch job calls at any node from the job table, which follows the
+/// journal. It never denies what it can't be sure of: "no such job" and "no
+/// results yet" need a view of the journal that became current after the call
+/// was received.
 class batch_api {
 public:
-    batch_api(node_state& state, const store::log_store& store,
-              store::partition_watcher& journal, const job_store& files,
-              store::run_after_function after);
+    batch_api(node_state& state, const store::log_store& log_store,
+              store::partition_watcher& journal, const job_store& stored_jobs,
+              store::run_after_function run_after);
 
-    /// Starts to look after calls that wait.
+    /// Starts the periodic sweep of pending calls.
     void start();
 
-    /// A job was submitted. `deadline_ms` is the caller's patience.
+    /// Stores a job. `deadline_ms` is the time for which the caller waits; 0
+    /// selects a default.
     void submit(batch::job job, base::millis deadline_ms,
-                std::shared_ptr<transport::response_writer> caller);
-    void read_results(const adapter::results_request& call,
-                      std::shared_ptr<transport::response_writer> caller);
-    void read_item_body(const adapter::item_body_request& call,
-                        std::shared_ptr<transport::response_writer> caller);
-    void end_job(const adapter::end_job_request& call,
-                 std::shared_ptr<transport::response_writer> caller);
-
-    /// The ledger has changed: calls that wait may have their answer.
+                std::shared_ptr<transport::response_writer> response);
+    void read_results(const adapter::results_request& request,
+                      std::shared_ptr<transport::response_writer> response);
+    void read_item_body(const adapter::item_body_request& request,
+                        std::shared_ptr<transport::response_writer> response);
+    void end_job(const adapter::end_job_request& request,
+                 std::shared_ptr<transport::response_writer> response);
+
+    /// Called after the job table has changed. Responds to pending calls that
+    /// can be completed now.
     void on_jobs_changed();
 
 private:
@@ -52,9 +55,9 @@
         base::millis deadline = 0;
         std::shared_ptr<transport::response_writer> response;
     };
-    /// What this node has told callers of a job.
+    /// What this node has delivered to callers of a job.
     struct delivered_results {
-        /// The position behind the last result.
+        /// The position after the last delivered result.
         std::size_t next_position = 0;
         base::millis delivered_at = 0;
     };
@@ -64,38 +67,40 @@
         batch::item_id item;
         std::size_t from_position = 0;
         base::millis received_at = 0;
-        /// Until then it waits for a result.
+        /// Time until which the call waits for results.
         base::millis wait_until = 0;
         std::shared_ptr<transport::response_writer> response;
     };
 
     void on_items_appended(const std::shared_ptr<submission>& s,
                            const store::append_result& result);
-    void append_header(const std::shared_ptr<submission>& s);
-    void on_header_appended(const std::shared_ptr<submission>& s,
-                            const store::append_result& result);
-    void reject(const submission& s, const char* reason);
+    void append_job_header(const std::shared_ptr<submission>& s);
+    void on_job_header_appended(const std::shared_ptr<submission>& s,
+                                const store::append_result& result);
+    void fail_submission(const submission& s, const char* reason);
     void accept(const submission& s, const char* reason);
-    bool try_response(const pending_call& w);
-    bool try_response_read(const pending_call& w, const batch::job_row& row);
-    void load_results(const pending_call& w, const batch::job_row& row);
-    void send_results(const pending_call& w,
+    bool try_respond(const pending_call& call);
+    bool try_respond_with_results(const pending_call& call,
+                                  const batch::job_row& row);
+    void load_results(const pending_call& call, const batch::job_row& row);
+    void send_results(const pending_call& call,
                       const std::optional<std::vector<store::record>>& texts);
-    void send_item_body(const pending_call& w);
-    void reject_unavailable(const pending_call& w, const char* reason,
+    void send_item_body(const pending_call& call);
+    void reject_unavailable(const pending_call& call, const char* reason,
                             int records = 0);
-    void send_job_not_found(const pending_call& w);
-    void send_item_not_found(const pending_call& w, const batch::job_row& row,
-                             int items);
-    void send_empty_results(const pending_call& w, const batch::job_row& row);
-    void log_not_found(const char* event, const pending_call& w,
+    void send_job_not_found(const pending_call& call);
+    void send_item_not_found(const pending_call& call,
+                             const batch::job_row& row, int items);
+    void send_empty_results(const pending_call& call,
+                            const batch::job_row& row);
+    void log_not_found(const char* event, const pending_call& call,
                        const batch::job_row* row, int items);
     void record_delivery(const batch::job_id& job, std::size_t next);
-    void append_job_end(const pending_call& w, base::millis due,
-                        bool stored_maybe);
+    void append_job_end(const pending_call& call, base::millis deadline,
+                        bool may_be_stored);
     bool is_view_current_since(base::millis time) const;
     void sweep_pending_calls();
-    void response_or_queue(pending_call w);
+    void respond_or_enqueue(pending_call call);
 
     node_state& state_;
     const store::log_store& log_store_;
--- a/packages/entry/src/daemon.cpp
+++ b/packages/entry/src/daemon.cpp
@@ -34,48 +34,50 @@
 
 namespace asio = boost::asio;
 
-/// How often nodes that don't own the jobs read the journal while there is
-/// something new, in ms. The owner appends up to 30 times a second, and each
-/// would be one read of every node; callers ask twice a second.
+/// Interval between two reads of the journal at nodes that are not the job
+/// owner, in ms. The owner appends up to 30 times a second, and each append
+/// would cause a read at every node, while callers poll only twice a second.
 constexpr base::millis journal_poll_interval_ms = 60;
 
-/// How long a read of the journal waits, in ms. An owner's silence shows only
-/// in reads that have ended, so that this adds to the time of a takeover.
+/// Maximum wait time of a journal read, in ms. The silence of an owner is
+/// noticed only when a read has completed, so this adds to the time of a
+/// takeover.
 constexpr base::millis journal_read_wait_ms = 150;
 
-/// How often held log lines are written, in ms.
+/// Interval between two writes of buffered log lines, in ms.
 constexpr base::millis log_flush_interval_ms = 200;
 
-/// How long a node serves on after SIGTERM at least, in ms: callers keep an
-/// answer of the directory for two seconds, and some connect a little later.
+/// Minimum time for which a node still serves requests after SIGTERM, in ms.
+/// Callers cache a response of the directory for two seconds, and some connect
+/// a little later.
 constexpr base::millis min_shutdown_ms = 3000;
 
-/// The part of the grace period that is left for the exit itself, in ms.
+/// Part of the grace period that is reserved for the exit of the process, in
+/// ms.
 constexpr base::millis exit_margin_ms = 1200;
 
-/// How long before the end of a stop connections are closed at the latest, in
-/// ms: longer than most requests take.
-constexpr base::millis connection_close_ms = 2000;
+/// Time before the exit deadline at which the servers stop listening and close
+/// idle connections at the latest, in ms. It is longer than most requests take.
+constexpr base::millis close_before_exit_ms = 2000;
 
-/// How often a stopping node looks whether it may exit, in ms.
+/// Interval between two checks whether a stopping node may exit, in ms.
 constexpr base::millis shutdown_poll_interval_ms = 50;
 
-/// How long callers keep an answer of the directory, in seconds. Longer ones
-/// would send callers to nodes that are gone.
+/// Time for which callers cache a response of the directory, in seconds. A
+/// longer time would send callers to nodes that no longer exist.
 constexpr int directory_ttl_s = 2;
 
-/// How soon a caller should come back to a node that has no configuration
-/// yet, in ms.
+/// Retry-after time for callers of a node that has no configuration yet, in ms.
 constexpr base::millis startup_retry_after_ms = 300;
 
-/// How often the settings file is looked at, in ms: a kilobyte, which is read
-/// far sooner than operators need a change in force.
+/// Interval between two reads of the settings file, in ms. The file has about a
+/// kilobyte, so a read costs little.
 constexpr base::millis settings_poll_interval_ms = 2000;
 
-/// The default patience of a caller that names none, in ms.
+/// Timeout of requests without a deadline, in ms.
 constexpr base::millis default_deadline_ms = 10000;
 
-/// One entry node: wires its parts to the addresses and the store.
+/// An entry node: its components and the servers on its listen addresses.
 class entry_node {
 public:
     entry_node(const node_settings& settings, std::string path)
@@ -87,8 +89,8 @@
           store_monitor_(
               state_, client_, run_after_,
               [this] { return directory_.nodes().peer_addresses(); }),
-          log_store_(adapter::make_log_store(client_, store_monitor_.link())),
-          operator_follower_(
+          log_store_(adapter::make_log_store(client_, store_monitor_.router())),
+          operator_watcher_(
               log_store_, {adapter::operator_topic, 0}, state_.clock,
               run_after_, {},
               {[this](const auto& c) { on_operator_records(c); }, {}}),
@@ -100,29 +102,33 @@
                    return job_owner_.is_owner() ? 0 : journal_poll_interval_ms;
                }},
               {[this](const auto& c) { on_journal_changed(c); },
-               [this](bool up) { job_owner_.set_store_reachable(up); }}),
+               [this](bool reachable) {
+                   job_owner_.set_store_reachable(reachable);
+               }}),
           job_store_(log_store_, settings.partitions_per_topic,
                      {settings.max_record_bytes, settings.max_append_bytes}),
           directory_(state_, log_store_, run_after_),
           forwarder_(state_, client_),
-          job_owner_(state_, log_store_, store_monitor_.link(), journal_,
+          job_owner_(state_, log_store_, store_monitor_.router(), journal_,
                      job_store_, client_, forwarder_, run_after_),
           batch_api_(state_, log_store_, journal_, job_store_, run_after_),
           caller_server_(
               io_, {},
-              [this](auto r, auto e) {
-                  on_caller_request(std::move(r), std::move(e));
+              [this](auto request, auto response) {
+                  on_caller_request(std::move(request), std::move(response));
               },
               {adapter::request_id_header,
-               [this](const auto& cut) { on_request_aborted(cut); }}),
-          readiness_server_(
-              io_, {},
-              [this](const auto& r, auto e) { on_readiness_request(r, *e); }),
-          directory_server_(
-              io_, {},
-              [this](const auto& r, auto e) { on_directory_request(r, *e); }),
-          internal_server_(io_, {}, [this](const auto& r, auto e) {
-              on_internal_request(r, e);
+               [this](const auto& aborted) { on_request_aborted(aborted); }}),
+          readiness_server_(io_, {},
+                            [this](const auto& request, auto response) {
+                                on_readiness_request(request, *response);
+                            }),
+          directory_server_(io_, {},
+                            [this](const auto& request, auto response) {
+                                on_directory_request(request, *response);
+                            }),
+          internal_server_(io_, {}, [this](const auto& request, auto response) {
+              on_internal_request(request, response);
           }) {}
 
     std::optional<listen_error> run() {
@@ -135,7 +141,7 @@
             "start", {{"zone", state_.settings.zone},
                       {"callers", to_string(state_.settings.listen_callers)},
                       {"store", to_string(state_.settings.store)}});
-        operator_follower_.start();
+        operator_watcher_.start();
         registry_.start();
         journal_.start();
         directory_.start();
@@ -152,29 +158,30 @@
     }
 
 private:
-    void run_after(base::millis ms, std::function<void()> f) {
+    void run_after(base::millis ms, std::function<void()> callback) {
         auto timer = std::make_shared<asio::steady_timer>(
             io_, std::chrono::milliseconds(ms));
-        timer->async_wait([timer, f = std::move(f)](const auto& error) {
-            if (!error) {
-                f();
-            }
-        });
+        timer->async_wait(
+            [timer, callback = std::move(callback)](const auto& error) {
+                if (!error) {
+                    callback();
+                }
+            });
     }
 
     std::optional<listen_error> listen() {
-        const auto& c = state_.settings;
-        if (!caller_server_.listen(c.listen_callers)) {
-            return listen_error{c.listen_callers};
+        const auto& settings = state_.settings;
+        if (!caller_server_.listen(settings.listen_callers)) {
+            return listen_error{settings.listen_callers};
         }
-        if (!readiness_server_.listen(c.listen_readiness)) {
-            return listen_error{c.listen_readiness};
+        if (!readiness_server_.listen(settings.listen_readiness)) {
+            return listen_error{settings.listen_readiness};
         }
-        if (!directory_server_.listen(c.listen_directory)) {
-            return listen_error{c.listen_directory};
+        if (!directory_server_.listen(settings.listen_directory)) {
+            return listen_error{settings.listen_directory};
         }
-        if (!internal_server_.listen(c.listen_metrics)) {
-            return listen_error{c.listen_metrics};
+        if (!internal_server_.listen(settings.listen_metrics)) {
+            return listen_error{settings.listen_metrics};
         }
         return std::nullopt;
     }
@@ -197,42 +204,42 @@
         });
     }
 
-    /// Takes the bounds and the store's address from the settings file. What
-    /// the process listens on can't change while it runs; a file that can't be
-    /// read leaves the settings in force as they are.
+    /// Applies the settings that can change at run time, such as limits and the
+    /// address of the store. Listen addresses need a restart. If the file can't
+    /// be read, the current settings stay in effect.
     void reload_settings(const char* cause) {
         const auto loaded = load_node_settings(settings_path_);
-        const auto* fresh = base::value_if(loaded);
-        if (fresh == nullptr) {
+        const auto* updated = base::value_if(loaded);
+        if (updated == nullptr) {
             state_.log.write("reload", {{"cause", cause}, {"taken", false}});
             return;
         }
-        auto& now = state_.settings;
-        const bool store_moved = !(now.store == fresh->store);
-        now.order_lease_ms = fresh->order_lease_ms;
-        now.server_drain_ms = fresh->server_drain_ms;
-        now.cancel_deadline_ms = fresh->cancel_deadline_ms;
-        now.shutdown_grace_ms = fresh->shutdown_grace_ms;
-        now.result_retention_ms = fresh->result_retention_ms;
-        now.retention_margin_ms = fresh->retention_margin_ms;
-        now.servers_check_fences = fresh->servers_check_fences;
-        now.store = fresh->store;
-        if (store_moved) {
-            store_monitor_.link().set_store_address(now.store);
+        auto& current = state_.settings;
+        const bool store_address_changed = !(current.store == updated->store);
+        current.order_lease_ms = updated->order_lease_ms;
+        current.server_drain_ms = updated->server_drain_ms;
+        current.cancel_deadline_ms = updated->cancel_deadline_ms;
+        current.shutdown_grace_ms = updated->shutdown_grace_ms;
+        current.result_retention_ms = updated->result_retention_ms;
+        current.retention_margin_ms = updated->retention_margin_ms;
+        current.servers_check_fences = updated->servers_check_fences;
+        current.store = updated->store;
+        if (store_address_changed) {
+            store_monitor_.router().set_store_address(current.store);
         }
-        state_.log.write("reload",
-                         {{"cause", cause},
-                          {"taken", true},
-                          {"store_moved", store_moved},
-                          {"needs_restart", listen_addresses_differ(*fresh)}});
+        state_.log.write(
+            "reload", {{"cause", cause},
+                       {"taken", true},
+                       {"store_moved", store_address_changed},
+                       {"needs_restart", listen_addresses_differ(*updated)}});
     }
 
-    bool listen_addresses_differ(const node_settings& fresh) const {
-        const auto& now = state_.settings;
-        return !(now.listen_callers == fresh.listen_callers &&
-                 now.listen_readiness == fresh.listen_readiness &&
-                 now.listen_directory == fresh.listen_directory &&
-                 now.listen_metrics == fresh.listen_metrics);
+    bool listen_addresses_differ(const node_settings& updated) const {
+        const auto& current = state_.settings;
+        return !(current.listen_callers == updated.listen_callers &&
+                 current.listen_readiness == updated.listen_readiness &&
+                 current.listen_directory == updated.listen_directory &&
+                 current.listen_metrics == updated.listen_metrics);
     }
 
     std::string read_settings_file() const {
@@ -240,7 +247,7 @@
         return {std::istreambuf_iterator<char>(in), {}};
     }
 
-    /// The file may change without a signal.
+    /// Reloads the settings if the file has changed without a signal.
     void poll_settings_file() {
         auto text = read_settings_file();
         if (!text.empty() && text != settings_text_) {
@@ -270,14 +277,17 @@
     }
 
     void advance_shutdown() {
-        const auto since = state_.clock.now() - shutdown_started_at_;
-        const auto latest = state_.settings.shutdown_grace_ms - exit_margin_ms;
-        const auto close_by = latest - connection_close_ms;
-        if (since >= close_by || (handed_over_ && since >= min_shutdown_ms)) {
+        const auto elapsed_ms = state_.clock.now() - shutdown_started_at_;
+        const auto exit_deadline_ms =
+            state_.settings.shutdown_grace_ms - exit_margin_ms;
+        const auto close_deadline_ms = exit_deadline_ms - close_before_exit_ms;
+        if (elapsed_ms >= close_deadline_ms ||
+            (handed_over_ && elapsed_ms >= min_shutdown_ms)) {
             close_servers();
         }
-        if ((handed_over_ && are_servers_closed()) || since >= latest) {
-            finish_shutdown(since);
+        if ((handed_over_ && are_servers_closed()) ||
+            elapsed_ms >= exit_deadline_ms) {
+            finish_shutdown(elapsed_ms);
             return;
         }
         run_after(shutdown_poll_interval_ms, [this] { advance_shutdown(); });
@@ -298,16 +308,16 @@
                            [](const auto* s) { return s->is_closed(); });
     }
 
-    void finish_shutdown(base::millis took) {
+    void finish_shutdown(base::millis elapsed_ms) {
         state_.log.write(
             "stop", {{"in_flight",
                       static_cast<int>(caller_server_.requests_in_flight())},
                      {"handed_over", handed_over_},
-                     {"ms", took}});
+                     {"ms", elapsed_ms}});
         close_servers();
-        // Requests that were read may wait for their handlers' turn.
+        // Handlers of requests that were already read may still be queued.
         asio::post(io_, [this] {
-            // A server may have run what is still open.
+            // A server may have executed the requests that are still open.
             constexpr int gateway_timeout = 504;
             for (auto* s : servers()) {
                 s->fail_open_requests(gateway_timeout);
@@ -337,8 +347,8 @@
                 continue;
             }
             std::visit(
-                base::overloaded{[&](gateway::configuration& n) {
-                                     apply_configuration(std::move(n));
+                base::overloaded{[&](gateway::configuration& next) {
+                                     apply_configuration(std::move(next));
                                  },
                                  [&](const adapter::published_version& v) {
                                      job_owner_.on_version_published(v.model,
@@ -359,9 +369,10 @@
              {"before",
               state_.configuration ? state_.configuration->version : 0},
              {"routes", static_cast<int>(next.routes.size())}});
-        const auto& l = next.limits;
-        caller_server_.set_limits({l.max_header_bytes, l.max_body_bytes,
-                                   l.header_timeout_ms, l.idle_timeout_ms});
+        const auto& limits = next.limits;
+        caller_server_.set_limits(
+            {limits.max_header_bytes, limits.max_body_bytes,
+             limits.header_timeout_ms, limits.idle_timeout_ms});
         for (const auto& s : next.sampler_services) {
             state_.samplers.set_memory_tokens(samplers::service_name(s.name),
                                               s.kv_capacity_tokens);
@@ -381,18 +392,18 @@
     }
 
     void on_readiness_request(const transport::inbound_request& request,
-                              transport::response_writer& answer) {
+                              transport::response_writer& response) {
         const bool ready = adapter::is_readiness_request(request) &&
                            !state_.stopping && state_.configuration &&
                            registry_.is_loaded() && journal_.is_loaded();
-        answer.send(adapter::status_response(ready ? 200 : 503));
+        response.send(adapter::status_response(ready ? 200 : 503));
     }
 
     void on_directory_request(const transport::inbound_request& request,
-                              transport::response_writer& answer) {
+                              transport::response_writer& response) {
         const auto call = adapter::parse_resolve_request(request);
         if (!call) {
-            answer.send(adapter::status_response(404));
+            response.send(adapter::status_response(404));
             return;
         }
         auto addresses =
@@ -400,21 +411,21 @@
         if (addresses.empty() && !state_.stopping) {
             addresses.push_back(state_.settings.listen_callers);
         }
-        answer.send(adapter::resolve_response(addresses, directory_ttl_s));
+        response.send(adapter::resolve_response(addresses, directory_ttl_s));
     }
 
-    /// Answers other nodes, whose calls to the store it passes on, and the
-    /// collector of metrics.
+    /// Serves other nodes, whose calls to the store are relayed, and the
+    /// metrics collector.
     void on_internal_request(
         const transport::inbound_request& request,
-        const std::shared_ptr<transport::response_writer>& answer) {
+        const std::shared_ptr<transport::response_writer>& response) {
         if (!adapter::relay_to_store(client_, state_.settings.store, request,
-                                     answer)) {
-            send_metrics(*answer);
+                                     response)) {
+            send_metrics(*response);
         }
     }
 
-    void send_metrics(transport::response_writer& answer) {
+    void send_metrics(transport::response_writer& response) {
         const auto c = client_.counts();
         state_.counters.set("connections_opened",
                             static_cast<double>(c.connections_opened));
@@ -430,66 +441,69 @@
         state_.counters.set(
             "records_unreadable",
             static_cast<double>(state_.jobs.unreadable_records()));
-        answer.send({200,
-                     {{"Content-Type", "text/plain"}},
-                     state_.counters.serialize()});
+        response.send({200,
+                       {{"Content-Type", "text/plain"}},
+                       state_.counters.serialize()});
     }
 
-    void on_caller_request(transport::inbound_request request,
-                           std::shared_ptr<transport::response_writer> answer) {
+    void
+    on_caller_request(transport::inbound_request request,
+                      std::shared_ptr<transport::response_writer> response) {
         std::visit(base::overloaded{
                        [&](const adapter::results_request& c) {
-                           batch_api_.read_results(c, std::move(answer));
+                           batch_api_.read_results(c, std::move(response));
                        },
                        [&](const adapter::item_body_request& c) {
-                           batch_api_.read_item_body(c, std::move(answer));
+                           batch_api_.read_item_body(c, std::move(response));
                        },
                        [&](const adapter::end_job_request& c) {
-                           batch_api_.end_job(c, std::move(answer));
+                           batch_api_.end_job(c, std::move(response));
                        },
                        [&](const adapter::routed_request& c) {
                            on_routed_request(c, std::move(request),
-                                             std::move(answer));
+                                             std::move(response));
                        }},
                    adapter::parse_client_request(request));
     }
 
-    /// Tells of a request that has ended without a complete answer.
-    void on_request_aborted(const transport::aborted_request& cut) {
-        const std::string cause(base::name_of(cut.cause));
+    /// Logs a request that ended without a complete response.
+    void on_request_aborted(const transport::aborted_request& aborted) {
+        const std::string cause(base::name_of(aborted.cause));
         state_.counters.count_response("caller", "cut", cause);
-        state_.log.write("request_cut", {{"id", cut.request_id},
-                                         {"target", cut.target},
-                                         {"cause", cause},
-                                         {"age_ms", cut.age_ms},
-                                         {"answer_began", cut.response_started},
-                                         {"stopping", state_.stopping}});
+        state_.log.write("request_cut",
+                         {{"id", aborted.request_id},
+                          {"target", aborted.target},
+                          {"cause", cause},
+                          {"age_ms", aborted.age_ms},
+                          {"answer_began", aborted.response_started},
+                          {"stopping", state_.stopping}});
     }
 
-    void on_routed_request(const adapter::routed_request& call,
-                           transport::inbound_request request,
-                           std::shared_ptr<transport::response_writer> answer) {
+    void
+    on_routed_request(const adapter::routed_request& call,
+                      transport::inbound_request request,
+                      std::shared_ptr<transport::response_writer> response) {
         if (!state_.configuration) {
-            // A node that knows no configuration can't say what does not
+            // Without a configuration the node can't tell which routes do not
             // exist.
             log_rejection(call, "no_configuration");
-            answer->send(adapter::not_run_response(startup_retry_after_ms));
+            response->send(adapter::not_run_response(startup_retry_after_ms));
             return;
         }
-        const auto* r = gateway::find_route(*state_.configuration, call.host,
-                                            request.target);
-        if (r == nullptr) {
+        const auto* route = gateway::find_route(*state_.configuration,
+                                                call.host, request.target);
+        if (route == nullptr) {
             log_rejection(call, "no_route");
-            answer->send(adapter::status_response(404));
+            response->send(adapter::status_response(404));
             return;
         }
-        if (r->kind == gateway::route_kind::batch) {
-            on_submission(call, request, std::move(answer));
+        if (route->kind == gateway::route_kind::batch) {
+            on_submission(call, request, std::move(response));
             return;
         }
         forwarder_.forward_to_caller(
-            make_forward_request(call, *r, std::move(request)),
-            std::move(answer));
+            make_forward_request(call, *route, std::move(request)),
+            std::move(response));
     }
 
     void log_rejection(const adapter::routed_request& call,
@@ -505,18 +519,19 @@
 
     void on_submission(const adapter::routed_request& call,
                        const transport::inbound_request& request,
-                       std::shared_ptr<transport::response_writer> answer) {
+                       std::shared_ptr<transport::response_writer> response) {
         auto job = adapter::decode_job(request, call);
         if (!job) {
             log_rejection(call, "no_job");
-            answer->send(adapter::status_response(400));
+            response->send(adapter::status_response(400));
             return;
         }
-        batch_api_.submit(std::move(*job), call.deadline_ms, std::move(answer));
+        batch_api_.submit(std::move(*job), call.deadline_ms,
+                          std::move(response));
     }
 
     forward_request make_forward_request(const adapter::routed_request& call,
-                                         const gateway::route& r,
+                                         const gateway::route& route,
                                          transport::inbound_request request) {
         forward_request f;
         f.id = call.id;
@@ -530,33 +545,34 @@
                 f.http_request.fields.push_back(std::move(field));
             }
         }
-        f.service =
-            samplers::service_name(choose_service(r, state_.random_fraction()));
-        f.max_attempts = r.max_attempts;
-        f.streaming = r.kind == gateway::route_kind::streaming;
-        f.resumable = f.streaming && r.resumable;
-        f.retryable = r.kind == gateway::route_kind::idempotent || f.resumable;
-        auto time =
+        f.service = samplers::service_name(
+            choose_service(route, state_.random_fraction()));
+        f.max_attempts = route.max_attempts;
+        f.streaming = route.kind == gateway::route_kind::streaming;
+        f.resumable = f.streaming && route.resumable;
+        f.retryable =
+            route.kind == gateway::route_kind::idempotent || f.resumable;
+        auto timeout_ms =
             call.deadline_ms > 0 ? call.deadline_ms : default_deadline_ms;
-        if (r.timeout_ms > 0) {
-            time = std::min(time, r.timeout_ms);
+        if (route.timeout_ms > 0) {
+            timeout_ms = std::min(timeout_ms, route.timeout_ms);
         }
-        f.deadline = state_.clock.now() + time;
-        f.latency_target_ms = r.latency_target_ms;
+        f.deadline = state_.clock.now() + timeout_ms;
+        f.latency_target_ms = route.latency_target_ms;
         return f;
     }
 
     asio::io_context io_{1};
     node_state state_;
     std::string settings_path_;
-    /// The settings file as it was last read.
+    /// The content of the settings file when it was last read.
     std::string settings_text_;
     asio::signal_set signals_;
     transport::upstream_client client_;
     store::run_after_function run_after_;
     store_monitor store_monitor_;
     store::log_store log_store_;
-    store::partition_watcher operator_follower_;
+    store::partition_watcher operator_watcher_;
     server_registry registry_;
     store::partition_watcher journal_;
     job_store job_store_;
--- a/packages/entry/src/job_owner.cpp
+++ b/packages/entry/src/job_owner.cpp
@@ -10,46 +10,49 @@
 
 namespace {
 
-/// How often waiting items and silent runs are looked at, in ms. Places that
-/// fall free are filled at once by the run's end itself.
+/// Interval of the periodic tick of job_owner, in ms. Free slots are also
+/// filled shortly after a run ends, without waiting for a tick.
 constexpr base::millis tick_interval_ms = batch::item_scheduler::tick_ms;
 
-/// How often open jobs are compared with their routes, in ms.
+/// Interval between checks that each open job still uses a service of its
+/// route, in ms.
 constexpr base::millis service_update_interval_ms = 250;
 
-/// The pause before a job's items are read again, in ms.
+/// Delay before the items of a job are read again after a failure, in ms.
 constexpr base::millis load_retry_delay_ms = 100;
 
-/// Epochs of texts under way that one owner may use: it starts texts anew
-/// only where versions must not mix.
+/// Number of text epochs reserved for each owner. An owner restarts a text only
+/// where versions must not be mixed, which needs a new epoch.
 constexpr std::int64_t epochs_per_owner = 1000;
 
-/// New items start only while the store was heard within this share of the
-/// time in which the end of a job must take effect.
+/// New items start only if the journal was read within this fraction of
+/// `cancel_deadline_ms`, the time within which the end of a job must take
+/// effect.
 constexpr base::millis cancel_deadline_divisor = 2;
 
-/// How many of an ended job's slowest items are logged.
+/// Maximum number of slow items logged for an ended job.
 constexpr std::size_t max_slow_items_logged = 12;
 
 } // namespace
 
-job_owner::job_owner(node_state& state, const store::log_store& store,
-                     const store::store_router& link,
-                     store::partition_watcher& journal, const job_store& files,
-                     transport::upstream_client& client, forwarder& requests,
-                     store::run_after_function after)
-    : state_(state), log_store_(store), link_(link), journal_(journal),
-      job_store_(files), client_(client), forwarder_(requests),
-      run_after_(std::move(after)), work_(state.clock, state.samplers),
-      rollout_(state.clock),
+job_owner::job_owner(node_state& state, const store::log_store& log_store,
+                     const store::store_router& router,
+                     store::partition_watcher& journal,
+                     const job_store& stored_jobs,
+                     transport::upstream_client& client,
+                     forwarder& request_forwarder,
+                     store::run_after_function run_after)
+    : state_(state), log_store_(log_store), store_router_(router),
+      journal_(journal), job_store_(stored_jobs), client_(client),
+      forwarder_(request_forwarder), run_after_(std::move(run_after)),
+      scheduler_(state.clock, state.samplers), rollout_(state.clock),
       incarnation_(std::to_string(state.random_engine()) + "-" +
                    std::to_string(state.random_engine())),
-      ownership_(
-          state.clock, state.settings.node, incarnation_, {},
-          state.random_fraction(),
-          state.settings.features.is_enabled(base::feature::owner_by_size)
-              ? state.settings.cpu_share
-              : 1),
+      lease_(state.clock, state.settings.node, incarnation_, {},
+             state.random_fraction(),
+             state.settings.features.is_enabled(base::feature::owner_by_size)
+                 ? state.settings.cpu_share
+                 : 1),
       handover_(state.clock) {}
 
 void job_owner::start() {
@@ -57,26 +60,28 @@
 }
 
 bool job_owner::is_owner() const {
-    return !handover_.has_ended() && ownership_.is_held(state_.jobs);
+    return !handover_.has_ended() && lease_.is_held(state_.jobs);
 }
 
-void job_owner::set_store_reachable(bool up) {
-    ownership_.set_store_reachable(up);
+void job_owner::set_store_reachable(bool reachable) {
+    lease_.set_store_reachable(reachable);
 }
 
-bool job_owner::is_store_current() const {
+bool job_owner::is_journal_current() const {
     const auto age = state_.clock.now() - journal_.current_as_of();
     return journal_.is_loaded() &&
            age < state_.settings.cancel_deadline_ms / cancel_deadline_divisor;
 }
 
-/// New items start only while this node would know if their job had ended.
+/// Returns whether items may be started: the handover has not begun, and either
+/// the journal was read recently enough to have shown the end of a job, or the
+/// store is unreachable for all nodes, so that no job can have been ended.
 bool job_owner::may_start_items() const {
     return !handover_.has_begun() &&
-           (is_store_current() || link_.is_store_down_for_all());
+           (is_journal_current() || store_router_.is_store_down_for_all());
 }
 
-void job_owner::claim_ownership() {
+void job_owner::claim_lease() {
     if (appending_) {
         return;
     }
@@ -94,7 +99,7 @@
     const bool owns_now = is_owner();
     if (owns_now != was_owner_) {
         was_owner_ = owns_now;
-        on_ownership_changed(owns_now);
+        on_owner_changed(owns_now);
         return;
     }
     if (!owns_now) {
@@ -104,37 +109,40 @@
         const auto* row = state_.jobs.find(id);
         if (row != nullptr && row->has_ended) {
             log_slow_items(id, *row);
-            apply_effects(work_.remove_job(id));
+            apply_effects(scheduler_.remove_job(id));
             erase_progress(id);
         } else if (row != nullptr) {
-            apply_effects(work_.on_committed(id, row->committed_items));
+            apply_effects(scheduler_.on_committed(id, row->committed_items));
         }
     }
     load_open_jobs();
 }
 
-void job_owner::on_ownership_changed(bool mine) {
-    const auto& o = state_.jobs.owner();
-    state_.log.write("owner", {{"mine", mine},
-                               {"node", o ? o->record.node.str() : ""},
-                               {"fence", o ? o->record.fencing_token : 0},
-                               {"read_to", journal_.next_offset()}});
-    if (mine) {
-        // Another owner's order may still be under way, and a server that
-        // does not check fences would carry it out after this owner's. Where
-        // they check, and for the first owner of all and one that follows on
-        // itself, there is nothing to wait for.
-        const bool alone = o->record.fencing_token == 0 ||
-                           previous_owner_ == state_.settings.node ||
-                           state_.settings.servers_check_fences;
+void job_owner::on_owner_changed(bool is_owner_now) {
+    const auto& owner = state_.jobs.owner();
+    state_.log.write("owner",
+                     {{"mine", is_owner_now},
+                      {"node", owner ? owner->record.node.str() : ""},
+                      {"fence", owner ? owner->record.fencing_token : 0},
+                      {"read_to", journal_.next_offset()}});
+    if (is_owner_now) {
+        // A load order of the previous owner may still be in flight. A server
+        // that does not check fencing tokens would execute it after an order of
+        // this owner, so the order lease has to expire first. There is nothing
+        // to wait for if servers check the tokens, if there was no owner
+        // before, or if this node was the previous owner.
+        const bool may_order_now = owner->record.fencing_token == 0 ||
+                                   previous_owner_ == state_.settings.node ||
+                                   state_.settings.servers_check_fences;
         orders_allowed_at_ =
-            state_.clock.now() + (alone ? 0 : state_.settings.order_lease_ms);
+            state_.clock.now() +
+            (may_order_now ? 0 : state_.settings.order_lease_ms);
         rollout_.reset();
         state_.samplers.clear_all_loading();
         load_open_jobs();
         return;
     }
-    apply_effects(work_.remove_all_jobs());
+    apply_effects(scheduler_.remove_all_jobs());
     pending_rewards_.clear();
     progress_keys_.clear();
     loading_jobs_.clear();
@@ -144,56 +152,57 @@
     active_rewards_.clear();
 }
 
-/// Tells what an ended job waited for: its slowest items, one line each.
+/// Logs the timelines of the slowest items of an ended job.
 void job_owner::log_slow_items(const batch::job_id& id,
                                const batch::job_row& row) {
-    const auto lives = work_.item_timelines(id);
+    const auto timelines = scheduler_.item_timelines(id);
     const auto age = state_.clock.now() - row.first_seen_at;
     state_.counters.observe("job", age);
-    std::size_t told = 0;
-    for (const auto& l : lives) {
-        if (++told > max_slow_items_logged) {
+    std::size_t logged_count = 0;
+    for (const auto& timeline : timelines) {
+        if (++logged_count > max_slow_items_logged) {
             return;
         }
-        state_.log.write("slow_item",
-                         {{"job", id},
-                          {"step", row.header->step},
-                          {"job_ms", age},
-                          {"item", l.item_index},
-                          {"first_start_ms", l.first_start_ms},
-                          {"text_ms", l.text_complete_ms},
-                          {"ready_ms", l.ready_ms},
-                          {"runs", l.run_count},
-                          {"events", l.event_count},
-                          {"expected_tokens", l.expected_output_tokens}});
+        state_.log.write(
+            "slow_item",
+            {{"job", id},
+             {"step", row.header->step},
+             {"job_ms", age},
+             {"item", timeline.item_index},
+             {"first_start_ms", timeline.first_start_ms},
+             {"text_ms", timeline.text_complete_ms},
+             {"ready_ms", timeline.ready_ms},
+             {"runs", timeline.run_count},
+             {"events", timeline.event_count},
+             {"expected_tokens", timeline.expected_output_tokens}});
     }
 }
 
 std::optional<batch::job_options>
-job_owner::find_job_terms(const batch::job_header& header) {
+job_owner::find_job_options(const batch::job_header& header) {
     if (!state_.configuration) {
         return std::nullopt;
     }
-    const auto* r =
+    const auto* route =
         gateway::find_route(*state_.configuration, header.host, header.path);
-    if (r == nullptr) {
+    if (route == nullptr) {
         return std::nullopt;
     }
-    batch::job_options t;
-    t.service =
-        samplers::service_name(choose_service(*r, state_.random_fraction()));
-    t.max_attempts = r->max_attempts;
-    t.single_version = r->single_version;
-    t.target_ms = r->batch_target_ms;
-    t.item_expiry_ms = r->batch_item_expiry_ms;
-    return t;
+    batch::job_options options;
+    options.service = samplers::service_name(
+        choose_service(*route, state_.random_fraction()));
+    options.max_attempts = route->max_attempts;
+    options.single_version = route->single_version;
+    options.target_ms = route->batch_target_ms;
+    options.item_expiry_ms = route->batch_item_expiry_ms;
+    return options;
 }
 
-/// Takes up all open jobs that are not in work yet.
+/// Loads all open jobs that the scheduler does not have yet.
 void job_owner::load_open_jobs() {
     for (const auto& [id, row] : state_.jobs.jobs()) {
-        if (row.has_ended || !row.header || work_.has_job(id) ||
-            loading_jobs_.count(id) != 0 || !find_job_terms(*row.header)) {
+        if (row.has_ended || !row.header || scheduler_.has_job(id) ||
+            loading_jobs_.count(id) != 0 || !find_job_options(*row.header)) {
             continue;
         }
         loading_jobs_.insert(id);
@@ -201,9 +210,9 @@
     }
 }
 
-/// Open jobs go where their routes go now: the service that was chosen when
-/// they were taken up may lose its servers.
-void job_owner::update_services() {
+/// Moves each open job whose service is no longer on its route, or no longer
+/// has servers with its model, to another service of the route.
+void job_owner::update_job_services() {
     const auto now = state_.clock.now();
     if (!state_.configuration ||
         now - last_service_update_at_ < service_update_interval_ms) {
@@ -211,84 +220,87 @@
     }
     last_service_update_at_ = now;
     for (const auto& [id, row] : state_.jobs.jobs()) {
-        if (!row.has_ended && row.header && work_.has_job(id)) {
-            update_service(id, *row.header);
+        if (!row.has_ended && row.header && scheduler_.has_job(id)) {
+            update_job_service(id, *row.header);
         }
     }
 }
 
-void job_owner::update_service(const batch::job_id& id,
-                               const batch::job_header& header) {
-    const auto* r =
+void job_owner::update_job_service(const batch::job_id& id,
+                                   const batch::job_header& header) {
+    const auto* route =
         gateway::find_route(*state_.configuration, header.host, header.path);
-    const auto before = work_.job_service(id);
-    const bool stays =
-        r == nullptr || (gateway::has_service(*r, before.str()) &&
-                         state_.samplers.has_model(before, header.model));
-    if (stays) {
+    const auto before = scheduler_.job_service(id);
+    const bool keep_service =
+        route == nullptr || (gateway::has_service(*route, before.str()) &&
+                             state_.samplers.has_model(before, header.model));
+    if (keep_service) {
         return;
     }
-    const samplers::service_name to(
-        choose_service(*r, state_.random_fraction()));
-    if (to == before || !state_.samplers.has_model(to, header.model)) {
+    const samplers::service_name new_service(
+        choose_service(*route, state_.random_fraction()));
+    if (new_service == before ||
+        !state_.samplers.has_model(new_service, header.model)) {
         return;
     }
-    work_.set_job_service(id, to);
-    state_.log.write("job_moved",
-                     {{"job", id}, {"before", before}, {"service", to}});
+    scheduler_.set_job_service(id, new_service);
+    state_.log.write(
+        "job_moved",
+        {{"job", id}, {"before", before}, {"service", new_service}});
 }
 
-/// Reads a job's items and what was saved of them.
+/// Reads the items and the saved progress of a job from the store.
 void job_owner::load_job(const batch::job_id& id) {
-    struct parts {
+    struct job_parts {
         std::optional<std::vector<batch::item>> items;
         std::optional<job_store::progress_by_item> progress;
-        int missing = 2;
+        int pending_parts = 2;
     };
-    auto got = std::make_shared<parts>();
-    const auto one_done = [this, id, got] {
-        if (--got->missing > 0) {
+    auto loaded = std::make_shared<job_parts>();
+    const auto on_part_loaded = [this, id, loaded] {
+        if (--loaded->pending_parts > 0) {
             return;
         }
-        if (!got->items || !got->progress) {
+        if (!loaded->items || !loaded->progress) {
             run_after_(load_retry_delay_ms,
                        [this, id] { loading_jobs_.erase(id); });
             return;
         }
         loading_jobs_.erase(id);
-        adopt_job(id, std::move(*got->items), *got->progress);
+        add_loaded_job(id, std::move(*loaded->items), *loaded->progress);
     };
-    job_store_.load_items(id, [got, one_done](auto items) {
-        got->items = std::move(items);
-        one_done();
+    job_store_.load_items(id, [loaded, on_part_loaded](auto items) {
+        loaded->items = std::move(items);
+        on_part_loaded();
     });
-    job_store_.load_progress(id, [got, one_done](auto progress) {
-        got->progress = std::move(progress);
-        one_done();
+    job_store_.load_progress(id, [loaded, on_part_loaded](auto progress) {
+        loaded->progress = std::move(progress);
+        on_part_loaded();
     });
 }
 
-void job_owner::adopt_job(const batch::job_id& id,
-                          std::vector<batch::item> items,
-                          const job_store::progress_by_item& progress) {
+void job_owner::add_loaded_job(const batch::job_id& id,
+                               std::vector<batch::item> items,
+                               const job_store::progress_by_item& progress) {
     const auto* row = state_.jobs.find(id);
-    if (!is_owner() || row == nullptr || row->has_ended || work_.has_job(id)) {
+    if (!is_owner() || row == nullptr || row->has_ended ||
+        scheduler_.has_job(id)) {
         return;
     }
-    const auto terms = find_job_terms(*row->header);
-    if (!terms || static_cast<int>(items.size()) != row->header->item_count) {
+    const auto options = find_job_options(*row->header);
+    if (!options || static_cast<int>(items.size()) != row->header->item_count) {
         state_.log.write("job_waits",
                          {{"job", id},
                           {"items", static_cast<int>(items.size())},
-                          {"reason", terms ? "items_missing" : "no_route"}});
+                          {"reason", options ? "items_missing" : "no_route"}});
         return;
     }
-    const auto before = work_.counts();
-    const auto fence = state_.jobs.owner()->record.fencing_token;
-    apply_effects(
-        work_.add_job(*row, std::move(items), progress, *terms,
-                      static_cast<std::int64_t>(fence) * epochs_per_owner));
-    const auto& counts = work_.counts();
+    const auto before = scheduler_.counts();
+    const auto fencing_token = state_.jobs.owner()->record.fencing_token;
+    apply_effects(scheduler_.add_job(*row, std::move(items), progress, *options,
+                                     static_cast<std::int64_t>(fencing_token) *
+                                         epochs_per_owner));
+    const auto& counts = scheduler_.counts();
     state_.log.write(
         "job_taken_up",
         {{"job", id},
@@ -301,43 +313,43 @@
          {"reused", counts.reused_texts - before.reused_texts},
          {"void_events", counts.discarded_events - before.discarded_events},
          {"age_ms", state_.clock.now() - row->first_seen_at}});
-    apply_effects(work_.tick(may_start_items()));
+    apply_effects(scheduler_.tick(may_start_items()));
 }
 
 void job_owner::on_version_published(const std::string& model,
                                      std::int64_t version) {
     rollout_.announce_version(model, version);
-    work_.announce_version(model, version);
+    scheduler_.announce_version(model, version);
     state_.log.write("version_named", {{"model", model}, {"version", version}});
 }
 
 void job_owner::tick() {
     advance_handover();
     if (journal_.is_loaded() && !handover_.has_begun()) {
-        switch (ownership_.next_action(state_.jobs, journal_.current_as_of())) {
+        switch (lease_.next_action(state_.jobs, journal_.current_as_of())) {
         case batch::lease_action::none:
             break;
         case batch::lease_action::claim:
-            claim_ownership();
+            claim_lease();
             break;
         case batch::lease_action::renew:
             renew_due_ = true;
             break;
         }
     }
-    if (const auto& o = state_.jobs.owner()) {
-        previous_owner_ = is_owner() ? previous_owner_ : o->record.node;
+    if (const auto& owner = state_.jobs.owner()) {
+        previous_owner_ = is_owner() ? previous_owner_ : owner->record.node;
     }
     if (is_owner()) {
         load_open_jobs();
-        update_services();
-        apply_effects(work_.tick(may_start_items()));
+        update_job_services();
+        apply_effects(scheduler_.tick(may_start_items()));
         order_weight_loads();
         renew_if_overdue();
         commit_results();
         save_progress_if_due();
         erase_next_expired_job();
-        report_waiting_work();
+        report_waiting_items();
     }
     run_after_(tick_interval_ms, [this] { tick(); });
 }
@@ -354,8 +366,8 @@
     advance_handover();
 }
 
-/// Says in the journal that the ownership is vacant, so that the next owner
-/// need not wait for this one's silence.
+/// Marks the lease as released in the journal, so that the next owner need not
+/// wait for it to expire.
 void job_owner::advance_handover() {
     switch (handover_.next_action(is_owner(), appending_)) {
     case batch::handover_action::wait:
@@ -377,9 +389,10 @@
 }
 
 void job_owner::finish_handover() {
-    // Whatever the journal says, this process no longer acts as the owner.
+    // This process stops acting as the owner even if the release was not
+    // recorded in the journal.
     if (std::exchange(was_owner_, false)) {
-        on_ownership_changed(false);
+        on_owner_changed(false);
     }
     log_handover();
     std::exchange(on_handed_over_, nullptr)();
--- a/packages/entry/src/job_store.cpp
+++ b/packages/entry/src/job_store.cpp
@@ -12,10 +12,11 @@
 
 namespace {
 
-/// More than any job holds: a call without a bound.
+/// Size limit for reads that must return all records of a job, in bytes; larger
+/// than any job.
 constexpr std::size_t unlimited_bytes = std::size_t{1} << 40U;
 
-/// Appends to one partition that follow on each other.
+/// Consecutive appends to one partition.
 struct append_sequence : std::enable_shared_from_this<append_sequence> {
     const store::log_store& store;
     store::partition target;
@@ -62,10 +63,10 @@
 void job_store::append(const char* topic, const batch::job_id& job,
                        const std::vector<store::record>& records,
                        append_callback done) const {
-    auto series = std::make_shared<append_sequence>(
+    auto sequence = std::make_shared<append_sequence>(
         log_store_, partition_for(topic, job),
         store::split_into_appends(records, limits_), std::move(done));
-    series->append_next();
+    sequence->append_next();
 }
 
 void job_store::append_items(const batch::job_id& job,
@@ -89,19 +90,20 @@
 void job_store::erase(const batch::job_id& job,
                       std::function<void(bool)> done) const {
     struct erasing {
-        int topics = 3;
-        bool all = true;
+        int remaining_topics = 3;
+        bool all_erased = true;
     };
-    auto state = std::make_shared<erasing>();
+    auto erasure = std::make_shared<erasing>();
     for (const auto* topic : {adapter::items_topic, adapter::texts_topic,
                               adapter::progress_topic}) {
-        store::erase_prefix(log_store_, partition_for(topic, job),
-                            batch::job_prefix(job), [state, done](bool gone) {
-                                state->all = state->all && gone;
-                                if (--state->topics == 0) {
-                                    done(state->all);
-                                }
-                            });
+        store::erase_prefix(
+            log_store_, partition_for(topic, job), batch::job_prefix(job),
+            [erasure, done](bool erased) {
+                erasure->all_erased = erasure->all_erased && erased;
+                if (--erasure->remaining_topics == 0) {
+                    done(erasure->all_erased);
+                }
+            });
     }
 }
 
@@ -118,7 +120,7 @@
                 done(std::nullopt);
                 return;
             }
-            std::vector<batch::item> out;
+            std::vector<batch::item> all_items;
             for (const auto& r : *records) {
                 auto items = batch::decode_items(r.value);
                 if (!items) {
@@ -126,9 +128,9 @@
                     return;
                 }
                 std::move(items->begin(), items->end(),
-                          std::back_inserter(out));
+                          std::back_inserter(all_items));
             }
-            done(std::move(out));
+            done(std::move(all_items));
         });
 }
 
@@ -145,25 +147,25 @@
                 done(std::nullopt);
                 return;
             }
-            progress_by_item out;
+            progress_by_item progress;
             for (const auto& r : *records) {
-                // A part that can't be read only costs its events.
+                // Skips a part that can't be decoded; only its events are lost.
                 if (auto part = batch::decode_progress(r.value)) {
-                    out[part->item_index].push_back(std::move(*part));
+                    progress[part->item_index].push_back(std::move(*part));
                 }
             }
-            done(std::move(out));
+            done(std::move(progress));
         });
 }
 
 void job_store::load_texts(
-    const batch::job_id& job, int position, const std::string& texts,
-    std::size_t most_bytes,
+    const batch::job_id& job, int position, const std::string& texts_name,
+    std::size_t max_bytes,
     std::function<void(std::optional<std::vector<store::record>>)> done) const {
     store::read_prefix(log_store_, partition_for(adapter::texts_topic, job),
                        batch::job_prefix(job),
-                       batch::key_before_texts(job, position, texts),
-                       most_bytes, std::move(done));
+                       batch::key_before_texts(job, position, texts_name),
+                       max_bytes, std::move(done));
 }
 
 } // namespace hibiscus::entry
--- a/packages/entry/src/node_table.cpp
+++ b/packages/entry/src/node_table.cpp
@@ -7,26 +7,27 @@
 
 namespace {
 
-/// A node that has not renewed its entry for so long is left out, in ms:
-/// three renewals and the time of a slow store.
+/// Time without a renewal after which a node is omitted, in ms: three renewals
+/// and the delay of a slow store.
 constexpr base::millis entry_ttl_ms = 2000;
 
-/// A zone with fewer nodes than this is helped by all others: one alone may
-/// fail, and its callers would have to ask again.
+/// Callers of a zone with fewer nodes get all nodes. A single node may fail,
+/// and its callers would have to resolve again.
 constexpr std::size_t min_nodes_in_zone = 2;
 
-/// A node with this share of the processor time of the largest one is roomy.
+/// Fraction of the CPU share of the largest node from which a node counts as
+/// large.
 constexpr double large_node_cpu_share = 0.5;
 
-/// Fewer roomy nodes than this don't serve a zone alone: callers that meet one
-/// which has just failed need others to go to.
+/// Minimum number of large nodes that are returned alone. Callers of a node
+/// that has just failed need others to retry at.
 constexpr std::size_t min_large_nodes = 4;
 
-/// Roomy nodes serve alone if they have this share of the processor time of
-/// all, so that none gets more than twice its part.
+/// Minimum fraction of the total CPU share that the large nodes must have to be
+/// returned alone, so that none gets more than twice its part of the load.
 constexpr double min_large_nodes_cpu_share = 0.5;
 
-/// The most addresses that a caller takes from one answer.
+/// Maximum number of addresses in one response.
 constexpr std::size_t max_addresses = 64;
 
 } // namespace
@@ -39,9 +40,10 @@
     rows_.erase(name);
 }
 
-void node_table::set_store_reachable(bool up) {
-    store_reachable_ = up;
-    (up ? store_reachable_since_ : store_lost_at_) = clock_.now();
+void node_table::set_store_reachable(bool reachable) {
+    store_reachable_ = reachable;
+    (reachable ? store_reachable_since_ : store_unreachable_since_) =
+        clock_.now();
 }
 
 bool node_table::is_alive(const std::string& name, const row& r) const {
@@ -55,35 +57,37 @@
     if (store_reachable_ && now - r.renewed_at < entry_ttl_ms) {
         return true;
     }
-    const bool doubtful =
+    const bool renewals_delayed =
         !store_reachable_ || now - store_reachable_since_ < entry_ttl_ms;
-    return doubtful && store_lost_at_ - r.renewed_at < entry_ttl_ms;
+    return renewals_delayed &&
+           store_unreachable_since_ - r.renewed_at < entry_ttl_ms;
 }
 
 std::vector<const node_entry*>
 node_table::select_large_nodes(const std::vector<const node_entry*>& nodes) {
     double largest = 0;
-    double all_time = 0;
+    double total_cpu_share = 0;
     for (const auto* n : nodes) {
         largest = std::max(largest, n->cpu_share);
-        all_time += n->cpu_share;
+        total_cpu_share += n->cpu_share;
     }
-    std::vector<const node_entry*> out;
-    double time = 0;
+    std::vector<const node_entry*> large_nodes;
+    double large_cpu_share = 0;
     for (const auto* n : nodes) {
         if (n->cpu_share >= large_node_cpu_share * largest) {
-            out.push_back(n);
-            time += n->cpu_share;
+            large_nodes.push_back(n);
+            large_cpu_share += n->cpu_share;
         }
     }
-    const bool enough = out.size() >= min_large_nodes &&
-                        time >= min_large_nodes_cpu_share * all_time;
-    return enough ? out : nodes;
+    const bool is_enough =
+        large_nodes.size() >= min_large_nodes &&
+        large_cpu_share >= min_large_nodes_cpu_share * total_cpu_share;
+    return is_enough ? large_nodes : nodes;
 }
 
 std::vector<base::endpoint>
 node_table::caller_addresses(const base::zone_id& zone) const {
-    std::vector<const node_entry*> near;
+    std::vector<const node_entry*> zone_nodes;
     std::vector<const node_entry*> all;
     for (const auto& [name, r] : rows_) {
         if (!is_alive(name, r)) {
@@ -91,30 +95,30 @@
         }
         all.push_back(&r.entry);
         if (r.entry.zone == zone) {
-            near.push_back(&r.entry);
+            zone_nodes.push_back(&r.entry);
         }
     }
-    auto chosen = near.size() >= min_nodes_in_zone ? near : all;
+    auto chosen = zone_nodes.size() >= min_nodes_in_zone ? zone_nodes : all;
     if (features_.is_enabled(base::feature::roomy_nodes_first)) {
         chosen = select_large_nodes(chosen);
     }
-    std::vector<base::endpoint> out;
-    const auto most = std::min(chosen.size(), max_addresses);
+    std::vector<base::endpoint> addresses;
+    const auto count = std::min(chosen.size(), max_addresses);
     std::transform(chosen.begin(),
-                   chosen.begin() + static_cast<std::ptrdiff_t>(most),
-                   std::back_inserter(out),
+                   chosen.begin() + static_cast<std::ptrdiff_t>(count),
+                   std::back_inserter(addresses),
                    [](const auto* n) { return n->caller_address; });
-    return out;
+    return addresses;
 }
 
 std::vector<base::endpoint> node_table::peer_addresses() const {
-    std::vector<base::endpoint> out;
+    std::vector<base::endpoint> addresses;
     for (const auto& [name, r] : rows_) {
         if (name != own_name_ && is_alive(name, r)) {
-            out.push_back(r.entry.peer_address);
+            addresses.push_back(r.entry.peer_address);
         }
     }
-    return out;
+    return addresses;
 }
 
 } // namespace hibiscus::entry
--- a/packages/entry/test/batch_api_fuzz_test.cpp
+++ b/packages/entry/test/batch_api_fuzz_test.cpp
@@ -17,7 +17,7 @@
 constexpr int job_count = 10;
 constexpr std::size_t node_count = 3;
 
-/// Results stay readable for so long, in ms, as small_settings() says.
+/// Time for which results stay readable, in ms, as in small_settings().
 constexpr base::millis retention_ms = 8000;
 
 batch::item_id make_item_id(int job, int number) {
@@ -25,15 +25,16 @@
                           std::to_string(number));
 }
 
-/// Bodies and texts of all sizes: below a record and over several.
-std::string make_content(const std::string& of, int job, int number) {
-    return of + make_item_id(job, number).str() +
+/// Returns a body or text whose size ranges from less than a record to several
+/// records.
+std::string make_content(const std::string& prefix, int job, int number) {
+    return prefix + make_item_id(job, number).str() +
            std::string(static_cast<std::size_t>((job * 7 + number * 13) % 9) *
                            220,
                        'x');
 }
 
-/// A caller's job: what it was told of it, which must never change.
+/// A job of a caller and the results delivered for it, which must never change.
 struct expected_job {
     int number = 0;
     batch::job_id id;
@@ -41,7 +42,7 @@
     std::optional<base::millis> submitted_at;
     bool accepted = false;
     bool ended = false;
-    /// The results by position.
+    /// The delivered results by position.
     std::vector<std::string> delivered_results;
     std::set<std::string> delivered_items;
 
@@ -50,7 +51,8 @@
     }
 };
 
-/// Callers of some nodes, and what no answer to them may be.
+/// Sends calls to several nodes and checks the responses against what was
+/// accepted and delivered before.
 class batch_api_fuzz_model {
 public:
     explicit batch_api_fuzz_model(
@@ -64,7 +66,7 @@
             jobs_.push_back(std::move(j));
         }
         for (std::size_t n = 0; n < node_count; ++n) {
-            nodes_.push_back(new_node(n));
+            nodes_.push_back(make_node(n));
         }
     }
 
@@ -89,11 +91,11 @@
 private:
     using response = transport::outbound_response;
 
-    void fail(const std::string& what) {
-        failure_ = failure_.empty() ? what : failure_;
+    void fail(const std::string& text) {
+        failure_ = failure_.empty() ? text : failure_;
     }
 
-    std::unique_ptr<batch_node> new_node(std::size_t n) {
+    std::unique_ptr<batch_node> make_node(std::size_t n) {
         return std::make_unique<batch_node>(
             store_, time_, "n" + std::to_string(n),
             "s" + std::to_string(++node_starts_));
@@ -112,10 +114,10 @@
                 submit((n + 1) % node_count, job);
             }
         } else if (c.kind < 61) {
-            const auto lister = c.c % 5 == 0 ? n : find_owner_or(n);
-            nodes_[lister]->claim_or_renew(c.c < 100);
+            const auto committer = c.c % 5 == 0 ? n : find_owner_or(n);
+            nodes_[committer]->claim_or_renew(c.c < 100);
             time_.run_for(c.c % 30);
-            commit_results(lister, job, c.c);
+            commit_results(committer, job, c.c);
         } else if (c.kind < 66) {
             read_results(n, job,
                          static_cast<std::size_t>(c.c) %
@@ -128,7 +130,7 @@
         } else if (c.kind < 81) {
             nodes_[n]->claim_or_renew(c.c < 200);
         } else if (c.kind < 84) {
-            list_at_two_owners(n, job, c.c);
+            commit_at_two_owners(n, job, c.c);
         } else if (c.kind < 86) {
             end_job(n, job);
         } else if (c.kind < 88) {
@@ -138,11 +140,11 @@
         } else if (c.kind < 97) {
             store_.set_faults(make_store_faults(c.c));
         } else {
-            nodes_[n] = new_node(n);
+            nodes_[n] = make_node(n);
         }
     }
 
-    /// Returns a node that takes itself for the owner, or `n`.
+    /// Returns a node that considers itself the owner, or `n` if there is none.
     std::size_t find_owner_or(std::size_t n) const {
         const auto found =
             std::find_if(nodes_.begin(), nodes_.end(),
@@ -152,15 +154,15 @@
                    : static_cast<std::size_t>(found - nodes_.begin());
     }
 
-    /// Lets a node take the ownership over while the owner lists.
-    void list_at_two_owners(std::size_t n, expected_job& j, int from) {
+    /// Lets another node claim the lease while the owner commits results.
+    void commit_at_two_owners(std::size_t n, expected_job& j, int seed) {
         const auto owner = find_owner_or(n);
         const auto other = (owner + 1) % node_count;
         nodes_[other]->claim_or_renew(true);
-        time_.run_for(from % 20);
-        commit_results(owner, j, from);
-        commit_results(other, j, from + 1);
-        time_.run_for(from % 50);
+        time_.run_for(seed % 20);
+        commit_results(owner, j, seed);
+        commit_results(other, j, seed + 1);
+        time_.run_for(seed % 50);
         read_results(owner, j, j.delivered_results.size(), wait_ms);
         read_results(other, j, j.delivered_results.size(), wait_ms);
     }
@@ -189,20 +191,20 @@
     }
 
     static batch::job make_submission(const expected_job& j) {
-        batch::job out;
-        out.header.id = j.id;
+        batch::job job;
+        job.header.id = j.id;
         for (int n = 0; n < j.items; ++n) {
-            batch::item i;
-            i.id = make_item_id(j.number, n);
-            i.body = make_content("body", j.number, n);
-            out.items.push_back(std::move(i));
+            batch::item item;
+            item.id = make_item_id(j.number, n);
+            item.body = make_content("body", j.number, n);
+            job.items.push_back(std::move(item));
         }
-        return out;
+        return job;
     }
 
     std::shared_ptr<test_response_writer>
-    make_response_writer(std::function<void(const response&)> answered) {
-        return std::make_shared<test_response_writer>(std::move(answered));
+    make_response_writer(std::function<void(const response&)> on_response) {
+        return std::make_shared<test_response_writer>(std::move(on_response));
     }
 
     void submit(std::size_t n, expected_job& j) {
@@ -222,90 +224,93 @@
             }));
     }
 
-    void commit_results(std::size_t n, const expected_job& j, int from) {
+    void commit_results(std::size_t n, const expected_job& j, int seed) {
         const auto* row = nodes_[n]->state().jobs.find(j.id);
         if (row == nullptr || row->has_ended) {
             return;
         }
-        std::vector<batch::ready_result> out;
-        for (int k = 0; k <= from % 3; ++k) {
-            const int item = (from + k) % j.items;
-            out.push_back({j.id,
-                           item,
-                           {make_item_id(j.number, item),
-                            batch::item_outcome::succeeded,
-                            make_content("text", j.number, item),
-                            {1},
-                            "s"}});
+        std::vector<batch::ready_result> results;
+        for (int k = 0; k <= seed % 3; ++k) {
+            const int item = (seed + k) % j.items;
+            results.push_back({j.id,
+                               item,
+                               {make_item_id(j.number, item),
+                                batch::item_outcome::succeeded,
+                                make_content("text", j.number, item),
+                                {1},
+                                "s"}});
         }
-        nodes_[n]->commit_results(std::move(out));
+        nodes_[n]->commit_results(std::move(results));
     }
 
     void read_results(std::size_t n, expected_job& j, std::size_t after,
                       base::millis wait) {
-        const auto known = j.delivered_results.size();
+        const auto known_result_count = j.delivered_results.size();
         const bool was_accepted = j.accepted;
         nodes_[n]->api().read_results(
             {j.id, after, wait},
-            make_response_writer(
-                [this, &j, after, known, was_accepted](const response& r) {
-                    if (was_accepted && j.is_retained(time_.now())) {
-                        check_read(j, after, known, r);
-                    }
-                }));
+            make_response_writer([this, &j, after, known_result_count,
+                                  was_accepted](const response& r) {
+                if (was_accepted && j.is_retained(time_.now())) {
+                    check_read(j, after, known_result_count, r);
+                }
+            }));
     }
 
-    /// Reads on at one node, and at once again what came at another.
+    /// Reads new results at one node, then reads them again at another node at
+    /// once.
     void read_at_two_nodes(std::size_t n, expected_job& j) {
-        const auto known = j.delivered_results.size();
-        read_results(n, j, known, wait_ms);
+        const auto known_result_count = j.delivered_results.size();
+        read_results(n, j, known_result_count, wait_ms);
         time_.run_for(second_read_delay_ms);
-        if (j.delivered_results.size() > known) {
-            read_results((n + 1) % node_count, j, known, 0);
+        if (j.delivered_results.size() > known_result_count) {
+            read_results((n + 1) % node_count, j, known_result_count, 0);
         }
     }
 
-    void check_read(expected_job& j, std::size_t after, std::size_t known,
-                    const response& r) {
+    void check_read(expected_job& j, std::size_t after,
+                    std::size_t known_result_count, const response& r) {
         if (r.status == 404) {
-            fail(j.id.str() + " is not known");
+            fail(j.id.str() + " was not found");
         }
         if (r.status != 200) {
             return;
         }
-        const auto in = json::parse(r.body);
-        if (in.at("total") != j.items) {
-            fail(j.id.str() + " has another number of items");
+        const auto body = json::parse(r.body);
+        if (body.at("total") != j.items) {
+            fail(j.id.str() + " has a wrong number of items");
         }
-        if (in.at("results").empty() && after < known) {
-            fail(j.id.str() + " has nothing at " + std::to_string(after));
+        if (body.at("results").empty() && after < known_result_count) {
+            fail(j.id.str() + " has no results at delivered position " +
+                 std::to_string(after));
         }
         auto position = after;
-        for (const auto& row : in.at("results")) {
+        for (const auto& row : body.at("results")) {
             check_result(j, position++, row);
         }
-        if (in.at("next") != position) {
-            fail(j.id.str() + " goes on at another position");
+        if (body.at("next") != position) {
+            fail(j.id.str() + " has a wrong next position");
         }
     }
 
     void check_result(expected_job& j, std::size_t position, const json& row) {
-        const auto what = row.dump();
+        const auto text = row.dump();
         if (position < j.delivered_results.size()) {
-            if (j.delivered_results[position] != what) {
-                fail(j.id.str() + " changed at " + std::to_string(position));
+            if (j.delivered_results[position] != text) {
+                fail(j.id.str() + " has a changed result at position " +
+                     std::to_string(position));
             }
             return;
         }
         const auto id = row.at("id").get<std::string>();
         const auto number = std::stoi(id.substr(id.find('-') + 1));
         if (row.at("text") != make_content("text", j.number, number)) {
-            fail(id + " has another text");
+            fail(id + " has a wrong text");
         }
         if (!j.delivered_items.insert(id).second) {
-            fail(id + " stands at two positions");
+            fail(id + " was delivered at two positions");
         }
-        j.delivered_results.push_back(what);
+        j.delivered_results.push_back(text);
     }
 
     void read_item_body(std::size_t n, expected_job& j, int item) {
@@ -325,7 +330,7 @@
             fail(make_item_id(j.number, item).str() + " has no body");
         } else if (r.status == 200 &&
                    r.body != make_content("body", j.number, item)) {
-            fail(make_item_id(j.number, item).str() + " has another body");
+            fail(make_item_id(j.number, item).str() + " has a wrong body");
         }
     }
 
@@ -333,19 +338,20 @@
         if (!j.accepted) {
             return;
         }
-        const bool was_kept = j.is_retained(time_.now());
+        const bool was_retained = j.is_retained(time_.now());
         j.ended = true;
         nodes_[n]->api().end_job(
             {j.id},
-            make_response_writer([this, &j, was_kept](const response& r) {
-                if (r.status == 404 && was_kept && j.is_retained(time_.now())) {
-                    fail(j.id.str() + " is not known at its end");
+            make_response_writer([this, &j, was_retained](const response& r) {
+                if (r.status == 404 && was_retained &&
+                    j.is_retained(time_.now())) {
+                    fail(j.id.str() + " was not found when it was ended");
                 }
             }));
     }
 
-    /// Reads a job from the start at a node while the store is sound, and all
-    /// bodies.
+    /// Reads a whole job and all of its bodies at a node while the store has no
+    /// faults.
     void read_whole_job(std::size_t n, expected_job& j) {
         std::size_t position = 0;
         bool more = true;
@@ -363,7 +369,8 @@
                 }));
             time_.run_for(response_time_ms);
             if (status != 200) {
-                fail(j.id.str() + " can't be read: " + std::to_string(status));
+                fail(j.id.str() + " can't be read: status " +
+                     std::to_string(status));
             }
             more = next > position;
             position = next;
@@ -380,27 +387,27 @@
             time_.run_for(response_time_ms);
             if (status != 200 && j.is_retained(time_.now())) {
                 fail(make_item_id(j.number, item).str() +
-                     " has no body: " + std::to_string(status));
+                     " has no body: status " + std::to_string(status));
             }
         }
     }
 
-    /// A job that was refused at each call must not be stored.
+    /// Checks that a job that was rejected at each submission is not stored.
     void check_rejected_not_stored() {
         const auto journal =
             store_.newest_values(batch_node::journal_partition());
         for (const auto& j : jobs_) {
-            const bool only_refused =
+            const bool only_rejected =
                 j.submitted_at && open_submissions_[j.number] == 0 &&
                 submit_statuses_[j.number] == std::set<int>{503};
-            if (only_refused && journal.count(batch::format_key(
-                                    batch::header_key{j.id})) != 0) {
-                fail(j.id.str() + " is stored and was refused");
+            if (only_rejected && journal.count(batch::format_key(
+                                     batch::header_key{j.id})) != 0) {
+                fail(j.id.str() + " is stored although it was rejected");
             }
         }
     }
 
-    /// Covers late appends and what follows them.
+    /// Covers late appends and the calls that depend on them.
     static constexpr base::millis settle_time_ms = 6000;
     static constexpr base::millis response_time_ms = 400;
     static constexpr base::millis wait_ms = 1000;
@@ -416,7 +423,7 @@
     std::string failure_;
 };
 
-TEST(batch_api_fuzz_test, what_was_accepted_or_read_is_never_denied) {
+TEST(batch_api_fuzz_test, accepted_jobs_and_delivered_results_are_never_lost) {
     testing::fuzz("batch_api", 200, [](const auto& commands) {
         return batch_api_fuzz_model(commands).run(commands);
     });
--- a/packages/entry/test/faulty_server.hpp
+++ b/packages/entry/test/faulty_server.hpp
@@ -20,7 +20,8 @@
 
 namespace hibiscus::testing {
 
-/// What a faulty server does with one request.
+/// The behavior of a faulty server at one request. The order matters: a stream
+/// must be complete for all values up to resets_idle_connection.
 enum class server_behavior {
     responds,
     responds_chunked,
@@ -35,9 +36,9 @@
     resets_before_reading,
     resets_after_run,
     resets_in_response,
-    resets_in_unsized_response,
+    resets_in_response_without_length,
     truncates_response,
-    never_responses,
+    never_responds,
     sends_garbage,
     omits_response_stamp,
     fails,
@@ -49,18 +50,19 @@
 constexpr int server_behavior_count =
     static_cast<int>(server_behavior::is_wrong_server) + 1;
 
-/// Returns true if a stream that meets this conduct must end whole.
-inline bool must_complete_stream(server_behavior c) {
-    return c <= server_behavior::resets_idle_connection;
+/// Returns true if a stream must be complete when the server behaves like this.
+inline bool must_complete_stream(server_behavior behavior) {
+    return behavior <= server_behavior::resets_idle_connection;
 }
 
-/// What the servers have seen of one request.
+/// The planned behavior of the servers for one request, and what they have
+/// observed of it.
 struct observed_request {
     std::string body;
     bool streamed = false;
-    std::vector<server_behavior> behaviors;
+    std::vector<server_behavior> planned_behaviors;
     int send_count = 0;
-    /// Sends on kept connections that ended before an answer.
+    /// Requests on reused connections that ended before a response.
     int lost_send_count = 0;
     int run_count = 0;
     std::set<std::string> servers_run_at;
@@ -74,31 +76,32 @@
 
 constexpr int stream_events = 6;
 
-/// Returns the events of a stream behind the event `after`.
+/// Returns the events of a stream after the event `after`.
 inline std::string make_events(const std::string& id, int after = 0) {
-    std::string out;
+    std::string events;
     for (int n = after + 1; n <= stream_events; ++n) {
-        out += "id: " + std::to_string(n) + "\ndata: " + id + "." +
-               std::to_string(n) + "\n\n";
+        events += "id: " + std::to_string(n) + "\ndata: " + id + "." +
+                  std::to_string(n) + "\n\n";
     }
-    return out;
+    return events;
 }
 
-/// Returns the plain answer to a request.
+/// Returns the body of a response that is not streamed.
 inline std::string make_plain_body(const std::string& id) {
     return "answer to " + id + std::string(200, '.');
 }
 
-/// A server that does with each request what the request's plan says for that
-/// send, and notes what it has got.
+/// A server that follows the plan of each request and records what it has
+/// received.
 class faulty_server {
 public:
     faulty_server(boost::asio::io_context& io, std::string name,
-                  observed_requests& seen)
-        : io_(io), name_(std::move(name)), observed_(seen),
+                  observed_requests& observed)
+        : io_(io), name_(std::move(name)), observed_(observed),
           acceptor_(io,
                     tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0)) {
-        // A long body must not fit into the kernel's buffers.
+        // Keeps the buffer small so that a long body does not fit into the
+        // buffers of the kernel.
         acceptor_.set_option(boost::asio::socket_base::receive_buffer_size(
             receive_buffer_bytes));
         accept();
@@ -122,16 +125,16 @@
         tcp::socket socket;
         std::array<char, 16384> read_buffer{};
         std::string input;
-        std::string last_answer;
+        std::string last_response;
         int request_count = 0;
         bool reset_at_next = false;
         bool repeat_at_next = false;
-        bool answered_early = false;
+        bool responded_early = false;
         bool ignores_input = false;
     };
     using connection_ptr = std::shared_ptr<connection>;
 
-    /// The parts of a request's head that count here.
+    /// The fields of a request head that the server uses.
     struct request_head {
         std::string id;
         int last_event_id = 0;
@@ -164,11 +167,11 @@
 
     static std::string find_field(const std::string& head,
                                   const std::string& name) {
-        const auto at = head.find("\r\n" + name + ": ");
-        if (at == std::string::npos) {
+        const auto offset = head.find("\r\n" + name + ": ");
+        if (offset == std::string::npos) {
             return {};
         }
-        const auto begin = at + name.size() + 4;
+        const auto begin = offset + name.size() + 4;
         return head.substr(begin, head.find("\r\n", begin) - begin);
     }
 
@@ -183,7 +186,8 @@
         return h;
     }
 
-    /// Takes what has come. Returns false once the connection has ended.
+    /// Processes the received bytes. Returns false once the connection has
+    /// ended.
     bool process_input(const connection_ptr& c) {
         while (!c->input.empty()) {
             if (c->reset_at_next) {
@@ -199,54 +203,56 @@
                 observed_[h.id].failure = c->input.substr(0, end);
             }
             auto& s = observed_[h.id];
-            const bool whole = c->input.size() >= h.head_bytes + h.body_bytes;
-            const auto what = next_behavior(s);
-            if (!c->answered_early && !whole &&
-                what == server_behavior::responds_before_body) {
-                c->answered_early = true;
-                record_send(c, s, what);
+            const bool is_complete =
+                c->input.size() >= h.head_bytes + h.body_bytes;
+            const auto behavior = next_behavior(s);
+            if (!c->responded_early && !is_complete &&
+                behavior == server_behavior::responds_before_body) {
+                c->responded_early = true;
+                record_send(c, s, behavior);
                 record_run(s);
-                send(c, make_response(s, h, what));
+                send(c, make_response(s, h, behavior));
             }
-            if (!c->answered_early &&
-                what == server_behavior::resets_before_reading) {
-                record_send(c, s, what);
+            if (!c->responded_early &&
+                behavior == server_behavior::resets_before_reading) {
+                record_send(c, s, behavior);
                 reset(c);
                 return false;
             }
-            if (!whole) {
+            if (!is_complete) {
                 return true;
             }
             if (c->input.substr(h.head_bytes, h.body_bytes) != s.body) {
-                s.failure = "another body was sent";
+                s.failure = "request has a wrong body";
             }
             c->input.erase(0, h.head_bytes + h.body_bytes);
-            if (std::exchange(c->answered_early, false)) {
+            if (std::exchange(c->responded_early, false)) {
                 continue;
             }
-            record_send(c, s, what);
-            if (!apply_behavior(c, s, h, what)) {
+            record_send(c, s, behavior);
+            if (!apply_behavior(c, s, h, behavior)) {
                 return false;
             }
         }
         return true;
     }
 
-    /// Returns what the plan says for the next send of a request.
+    /// Returns the behavior planned for the next send of a request.
     static server_behavior next_behavior(const observed_request& s) {
-        return s.behaviors.empty()
+        return s.planned_behaviors.empty()
                    ? server_behavior::responds
-                   : s.behaviors[static_cast<std::size_t>(s.send_count) %
-                                 s.behaviors.size()];
+                   : s.planned_behaviors[static_cast<std::size_t>(
+                                             s.send_count) %
+                                         s.planned_behaviors.size()];
     }
 
     static void record_send(const connection_ptr& c, observed_request& s,
-                            server_behavior what) {
+                            server_behavior behavior) {
         ++s.send_count;
-        s.last_behavior = what;
+        s.last_behavior = behavior;
         const bool lost = c->repeat_at_next ||
-                          what == server_behavior::resets_before_reading ||
-                          what == server_behavior::resets_after_run;
+                          behavior == server_behavior::resets_before_reading ||
+                          behavior == server_behavior::resets_after_run;
         s.last_send_lost = c->request_count > 0 && lost;
         s.lost_send_count += s.last_send_lost ? 1 : 0;
         ++c->request_count;
@@ -257,45 +263,46 @@
         s.servers_run_at.insert(name_);
     }
 
-    /// Does what the plan says with a whole request. Returns false once the
-    /// connection has ended.
+    /// Applies the planned behavior to a complete request. Returns false once
+    /// the connection has ended.
     bool apply_behavior(const connection_ptr& c, observed_request& s,
-                        const request_head& h, server_behavior what) {
-        const bool ran = what != server_behavior::rejects &&
-                         what != server_behavior::is_wrong_server;
+                        const request_head& h, server_behavior behavior) {
+        const bool ran = behavior != server_behavior::rejects &&
+                         behavior != server_behavior::is_wrong_server;
         if (ran) {
             record_run(s);
         }
         if (std::exchange(c->repeat_at_next, false)) {
-            send(c, c->last_answer);
+            send(c, c->last_response);
         }
-        const auto answer = make_response(s, h, what);
-        const auto head_end = answer.find("\r\n\r\n") + 4;
-        const auto half = head_end + (answer.size() - head_end) / 2;
-        c->last_answer = answer;
-        switch (what) {
+        const auto response = make_response(s, h, behavior);
+        const auto head_end = response.find("\r\n\r\n") + 4;
+        const auto cut_offset = head_end + (response.size() - head_end) / 2;
+        c->last_response = response;
+        switch (behavior) {
         case server_behavior::resets_after_run:
             reset(c);
             return false;
         case server_behavior::resets_in_response:
-        case server_behavior::resets_in_unsized_response:
-            send(c, answer.substr(0, half), [this, c] { reset_later(c); });
+        case server_behavior::resets_in_response_without_length:
+            send(c, response.substr(0, cut_offset),
+                 [this, c] { reset_later(c); });
             return true;
         case server_behavior::truncates_response:
-            send(c, answer.substr(0, half), [c] { close(c); });
+            send(c, response.substr(0, cut_offset), [c] { close(c); });
             return true;
         case server_behavior::responds_without_length:
         case server_behavior::responds_and_closes:
-            send(c, answer, [c] { close(c); });
+            send(c, response, [c] { close(c); });
             return true;
         case server_behavior::responds_slowly:
-            run_later([this, c, answer] { send(c, answer); });
+            run_later([this, c, response] { send(c, response); });
             return true;
         case server_behavior::responds_twice:
-            send(c, answer + answer);
+            send(c, response + response);
             return true;
         case server_behavior::sends_extra_bytes_after_response:
-            send(c, answer + "HTTP/1.1 200 OK\r\nConte");
+            send(c, response + "HTTP/1.1 200 OK\r\nConte");
             return true;
         case server_behavior::repeats_response_before_next:
             c->repeat_at_next = true;
@@ -303,7 +310,7 @@
         case server_behavior::resets_idle_connection:
             c->reset_at_next = true;
             break;
-        case server_behavior::never_responses:
+        case server_behavior::never_responds:
             c->ignores_input = true;
             return true;
         case server_behavior::sends_garbage:
@@ -312,55 +319,59 @@
         default:
             break;
         }
-        send(c, answer);
+        send(c, response);
         return true;
     }
 
     static std::string encode_chunked(const std::string& body) {
-        std::string out;
-        constexpr std::size_t chunk = 16;
-        for (std::size_t at = 0; at < body.size(); at += chunk) {
-            const auto part = body.substr(at, chunk);
+        std::string encoded;
+        constexpr std::size_t chunk_bytes = 16;
+        for (std::size_t offset = 0; offset < body.size();
+             offset += chunk_bytes) {
+            const auto part = body.substr(offset, chunk_bytes);
             char size[16];
             std::snprintf(size, sizeof size, "%zx\r\n", part.size());
-            out += size + part + "\r\n";
+            encoded += size + part + "\r\n";
         }
-        return out + "0\r\n\r\n";
+        return encoded + "0\r\n\r\n";
     }
 
     static std::string make_response(observed_request& s, const request_head& h,
-                                     server_behavior what) {
-        const auto identity = "Request-Id: " + h.id + "\r\n";
-        const auto stamp = "Response-Stamp: of-" + h.id + "\r\n";
-        const std::string nothing = "Content-Length: 0\r\n\r\n";
-        switch (what) {
+                                     server_behavior behavior) {
+        const auto id_field = "Request-Id: " + h.id + "\r\n";
+        const auto stamp_field = "Response-Stamp: of-" + h.id + "\r\n";
+        const std::string empty_body = "Content-Length: 0\r\n\r\n";
+        switch (behavior) {
         case server_behavior::rejects:
-            return "HTTP/1.1 503 Busy\r\nNot-Executed: 1\r\n" + identity +
-                   nothing;
+            return "HTTP/1.1 503 Busy\r\nNot-Executed: 1\r\n" + id_field +
+                   empty_body;
         case server_behavior::rejects_after_run:
             s.signed_failure_statuses.insert(503);
-            return "HTTP/1.1 503 Busy\r\n" + identity + stamp + nothing;
+            return "HTTP/1.1 503 Busy\r\n" + id_field + stamp_field +
+                   empty_body;
         case server_behavior::is_wrong_server:
-            return "HTTP/1.1 421 Other\r\nNot-Executed: 1\r\n" + identity +
-                   nothing;
+            return "HTTP/1.1 421 Other\r\nNot-Executed: 1\r\n" + id_field +
+                   empty_body;
         case server_behavior::fails:
             s.signed_failure_statuses.insert(500);
-            return "HTTP/1.1 500 Failed\r\n" + identity + stamp + nothing;
+            return "HTTP/1.1 500 Failed\r\n" + id_field + stamp_field +
+                   empty_body;
         default:
             break;
         }
         const auto body = s.streamed ? make_events(h.id, h.last_event_id)
                                      : make_plain_body(h.id);
-        auto head = "HTTP/1.1 200 OK\r\n" + identity;
-        head += what == server_behavior::omits_response_stamp ? "" : stamp;
-        if (what == server_behavior::responds_without_length ||
-            what == server_behavior::resets_in_unsized_response) {
+        auto head = "HTTP/1.1 200 OK\r\n" + id_field;
+        head += behavior == server_behavior::omits_response_stamp ? ""
+                                                                  : stamp_field;
+        if (behavior == server_behavior::responds_without_length ||
+            behavior == server_behavior::resets_in_response_without_length) {
             return head + "\r\n" + body;
         }
-        if (what == server_behavior::responds_and_closes) {
+        if (behavior == server_behavior::responds_and_closes) {
             head += "Connection: close\r\n";
         }
-        if (s.streamed || what == server_behavior::responds_chunked) {
+        if (s.streamed || behavior == server_behavior::responds_chunked) {
             return head + "Transfer-Encoding: chunked\r\n\r\n" +
                    encode_chunked(body);
         }
@@ -395,7 +406,7 @@
         });
     }
 
-    /// Resets once the other side can have read what was sent.
+    /// Resets the connection after the peer has had time to read what was sent.
     void reset_later(const connection_ptr& c) {
         run_later([c] { reset(c); });
     }
--- a/packages/entry/test/forwarder_harness.hpp
+++ b/packages/entry/test/forwarder_harness.hpp
@@ -33,7 +33,7 @@
 constexpr base::millis stream_deadline_ms = 1500;
 constexpr base::millis max_wait_ms = 60000;
 
-/// The kinds of routes that callers use.
+/// A route of the test configuration.
 struct test_route {
     const char* prefix = "";
     gateway::route_kind kind = gateway::route_kind::idempotent;
@@ -59,7 +59,7 @@
     return "service-" + std::to_string(n % service_count);
 }
 
-/// A file descriptor that takes what is written and drops it.
+/// A file descriptor that discards its output.
 class null_output {
 public:
     null_output() : descriptor_(::open("/dev/null", O_WRONLY | O_CLOEXEC)) {}
@@ -77,7 +77,7 @@
     std::shared_ptr<request_result> result;
 };
 
-/// The way to a caller whose connection has ended.
+/// The response writer of a caller that has already disconnected.
 class disconnected_response_writer : public transport::response_writer {
 public:
     void send(transport::outbound_response) override {}
@@ -88,7 +88,8 @@
     void on_disconnect(std::function<void()> closed) override { closed(); }
 };
 
-/// Callers, a front with a forwarder, and faulty servers on one event loop.
+/// Connects callers, a server with a forwarder, and faulty servers on one event
+/// loop.
 class forwarder_harness {
 public:
     forwarder_harness() : state_({}, {}, null_.descriptor()) {
@@ -98,14 +99,15 @@
             put_server(n, false);
         }
         configure(0, 0);
-        const auto at = server_.listen({"127.0.0.1", 0});
+        const auto address = server_.listen({"127.0.0.1", 0});
         for (int n = 0; n < caller_count; ++n) {
-            callers_.push_back(std::make_unique<keep_alive_caller>(io_, *at));
+            callers_.push_back(
+                std::make_unique<keep_alive_caller>(io_, *address));
         }
     }
 
-    /// Takes a configuration; `a` says where routes lead and which is missing,
-    /// `b` how long their requests may take.
+    /// Applies a new configuration. `a` selects the services of the routes and
+    /// the route that is missing, `b` the timeout of the routes.
     void configure(int a, int b) {
         gateway::configuration next;
         next.version = ++version_;
@@ -113,50 +115,53 @@
             if (a % 11 == static_cast<int>(n) + 1) {
                 continue;
             }
-            gateway::route r;
-            r.host = "h";
-            r.path_prefix = test_routes[n].prefix;
-            r.kind = test_routes[n].kind;
-            r.resumable = test_routes[n].resumable;
-            r.max_attempts = test_routes[n].attempts;
-            const bool plain = r.kind != gateway::route_kind::streaming;
-            r.timeout_ms = plain && b % 2 == 1 ? 300 + b % 300 : 0;
-            r.services = {{make_service_name(a + static_cast<int>(n)), 1}};
-            next.routes.push_back(std::move(r));
+            gateway::route route;
+            route.host = "h";
+            route.path_prefix = test_routes[n].prefix;
+            route.kind = test_routes[n].kind;
+            route.resumable = test_routes[n].resumable;
+            route.max_attempts = test_routes[n].attempts;
+            const bool has_timeout =
+                route.kind != gateway::route_kind::streaming;
+            route.timeout_ms = has_timeout && b % 2 == 1 ? 300 + b % 300 : 0;
+            route.services = {{make_service_name(a + static_cast<int>(n)), 1}};
+            next.routes.push_back(std::move(route));
         }
         state_.configuration = std::move(next);
     }
 
-    /// Has a caller send a request; `plan` is what servers do with its sends.
-    std::shared_ptr<request_result> send_request(
-        const test_route& shape, int caller, std::vector<server_behavior> plan,
-        std::size_t body_bytes,
-        std::optional<std::chrono::milliseconds> leaves_after = std::nullopt) {
+    /// Makes a caller send a request. `plan` lists the behavior of the server
+    /// at each attempt.
+    std::shared_ptr<request_result>
+    send_request(const test_route& route, int caller,
+                 std::vector<server_behavior> plan, std::size_t body_bytes,
+                 std::optional<std::chrono::milliseconds> disconnect_after =
+                     std::nullopt) {
         const auto id = "r" + std::to_string(observed_.size());
         auto& s = observed_[id];
-        s.streamed = shape.kind == gateway::route_kind::streaming;
-        s.behaviors = std::move(plan);
+        s.streamed = route.kind == gateway::route_kind::streaming;
+        s.planned_behaviors = std::move(plan);
         s.body =
             id + std::string(body_bytes,
                              static_cast<char>('a' + observed_.size() % 26));
         queued_request r;
         r.result = std::make_shared<request_result>();
-        r.disconnect_after = leaves_after;
-        r.bytes = "POST " + std::string(shape.prefix) + id +
+        r.disconnect_after = disconnect_after;
+        r.bytes = "POST " + std::string(route.prefix) + id +
                   "?q=1 HTTP/1.1\r\nHost: h\r\nRequest-Id: " + id +
                   "\r\nDeadline-Ms: " +
                   std::to_string(s.streamed ? stream_deadline_ms
                                             : plain_deadline_ms) +
                   "\r\nContent-Length: " + std::to_string(s.body.size()) +
                   "\r\n\r\n" + s.body;
-        sent_requests_[id] = {shape, r.result};
+        sent_requests_[id] = {route, r.result};
         auto result = r.result;
         callers_[static_cast<std::size_t>(caller) % callers_.size()]->enqueue(
             std::move(r));
         return result;
     }
 
-    /// Forwards a request whose caller has left.
+    /// Forwards a request of a caller that has already disconnected.
     void forward_for_disconnected_caller() {
         entry::forward_request f;
         f.http_request.fields = {{"Host", "h"}, {"Request-Id", "gone"}};
@@ -189,11 +194,12 @@
         io_.poll();
     }
 
-    /// Runs until servers have got so many sends; false if that never happens.
+    /// Runs until the servers have received `sends` requests. Returns false if
+    /// that does not happen in time.
     bool run_until_sends(int sends) {
         const base::clock clock;
-        const auto until = clock.now() + max_wait_ms;
-        while (total_sends() < sends && clock.now() < until) {
+        const auto deadline = clock.now() + max_wait_ms;
+        while (total_sends() < sends && clock.now() < deadline) {
             run_for(std::chrono::milliseconds(1));
         }
         return total_sends() >= sends;
@@ -203,20 +209,20 @@
 
     std::size_t request_count() const { return sent_requests_.size(); }
 
-    /// Runs until all callers are done. Returns what is wrong, or "".
+    /// Runs until all callers are done. Returns the first violation, or "".
     std::string finish_and_check() {
         const base::clock clock;
-        const auto until = clock.now() + max_wait_ms;
-        while (has_busy_callers() && clock.now() < until) {
+        const auto deadline = clock.now() + max_wait_ms;
+        while (has_busy_callers() && clock.now() < deadline) {
             run_for(std::chrono::milliseconds(2));
         }
         if (has_busy_callers()) {
-            return "a caller waits without end";
+            return "a caller never got a response";
         }
         run_for(std::chrono::milliseconds(30));
         for (const auto& c : callers_) {
             if (c->unsolicited_bytes() > 0) {
-                return "bytes came behind the last answer";
+                return "received bytes after the last response";
             }
         }
         return check_all();
@@ -229,13 +235,13 @@
     }
 
     void on_request(transport::inbound_request request,
-                    std::shared_ptr<transport::response_writer> answer) {
-        const auto front = adapter::parse_client_request(request);
-        const auto& call = std::get<adapter::routed_request>(front);
-        const auto* r = gateway::find_route(*state_.configuration, call.host,
-                                            request.target);
-        if (r == nullptr) {
-            answer->send(adapter::status_response(404));
+                    std::shared_ptr<transport::response_writer> response) {
+        const auto parsed = adapter::parse_client_request(request);
+        const auto& call = std::get<adapter::routed_request>(parsed);
+        const auto* route = gateway::find_route(*state_.configuration,
+                                                call.host, request.target);
+        if (route == nullptr) {
+            response->send(adapter::status_response(404));
             return;
         }
         entry::forward_request f;
@@ -244,24 +250,26 @@
         f.http_request.target = std::move(request.target);
         f.http_request.body = std::move(request.body);
         f.http_request.fields = {{"Host", call.host}, {"Request-Id", call.id}};
-        f.service = samplers::service_name(r->services.front().service);
-        f.max_attempts = r->max_attempts;
-        f.streaming = r->kind == gateway::route_kind::streaming;
-        f.resumable = f.streaming && r->resumable;
-        f.retryable = r->kind == gateway::route_kind::idempotent || f.resumable;
-        const auto time = r->timeout_ms > 0
-                              ? std::min(call.deadline_ms, r->timeout_ms)
-                              : call.deadline_ms;
-        f.deadline = state_.clock.now() + time;
-        forwarder_.forward_to_caller(std::move(f), std::move(answer));
+        f.service = samplers::service_name(route->services.front().service);
+        f.max_attempts = route->max_attempts;
+        f.streaming = route->kind == gateway::route_kind::streaming;
+        f.resumable = f.streaming && route->resumable;
+        f.retryable =
+            route->kind == gateway::route_kind::idempotent || f.resumable;
+        const auto timeout_ms =
+            route->timeout_ms > 0
+                ? std::min(call.deadline_ms, route->timeout_ms)
+                : call.deadline_ms;
+        f.deadline = state_.clock.now() + timeout_ms;
+        forwarder_.forward_to_caller(std::move(f), std::move(response));
     }
 
     int total_sends() const {
-        int out = 0;
+        int total = 0;
         for (const auto& [id, s] : observed_) {
-            out += s.send_count;
+            total += s.send_count;
         }
-        return out;
+        return total;
     }
 
     bool has_busy_callers() const {
@@ -275,99 +283,102 @@
 
     std::string check_all() const {
         for (const auto& [id, s] : observed_) {
-            const auto at = sent_requests_.find(id);
-            if (at == sent_requests_.end()) {
-                return "nobody asked for it: " + s.failure;
+            const auto found = sent_requests_.find(id);
+            if (found == sent_requests_.end()) {
+                return "server received an unknown request: " + s.failure;
             }
-            auto wrong = check(id, s, at->second);
-            if (!wrong.empty()) {
-                return wrong.append(": ").append(describe(s, at->second));
+            auto violation = check(id, s, found->second);
+            if (!violation.empty()) {
+                return violation.append(": ").append(
+                    describe(s, found->second));
             }
         }
         return "";
     }
 
     static std::string describe(const observed_request& s,
-                                const sent_request& a) {
-        std::string out = a.route.prefix;
-        out += " " + a.result->error;
-        out += " status " + std::to_string(a.result->status) + ", sends " +
-               std::to_string(s.send_count) + ", runs " +
-               std::to_string(s.run_count) + ", plan";
-        for (const auto c : s.behaviors) {
-            out += " " + std::to_string(static_cast<int>(c));
+                                const sent_request& sent) {
+        std::string text = sent.route.prefix;
+        text += " " + sent.result->error;
+        text += " status " + std::to_string(sent.result->status) + ", sends " +
+                std::to_string(s.send_count) + ", runs " +
+                std::to_string(s.run_count) + ", plan";
+        for (const auto behavior : s.planned_behaviors) {
+            text += " " + std::to_string(static_cast<int>(behavior));
         }
-        return out;
+        return text;
     }
 
     static std::string check(const std::string& id, const observed_request& s,
-                             const sent_request& a) {
-        const auto& r = *a.result;
+                             const sent_request& sent) {
+        const auto& r = *sent.result;
         if (!s.failure.empty() || !r.failure.empty()) {
             return s.failure + r.failure;
         }
-        const bool repeatable =
-            a.route.kind == gateway::route_kind::idempotent ||
-            a.route.resumable;
-        if (!repeatable && s.run_count > 1) {
-            return "ran twice";
+        const bool retryable =
+            sent.route.kind == gateway::route_kind::idempotent ||
+            sent.route.resumable;
+        if (!retryable && s.run_count > 1) {
+            return "non-idempotent request was executed more than once";
         }
-        if (s.send_count - s.lost_send_count > a.route.attempts ||
-            static_cast<int>(s.servers_run_at.size()) > a.route.attempts) {
-            return "more servers than its route allows";
+        if (s.send_count - s.lost_send_count > sent.route.attempts ||
+            static_cast<int>(s.servers_run_at.size()) > sent.route.attempts) {
+            return "more attempts than the route allows";
         }
         if (r.disconnected) {
             return "";
         }
         if (!r.head_received) {
-            return "the connection ended without an answer";
+            return "connection ended without a response";
         }
         if (r.status == 200) {
-            return check_success(id, s, r, a.route.resumable);
+            return check_success(id, s, r, sent.route.resumable);
         }
-        return check_failure(s, r, repeatable);
+        return check_failure(s, r, retryable);
     }
 
     static std::string check_success(const std::string& id,
                                      const observed_request& s,
                                      const request_result& r, bool resumable) {
-        const auto whole = s.streamed ? make_events(id) : make_plain_body(id);
+        const auto expected_body =
+            s.streamed ? make_events(id) : make_plain_body(id);
         if (r.request_id != id || r.stamp != "of-" + id) {
-            return "the answer belongs to another request";
+            return "response belongs to another request";
         }
         if (r.complete) {
-            return r.body == whole ? "" : "another body came";
+            return r.body == expected_body ? "" : "response has a wrong body";
         }
-        // Without a length, an end can't be told from a cut between two events.
-        const bool open_end =
+        // Without a length, the end of a stream can't be told from a cut
+        // between two events.
+        const bool may_look_incomplete =
             resumable &&
             s.last_behavior == server_behavior::responds_without_length;
         if (!s.streamed ||
-            (must_complete_stream(s.last_behavior) && !open_end)) {
-            return "a sound answer broke off";
+            (must_complete_stream(s.last_behavior) && !may_look_incomplete)) {
+            return "complete response was cut off";
         }
-        return whole.compare(0, r.body.size(), r.body) == 0
+        return expected_body.compare(0, r.body.size(), r.body) == 0
                    ? ""
-                   : "pieces are missing or come twice";
+                   : "events are missing or duplicated";
     }
 
     static std::string check_failure(const observed_request& s,
-                                     const request_result& r, bool repeatable) {
+                                     const request_result& r, bool retryable) {
         if (!r.complete) {
-            return "a failure broke off";
+            return "failure response was cut off";
         }
         if (!r.stamp.empty() &&
             s.signed_failure_statuses.count(r.status) == 0) {
-            return "no server signed this failure";
+            return "failure response was not sent by a server";
         }
         if (s.send_count > 0 && must_complete_stream(s.last_behavior) &&
             !s.last_send_lost && r.status != 504) {
-            return "a sound answer was not handed on";
+            return "successful response was not forwarded";
         }
-        const bool promise = r.status == 503 || r.status == 429 ||
-                             r.status == 408 || r.status == 421;
-        if (promise && !repeatable && s.run_count > 0) {
-            return "called not run, but it ran";
+        const bool claims_not_run = r.status == 503 || r.status == 429 ||
+                                    r.status == 408 || r.status == 421;
+        if (claims_not_run && !retryable && s.run_count > 0) {
+            return "reported as not executed, but was executed";
         }
         return "";
     }
@@ -381,8 +392,8 @@
     transport::upstream_client client_{io_};
     entry::forwarder forwarder_{state_, client_};
     transport::streaming_http_server server_{
-        io_, {}, [this](auto request, auto answer) {
-            on_request(std::move(request), std::move(answer));
+        io_, {}, [this](auto request, auto response) {
+            on_request(std::move(request), std::move(response));
         }};
     std::vector<std::unique_ptr<keep_alive_caller>> callers_;
     std::int64_t version_ = 0;
--- a/packages/entry/test/settings_test.cpp
+++ b/packages/entry/test/settings_test.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-/// Settings with only what must be there, and `more` behind it.
+/// Loads a file with the required settings followed by `extra`.
 class settings_test : public testing::Test {
 protected:
     base::result<node_settings, settings::setting_errors>
-    load(const std::string& more) {
+    load(const std::string& extra) {
         std::ofstream(path_) << "node: n1\n"
                                 "zone: z\n"
                                 "listen:\n"
@@ -23,17 +23,17 @@
                                 "  metrics: 127.0.0.1:4\n"
                                 "store:\n"
                                 "  address: 127.0.0.1:5\n"
-                             << more;
+                             << extra;
         return load_node_settings(path_);
     }
 
-    /// Tests run side by side, so that each has a file of its own.
+    /// Tests run in parallel, so each one needs its own file.
     const std::string path_ =
         testing::TempDir() + "entry_settings_" +
         testing::UnitTest::GetInstance()->current_test_info()->name() + ".yaml";
 };
 
-TEST_F(settings_test, all_mechanisms_are_on_unless_switched_off) {
+TEST_F(settings_test, all_features_are_enabled_by_default) {
     const auto loaded = load("policy:\n  run_ahead: false\n");
     const auto* s = base::value_if(loaded);
     ASSERT_NE(s, nullptr);
@@ -41,9 +41,9 @@
     EXPECT_TRUE(s->features.is_enabled(base::feature::longest_first));
 }
 
-// A name is misspelt. An operator who believes to have switched a mechanism off
-// would measure nothing.
-TEST_F(settings_test, a_misspelt_mechanism_is_an_error_that_names_all) {
+// If a misspelt name were accepted, an operator would believe that a feature is
+// switched off while it is still enabled.
+TEST_F(settings_test, an_unknown_feature_is_an_error_that_lists_all) {
     const auto loaded = load("policy:\n  run_ahaed: false\n");
     const auto* errors = std::get_if<settings::setting_errors>(&loaded);
     ASSERT_NE(errors, nullptr);
@@ -57,7 +57,7 @@
     }
 }
 
-TEST_F(settings_test, a_mechanism_is_on_or_off) {
+TEST_F(settings_test, a_feature_value_must_be_a_boolean) {
     const auto loaded = load("policy:\n  run_ahead: sometimes\n");
     const auto* errors = std::get_if<settings::setting_errors>(&loaded);
     ASSERT_NE(errors, nullptr);
