--- a/packages/node/include/hibiscus/node/daemon.hpp
+++ b/packages/node/include/hibiscus/node/daemon.hpp
@@ -6,25 +6,24 @@
 
 namespace hibiscus::node {
 
-/// Why a daemon could not start.
+/// The address on which a daemon could not listen.
 struct listen_error {
     base::endpoint address;
 };
 
-/// One hibiscusd: all of its parts and threads.
+/// One hibiscusd process: owns its components and threads.
 class daemon {
 public:
-    /// Constructs the parts; nothing listens yet.
+    /// Constructs the components without listening yet.
     explicit daemon(const settings& config);
 
-    /// Joins the threads.
     ~daemon();
 
     daemon(const daemon&) = delete;
     daemon& operator=(const daemon&) = delete;
 
-    /// Listens and runs until SIGTERM or SIGINT has led to a graceful
-    /// shutdown. Returns an error if an address cannot be had.
+    /// Listens and serves until SIGTERM or SIGINT is received, then shuts down
+    /// gracefully. Returns an error if an address cannot be bound.
     std::optional<listen_error> run();
 
 private:
--- a/packages/node/src/claim_driver.cpp
+++ b/packages/node/src/claim_driver.cpp
@@ -20,37 +20,37 @@
 } // namespace
 
 claim_driver::claim_driver(const base::node_id& self, std::uint64_t incarnation,
-                           cluster::claim_options times,
-                           cluster::shard_number shards,
-                           boost::asio::io_context& control,
+                           cluster::claim_options options,
+                           cluster::shard_number shard_count,
+                           boost::asio::io_context& control_io,
                            platform::log_client& log, service_gateway& services,
-                           event_log& lines, telemetry::metrics& counters,
+                           event_log& logger, telemetry::metrics& counters,
                            base::clock clock)
-    : coordinator_(self, incarnation, times), shards_(shards),
-      control_(control), log_(log), services_(services), logger_(lines),
+    : coordinator_(self, incarnation, options), shard_count_(shard_count),
+      control_io_(control_io), log_(log), services_(services), logger_(logger),
       counters_(counters), clock_(std::move(clock)) {}
 
 void claim_driver::submit_request(const wire::service_request& request,
                                   done_function done) {
-    const auto waiter = ++last_waiter_;
+    const auto waiter = ++last_waiter_id_;
     callbacks_[waiter] = std::move(done);
     coordinator_.submit(clock_.now(), clock_.wall_time(), waiter,
-                        cluster::shard_of(request.id, shards_), request);
+                        cluster::shard_of(request.id, shard_count_), request);
     execute_effects();
 }
 
 std::string claim_driver::home_key(const base::request_id& request) const {
-    return shard_key(cluster::shard_of(request, shards_));
+    return shard_key(cluster::shard_of(request, shard_count_));
 }
 
 void claim_driver::assign_shards(const cluster::member_table& members) {
-    std::set<cluster::shard_number> ours;
-    for (cluster::shard_number s = 0; s < shards_; ++s) {
-        if (members.is_home(shard_key(s))) {
-            ours.insert(s);
+    std::set<cluster::shard_number> assigned;
+    for (cluster::shard_number shard = 0; shard < shard_count_; ++shard) {
+        if (members.is_home(shard_key(shard))) {
+            assigned.insert(shard);
         }
     }
-    coordinator_.assign_shards(ours);
+    coordinator_.assign_shards(assigned);
     execute_effects();
 }
 
@@ -75,19 +75,21 @@
         platform::claim_stream(shard), id, wire::to_json(effect.record),
         [this, shard, id](const platform::append_result& result) {
             auto outcome = cluster::append_outcome::appended;
-            base::millis pause = 0;
-            if (const auto* f = std::get_if<platform::log_error>(&result)) {
-                outcome = f->kind == platform::log_error_kind::refused
+            base::millis retry_delay = 0;
+            if (const auto* error = std::get_if<platform::log_error>(&result)) {
+                outcome = error->kind == platform::log_error_kind::refused
                               ? cluster::append_outcome::refused
                               : cluster::append_outcome::unknown;
-                pause = std::max(min_retry_delay_ms, f->retry_after_ms);
+                retry_delay =
+                    std::max(min_retry_delay_ms, error->retry_after_ms);
                 counters_.count_event("log_append_failed");
             }
-            boost::asio::post(control_, [this, shard, id, outcome, pause] {
-                coordinator_.on_append_result(shard, id, outcome,
-                                              clock_.now() + pause);
-                execute_effects();
-            });
+            boost::asio::post(
+                control_io_, [this, shard, id, outcome, retry_delay] {
+                    coordinator_.on_append_result(shard, id, outcome,
+                                                  clock_.now() + retry_delay);
+                    execute_effects();
+                });
         });
 }
 
@@ -99,35 +101,36 @@
                             {},
                             request.service.str(),
                             "first claim of the key read back"});
-    const auto shard = cluster::shard_of(request.id, shards_);
-    services_.run(request, [this, shard](const wire::service_response& answer) {
-        boost::asio::post(control_, [this, shard, answer] {
-            coordinator_.on_service_response(shard, answer);
-            execute_effects();
-        });
-    });
+    const auto shard = cluster::shard_of(request.id, shard_count_);
+    services_.run(request,
+                  [this, shard](const wire::service_response& response) {
+                      boost::asio::post(control_io_, [this, shard, response] {
+                          coordinator_.on_service_response(shard, response);
+                          execute_effects();
+                      });
+                  });
 }
 
 void claim_driver::execute(const cluster::send_response& effect) {
-    const auto at = callbacks_.find(effect.waiter);
-    if (at == callbacks_.end()) {
+    const auto found = callbacks_.find(effect.waiter);
+    if (found == callbacks_.end()) {
         return;
     }
-    const auto done = std::move(at->second);
-    callbacks_.erase(at);
+    const auto done = std::move(found->second);
+    callbacks_.erase(found);
     done(effect.response);
 }
 
 void claim_driver::read_shards() {
     const auto now = clock_.now();
-    for (const auto& [shard, from] : coordinator_.shards_to_read()) {
+    for (const auto& [shard, offset] : coordinator_.shards_to_read()) {
         if (now < read_not_before_[shard] ||
             !shards_being_read_.insert(shard).second) {
             continue;
         }
-        log_.read(platform::claim_stream(shard), from, read_wait_ms,
+        log_.read(platform::claim_stream(shard), offset, read_wait_ms,
                   [this, s = shard](platform::read_result result) {
-                      boost::asio::post(control_,
+                      boost::asio::post(control_io_,
                                         [this, s, r = std::move(result)] {
                                             on_read_result(s, r);
                                         });
@@ -147,11 +150,11 @@
     coordinator_.on_stream_bounds(clock_.now(), clock_.wall_time(), shard,
                                   page->first, page->end);
     for (const auto& record : page->records) {
-        const auto read = wire::from_json<wire::claim_record>(record.data);
-        const auto* content = base::value_if(read);
+        const auto decoded = wire::from_json<wire::claim_record>(record.data);
+        const auto* claim = base::value_if(decoded);
         coordinator_.apply_record(clock_.now(), shard, record.offset,
-                                  content != nullptr ? *content
-                                                     : wire::claim_record{});
+                                  claim != nullptr ? *claim
+                                                   : wire::claim_record{});
     }
     execute_effects();
     read_shards();
--- a/packages/node/src/claim_driver.hpp
+++ b/packages/node/src/claim_driver.hpp
@@ -14,39 +14,44 @@
 
 namespace hibiscus::node {
 
-/// Carries out what the claim home decides: appends, reads, dispatches.
-/// Lives on the control thread.
+/// Executes the effects of the claim coordinator: appends to and reads from the
+/// claim streams, dispatches requests and sends responses. Must be used on the
+/// control thread only.
 class claim_driver {
 public:
-    /// Takes the answer to one request.
+    /// Receives the response to one request.
     using done_function = std::function<void(wire::service_response)>;
 
-    /// Constructs a runner for `shards` shards.
+    /// Constructs a driver for `shard_count` shards of non-idempotent keys.
+    /// Callbacks run on `control_io`.
     claim_driver(const base::node_id& self, std::uint64_t incarnation,
-                 cluster::claim_options times, cluster::shard_number shards,
-                 boost::asio::io_context& control, platform::log_client& log,
-                 service_gateway& services, event_log& lines,
+                 cluster::claim_options options,
+                 cluster::shard_number shard_count,
+                 boost::asio::io_context& control_io, platform::log_client& log,
+                 service_gateway& services, event_log& logger,
                  telemetry::metrics& counters, base::clock clock);
 
-    /// Takes a request whose home this node is, or was a moment ago.
+    /// Submits a request whose home is this node, or was this node when the
+    /// sender routed it.
     void submit_request(const wire::service_request& request,
                         done_function done);
 
-    /// Returns the key by which the home of a request's shard is found.
+    /// Returns the key that determines the home node of a request's shard.
     std::string home_key(const base::request_id& request) const;
 
-    /// Takes over shards, or leaves them, as `members` says.
+    /// Takes over or releases shards according to the home nodes in `members`.
     void assign_shards(const cluster::member_table& members);
 
-    /// Changes how long claims are kept, in ms.
-    void set_claim_retention(base::millis keep) {
-        coordinator_.set_claim_retention(keep);
+    /// Sets how long claims are retained, in ms.
+    void set_claim_retention(base::millis retention) {
+        coordinator_.set_claim_retention(retention);
     }
 
-    /// Does what is due.
+    /// Handles expired timers of the coordinator and reads the shards that it
+    /// needs.
     void on_tick();
 
-    /// Returns the number of requests that are not answered.
+    /// Returns the number of requests without a response.
     std::size_t pending_count() const { return coordinator_.pending_count(); }
 
 private:
@@ -59,15 +64,15 @@
                         const platform::read_result& result);
 
     cluster::claim_coordinator coordinator_;
-    cluster::shard_number shards_;
-    boost::asio::io_context& control_;
+    cluster::shard_number shard_count_;
+    boost::asio::io_context& control_io_;
     platform::log_client& log_;
     service_gateway& services_;
     event_log& logger_;
     telemetry::metrics& counters_;
     base::clock clock_;
     std::map<cluster::claim_waiter_id, done_function> callbacks_;
-    cluster::claim_waiter_id last_waiter_ = 0;
+    cluster::claim_waiter_id last_waiter_id_ = 0;
     std::set<cluster::shard_number> shards_being_read_;
     std::map<cluster::shard_number, base::millis> read_not_before_;
 };
--- a/packages/node/src/config_watcher.cpp
+++ b/packages/node/src/config_watcher.cpp
@@ -15,9 +15,10 @@
 constexpr base::millis read_wait_ms = 1000;
 constexpr base::millis min_retry_delay_ms = 200;
 constexpr base::millis request_interval_ms = 500;
-/// Records without a repeat of the document, before retention is known.
+/// Maximum number of records between two snapshots. It also applies while the
+/// retention of the log is unknown.
 constexpr wire::log_offset max_records_without_snapshot = 64;
-/// Time without a repeat, for a log that drops records by their age.
+/// Maximum time between two snapshots, for a log that drops records by age.
 constexpr base::millis max_snapshot_age_ms = 300000;
 constexpr base::millis min_snapshot_interval_ms = 2000;
 constexpr base::millis takeover_delay_ms = 5000;
@@ -26,13 +27,14 @@
 } // namespace
 
 config_watcher::config_watcher(base::node_id self,
-                               boost::asio::io_context& control,
+                               boost::asio::io_context& control_io,
                                platform::log_client& log, net::peer_mesh& mesh,
-                               event_log& lines, telemetry::metrics& counters,
-                               base::clock clock, std::function<void()> changed)
-    : self_(std::move(self)), control_(control), log_(log), mesh_(mesh),
-      logger_(lines), counters_(counters), clock_(std::move(clock)),
-      on_change_(std::move(changed)), retry_(control) {}
+                               event_log& logger, telemetry::metrics& counters,
+                               base::clock clock,
+                               std::function<void()> on_change)
+    : self_(std::move(self)), control_io_(control_io), log_(log), mesh_(mesh),
+      logger_(logger), counters_(counters), clock_(std::move(clock)),
+      on_change_(std::move(on_change)), retry_timer_(control_io) {}
 
 void config_watcher::start() {
     read();
@@ -41,7 +43,7 @@
 void config_watcher::read() {
     log_.read(platform::config_stream, state_machine_.next_offset(),
               read_wait_ms, [this](platform::read_result result) {
-                  boost::asio::post(control_, [this, r = std::move(result)] {
+                  boost::asio::post(control_io_, [this, r = std::move(result)] {
                       on_read_result(r);
                   });
               });
@@ -55,11 +57,11 @@
         return;
     }
     counters_.count_event("log_read_failed");
-    const auto pause =
+    const auto delay =
         std::max(min_retry_delay_ms,
                  std::get<platform::log_error>(result).retry_after_ms);
-    retry_.expires_after(std::chrono::milliseconds(pause));
-    retry_.async_wait([this](const boost::system::error_code& error) {
+    retry_timer_.expires_after(std::chrono::milliseconds(delay));
+    retry_timer_.async_wait([this](const boost::system::error_code& error) {
         if (!error) {
             read();
         }
@@ -76,8 +78,8 @@
     }
     state_machine_.handle_truncation(page.first);
     for (const auto& record : page.records) {
-        const auto read = wire::from_json<wire::config_record>(record.data);
-        const auto* content = base::value_if(read);
+        const auto decoded = wire::from_json<wire::config_record>(record.data);
+        const auto* content = base::value_if(decoded);
         if (content == nullptr) {
             counters_.count_event("config_record_invalid");
             logger_.event(severity::warn, "config_record_invalid",
@@ -96,7 +98,7 @@
     notify_if_changed();
 }
 
-void config_watcher::tick(bool home) {
+void config_watcher::tick(bool is_home) {
     const auto now = clock_.now();
     if (state_machine_.snapshot_offset() != snapshot_offset_ ||
         snapshot_advanced_at_ == 0) {
@@ -104,38 +106,41 @@
         snapshot_advanced_at_ = now;
     }
     if (first_offset_ <= state_machine_.snapshot_offset()) {
-        last_covered_at_ = now;
+        snapshot_retained_at_ = now;
     }
-    if (is_snapshot_due(home) &&
+    if (is_snapshot_due(is_home) &&
         now - snapshot_appended_at_ >= min_snapshot_interval_ms) {
         snapshot_appended_at_ = now;
         append_snapshot();
     }
 }
 
-bool config_watcher::is_snapshot_due(bool home) const {
+bool config_watcher::is_snapshot_due(bool is_home) const {
     if (!state_machine_.is_complete() ||
         state_machine_.next_offset() <= state_machine_.snapshot_offset()) {
         return false;
     }
     const auto now = clock_.now();
-    if (!home) {
-        // The home may be a fresh node that is itself in need of the record.
-        // Others step in, spread out, so that not all of them append.
-        const auto patience =
+    if (!is_home) {
+        // The home may be a newly started node that needs the snapshot itself.
+        // The other nodes append it after delays that differ from node to node,
+        // so that not all of them append it.
+        const auto delay =
             takeover_delay_ms +
             static_cast<base::millis>(base::stable_hash(self_.str()) %
                                       takeover_jitter_ms);
         return first_offset_ > state_machine_.snapshot_offset() &&
-               now - last_covered_at_ > patience;
+               now - snapshot_retained_at_ > delay;
     }
-    // Half of what the log keeps is left as a margin. Before anything was
-    // dropped nobody knows how much that is.
-    const auto kept = state_machine_.next_offset() - first_offset_;
-    const auto since =
+    // A snapshot is due once half of the records that the log retains are newer
+    // than the last snapshot; the other half is the margin. The number of
+    // records that the log retains is unknown until it has dropped some.
+    const auto retained_records = state_machine_.next_offset() - first_offset_;
+    const auto records_since_snapshot =
         state_machine_.next_offset() - state_machine_.snapshot_offset();
-    return since >= max_records_without_snapshot ||
-           (first_offset_ > 0 && since > kept / 2) ||
+    return records_since_snapshot >= max_records_without_snapshot ||
+           (first_offset_ > 0 &&
+            records_since_snapshot > retained_records / 2) ||
            now - snapshot_advanced_at_ >= max_snapshot_age_ms;
 }
 
@@ -155,35 +160,37 @@
 }
 
 void config_watcher::notify_if_changed() {
-    const auto* now = state_machine_.in_force();
-    if (now == nullptr || now->number == announced_revision_) {
+    const auto* current = state_machine_.in_force();
+    if (current == nullptr || current->number == announced_revision_) {
         return;
     }
-    announced_revision_ = now->number;
-    counters_.set("revision", static_cast<double>(now->number));
+    announced_revision_ = current->number;
+    counters_.set("revision", static_cast<double>(current->number));
     logger_.event(severity::info, "config_in_force",
-                  {{"revision", now->number}});
+                  {{"revision", current->number}});
     on_change_();
 }
 
 void config_watcher::on_peer_revision(const base::node_id& peer,
                                       wire::log_offset revision) {
-    const auto* now = state_machine_.in_force();
-    const bool newer = revision > (now != nullptr ? now->number : 0);
-    if (!newer || (requested_at_ != 0 &&
-                   clock_.now() - requested_at_ < request_interval_ms)) {
+    const auto* current = state_machine_.in_force();
+    const bool newer = revision > (current != nullptr ? current->number : 0);
+    if (!newer ||
+        (document_requested_at_ != 0 &&
+         clock_.now() - document_requested_at_ < request_interval_ms)) {
         return;
     }
-    requested_at_ = clock_.now();
-    mesh_.send(peer,
-               wire::document_request{self_, now != nullptr ? now->number : 0});
+    document_requested_at_ = clock_.now();
+    mesh_.send(peer, wire::document_request{
+                         self_, current != nullptr ? current->number : 0});
 }
 
 void config_watcher::on_document_request(
     const wire::document_request& message) {
-    const auto* now = state_machine_.in_force();
-    if (now != nullptr && now->number > message.revision) {
-        mesh_.send(message.from, wire::document_offer{now->number, now->text});
+    const auto* current = state_machine_.in_force();
+    if (current != nullptr && current->number > message.revision) {
+        mesh_.send(message.from,
+                   wire::document_offer{current->number, current->text});
     }
 }
 
--- a/packages/node/src/control_plane.cpp
+++ b/packages/node/src/control_plane.cpp
@@ -11,34 +11,40 @@
 
 constexpr base::millis tick_interval_ms = 20;
 constexpr base::millis instance_list_interval_ms = 500;
+/// Time without a response of the log after which the log counts as
+/// unreachable.
 constexpr base::millis log_timeout_ms = 6000;
 
-cluster::claim_options claim_times_of(const settings& s) {
-    cluster::claim_options times;
-    times.append_interval = s.claim_window_ms;
-    return times;
+cluster::claim_options make_claim_options(const settings& s) {
+    cluster::claim_options options;
+    options.append_interval = s.claim_window_ms;
+    return options;
 }
 
 } // namespace
 
-control_plane::control_plane(const control_dependencies& parts)
-    : dependencies_(parts), self_(parts.config.node),
-      incarnation_(static_cast<std::uint64_t>(parts.clock.wall_time())),
-      timer_(parts.io), members_(self_, parts.config.member_timeout_ms),
-      calls_(self_, parts.mesh, parts.io, parts.clock),
-      config_(self_, parts.io, parts.log, parts.mesh, parts.logger,
-              parts.counters, parts.clock, [this] { on_config_changed(); }),
-      claims_(self_, incarnation_, claim_times_of(parts.config),
-              static_cast<cluster::shard_number>(parts.config.claim_shards),
-              parts.io, parts.log, parts.services, parts.logger, parts.counters,
-              parts.clock),
-      samples_(self_, parts.io, members_, calls_, parts.mesh, parts.log,
-               parts.engines, parts.logger, parts.counters, parts.clock,
+control_plane::control_plane(const control_dependencies& dependencies)
+    : dependencies_(dependencies), self_(dependencies.config.node),
+      incarnation_(static_cast<std::uint64_t>(dependencies.clock.wall_time())),
+      timer_(dependencies.io),
+      members_(self_, dependencies.config.member_timeout_ms),
+      calls_(self_, dependencies.mesh, dependencies.io, dependencies.clock),
+      config_(self_, dependencies.io, dependencies.log, dependencies.mesh,
+              dependencies.logger, dependencies.counters, dependencies.clock,
+              [this] { on_config_changed(); }),
+      claims_(
+          self_, incarnation_, make_claim_options(dependencies.config),
+          static_cast<cluster::shard_number>(dependencies.config.claim_shards),
+          dependencies.io, dependencies.log, dependencies.services,
+          dependencies.logger, dependencies.counters, dependencies.clock),
+      samples_(self_, dependencies.io, members_, calls_, dependencies.mesh,
+               dependencies.log, dependencies.engines, dependencies.logger,
+               dependencies.counters, dependencies.clock,
                [this]() -> const document::document* {
                    const auto* r = config_.in_force();
                    return r != nullptr ? &r->content : nullptr;
                }),
-      started_at_(parts.clock.now()) {}
+      started_at_(dependencies.clock.now()) {}
 
 void control_plane::start() {
     boost::asio::post(dependencies_.io, [this] {
@@ -48,8 +54,9 @@
 }
 
 void control_plane::tick() {
-    // Armed before the work: an exception in one tick must not be the end of
-    // all ticks, after which the node would look alive and follow nothing.
+    // The timer is armed before the other work: if an exception in one tick
+    // prevented all later ticks, the node would appear alive but would follow
+    // neither the log nor its peers.
     timer_.expires_after(std::chrono::milliseconds(tick_interval_ms));
     timer_.async_wait([this](const boost::system::error_code& error) {
         if (!error) {
@@ -65,10 +72,10 @@
     if (now - heartbeat_at_ >= dependencies_.config.heartbeat_ms) {
         send_heartbeat();
     }
-    for (const auto& gone : members_.remove_expired(now)) {
+    for (const auto& member : members_.remove_expired(now)) {
         dependencies_.logger.event(severity::warn, "member_gone",
-                                   {{"member", gone.str()}});
-        calls_.fail_calls_to(gone);
+                                   {{"member", member.str()}});
+        calls_.fail_calls_to(member);
     }
     if (members_.generation() != generation_) {
         on_members_changed();
@@ -83,20 +90,22 @@
 void control_plane::send_heartbeat() {
     heartbeat_at_ = dependencies_.clock.now();
     const auto* config = config_.in_force();
-    wire::heartbeat beat{self_,
-                         incarnation_,
-                         dependencies_.config.zone,
-                         base::to_string(dependencies_.config.listen_callers),
-                         base::to_string(dependencies_.config.listen_peers),
-                         state_,
-                         config != nullptr ? config->number : 0,
-                         samples_.versions().all(),
-                         samples_.engine_statuses()};
-    members_.record_heartbeat(heartbeat_at_, beat);
-    samples_.on_heartbeat(beat);
-    for (const auto& i : instance_list_.instances) {
-        if (i.role == wire::instance_role::entry && i.id != self_.str()) {
-            dependencies_.mesh.send(base::node_id(i.id), beat);
+    wire::heartbeat heartbeat{
+        self_,
+        incarnation_,
+        dependencies_.config.zone,
+        base::to_string(dependencies_.config.listen_callers),
+        base::to_string(dependencies_.config.listen_peers),
+        state_,
+        config != nullptr ? config->number : 0,
+        samples_.versions().all(),
+        samples_.engine_statuses()};
+    members_.record_heartbeat(heartbeat_at_, heartbeat);
+    samples_.on_heartbeat(heartbeat);
+    for (const auto& instance : instance_list_.instances) {
+        if (instance.role == wire::instance_role::entry &&
+            instance.id != self_.str()) {
+            dependencies_.mesh.send(base::node_id(instance.id), heartbeat);
         }
     }
     dependencies_.counters.set("members",
@@ -107,11 +116,11 @@
     fetching_instances_ = true;
     instances_fetched_at_ = dependencies_.clock.now();
     dependencies_.instances.fetch(
-        [this](std::optional<wire::instance_list> page) {
-            boost::asio::post(dependencies_.io, [this, p = std::move(page)] {
+        [this](std::optional<wire::instance_list> list) {
+            boost::asio::post(dependencies_.io, [this, list = std::move(list)] {
                 fetching_instances_ = false;
-                if (p) {
-                    on_instance_list(*p);
+                if (list) {
+                    on_instance_list(*list);
                 } else {
                     dependencies_.counters.count_event("instance_list_failed");
                 }
@@ -119,18 +128,18 @@
         });
 }
 
-void control_plane::on_instance_list(const wire::instance_list& page) {
-    instance_list_ = page;
+void control_plane::on_instance_list(const wire::instance_list& list) {
+    instance_list_ = list;
     std::map<base::node_id, base::endpoint> peers;
-    for (const auto& i : page.instances) {
-        const auto address = base::parse_endpoint(i.peer_address);
-        if (i.role == wire::instance_role::entry && i.id != self_.str() &&
-            address) {
-            peers.emplace(base::node_id(i.id), *address);
+    for (const auto& instance : list.instances) {
+        const auto address = base::parse_endpoint(instance.peer_address);
+        if (instance.role == wire::instance_role::entry &&
+            instance.id != self_.str() && address) {
+            peers.emplace(base::node_id(instance.id), *address);
         }
     }
     dependencies_.mesh.set_peers(std::move(peers));
-    samples_.update_instances(page);
+    samples_.update_instances(list);
     publish_view();
 }
 
@@ -151,69 +160,71 @@
 
 bool control_plane::is_isolated() const {
     const auto now = dependencies_.clock.now();
-    const auto heard = std::max(config_.log_responded_at(), started_at_);
-    if (now - heard <= log_timeout_ms) {
+    const auto last_response_at =
+        std::max(config_.log_responded_at(), started_at_);
+    if (now - last_response_at <= log_timeout_ms) {
         return false;
     }
-    const auto entries = std::count_if(
+    const auto live_entries = std::count_if(
         instance_list_.instances.begin(), instance_list_.instances.end(),
-        [](const wire::instance& i) {
-            return i.role == wire::instance_role::entry &&
-                   i.state == wire::instance_state::live;
+        [](const wire::instance& instance) {
+            return instance.role == wire::instance_role::entry &&
+                   instance.state == wire::instance_state::live;
         });
-    return static_cast<std::ptrdiff_t>(members_.all().size()) * 2 <= entries;
+    return static_cast<std::ptrdiff_t>(members_.all().size()) * 2 <=
+           live_entries;
 }
 
 void control_plane::update_state() {
-    auto next = state_;
+    auto next_state = state_;
     if (state_ != wire::node_state::draining) {
         if (config_.in_force() == nullptr) {
-            next = wire::node_state::starting;
+            next_state = wire::node_state::starting;
         } else {
-            // A node that sees neither the log nor most peers cannot know
-            // whether its document is still in force, and callers would be
-            // served by rules that are over.
-            next = is_isolated() ? wire::node_state::isolated
-                                 : wire::node_state::ready;
+            // A node that can reach neither the log nor a majority of its peers
+            // cannot know whether its document is still in force, and might
+            // serve callers by an outdated one.
+            next_state = is_isolated() ? wire::node_state::isolated
+                                       : wire::node_state::ready;
         }
     }
-    if (next != state_) {
+    if (next_state != state_) {
         dependencies_.logger.event(
             severity::info, "state",
-            {{"state", std::string(base::name_of(next))}});
-        state_ = next;
+            {{"state", std::string(base::name_of(next_state))}});
+        state_ = next_state;
         send_heartbeat();
         publish_view();
     }
 }
 
 void control_plane::publish_view() {
-    auto v = std::make_shared<routing_view>();
-    v->state = state_;
+    auto view = std::make_shared<routing_view>();
+    view->state = state_;
     if (const auto* config = config_.in_force()) {
-        const auto old = dependencies_.shared.get()->config;
-        v->config = old && old->number == config->number
-                        ? old
-                        : std::make_shared<document::revision>(*config);
+        const auto published = dependencies_.shared.get()->config;
+        view->config = published && published->number == config->number
+                           ? published
+                           : std::make_shared<document::revision>(*config);
     }
-    for (const auto& [node, row] : members_.all()) {
-        if (row.heartbeat.state == wire::node_state::ready) {
-            v->entries.push_back(
-                {node, row.heartbeat.zone, row.heartbeat.address});
+    for (const auto& [node, member] : members_.all()) {
+        if (member.heartbeat.state == wire::node_state::ready) {
+            view->entries.push_back(
+                {node, member.heartbeat.zone, member.heartbeat.address});
         }
     }
-    std::stable_partition(v->entries.begin(), v->entries.end(),
-                          [&](const wire::entry_address& e) {
-                              return e.zone == dependencies_.config.zone;
+    std::stable_partition(view->entries.begin(), view->entries.end(),
+                          [&](const wire::entry_address& entry) {
+                              return entry.zone == dependencies_.config.zone;
                           });
-    for (const auto& i : instance_list_.instances) {
-        if (i.role == wire::instance_role::service &&
-            i.state == wire::instance_state::live) {
-            v->services[base::service_id(i.group)].push_back(
-                {i.id, i.address, i.zone});
+    for (const auto& instance : instance_list_.instances) {
+        if (instance.role == wire::instance_role::service &&
+            instance.state == wire::instance_state::live) {
+            view->services[base::service_id(instance.group)].push_back(
+                {instance.id, instance.address, instance.zone});
         }
     }
-    dependencies_.shared.publish(std::move(v));
+    dependencies_.shared.publish(std::move(view));
 }
 
 void control_plane::drain(std::function<void()> done) {
@@ -222,8 +233,9 @@
         const auto ttl =
             config != nullptr ? config->content.limit.entries_ttl_ms : 0;
         on_drained_ = d;
-        // Callers keep the old answer of GET /v1/entries for its time to
-        // live; one that came in the last moment must still find this node.
+        // Callers cache the response to GET /v1/entries for its time to live.
+        // This node must stay available to a caller that fetched a list with
+        // this node just before the other nodes removed it.
         drain_until_ = dependencies_.clock.now() + ttl +
                        dependencies_.config.member_timeout_ms;
         state_ = wire::node_state::draining;
--- a/packages/node/src/control_plane.hpp
+++ b/packages/node/src/control_plane.hpp
@@ -14,7 +14,7 @@
 
 namespace hibiscus::node {
 
-/// What a control is built on. All of it outlives the control.
+/// Dependencies of a control_plane. All of them must outlive it.
 struct control_dependencies {
     const settings& config;
     boost::asio::io_context& io;
@@ -29,51 +29,56 @@
     engine_client& engines;
 };
 
-/// Holds the control state of a node and is the only one to change it. Its
-/// public functions may be called by any thread; they hand over to the thread
-/// of the context and return at once.
+/// Owns the control state of a node. Only the control thread, which runs
+/// `control_dependencies::io`, reads and changes that state. Unless stated
+/// otherwise, the public functions may be called from any thread: they post
+/// their work to the control thread and return at once. Callbacks run on the
+/// control thread.
 class control_plane {
 public:
-    /// Constructs the control of a node that has just started.
-    explicit control_plane(const control_dependencies& parts);
+    /// Constructs the control plane of a node that has just started.
+    explicit control_plane(const control_dependencies& dependencies);
 
-    /// Starts to follow the log, the instance list and the peers.
+    /// Starts to read the `config` stream, to poll the instance list and to
+    /// exchange heartbeats with the peers.
     void start();
 
-    /// Opens a step at the trainer's home.
+    /// Opens a step at the home node of its trainer.
     void open_step(wire::open_step message,
                    std::function<void(wire::step_response)> done);
 
-    /// Pulls at the trainer's home.
+    /// Pulls samples from the home node of the trainer.
     void pull_samples(wire::pull_step message,
                       std::function<void(wire::pull_response)> done);
 
-    /// Publishes a version. The answer comes when every node that is heard
-    /// knows it, or when no pull of before can still wait.
+    /// Publishes a version. Calls `done` once every known node has acknowledged
+    /// the version or, for nodes that do not respond, once no pull that started
+    /// before the publication can still be pending.
     void publish_version(wire::learn_version message,
                          std::function<void(wire::version_response)> done);
 
-    /// Runs a non-idempotent request at the home of its key.
+    /// Runs a non-idempotent request at the home node of its claim shard.
     void run_request(wire::service_request request,
                      std::function<void(wire::service_response)> done);
 
-    /// Takes a message of a peer.
+    /// Handles a message from a peer.
     void on_peer_message(wire::peer_message message);
 
-    /// Notes that the link to a peer opened or closed.
+    /// Called when the link to a peer has opened or closed.
     void on_link_changed(const base::node_id& peer, bool open);
 
-    /// Returns true if no request waits for anything here. For the control
-    /// thread only.
+    /// Returns true if no claimed request and no call to a peer is pending on
+    /// this node. Must be called on the control thread.
     bool is_idle() const {
         return claims_.pending_count() == 0 && calls_.pending_count() == 0;
     }
 
-    /// Writes the node's state as JSON.
+    /// Passes the state of the node, as JSON, to `done`.
     void write_status(std::function<void(std::string)> done);
 
-    /// Leaves the list of entries, hands its homes over, and calls `done`
-    /// when nothing is left to finish.
+    /// Withdraws this node from the list of entries and hands its home roles
+    /// over to other nodes. Calls `done` once no claim is pending and callers
+    /// no longer hold a list that contains this node.
     void drain(std::function<void()> done);
 
 private:
@@ -111,7 +116,7 @@
                       std::function<void(wire::pull_response)> done);
     void run_at_home(wire::service_request request,
                      std::function<void(wire::service_response)> done);
-    void call_at(base::millis when, std::function<void()> event);
+    void call_at(base::millis time, std::function<void()> callback);
     void broadcast_version(const wire::learn_version& message,
                            std::function<void(wire::version_response)> done);
 
--- a/packages/node/src/control_plane_calls.cpp
+++ b/packages/node/src/control_plane_calls.cpp
@@ -18,44 +18,47 @@
     return "trainer/" + trainer.str();
 }
 
-/// Returns the answer of type T in `result`, or null.
+/// Returns the response of type T in `result`, or null.
 template <class T>
 const T* response_in(const call_result& result) {
     const auto* reply = std::get_if<wire::reply_body>(&result);
     return reply != nullptr ? std::get_if<T>(reply) : nullptr;
 }
 
-/// Returns the answer of type T for a call that has no reply. Only a call of
-/// which no byte left was certainly not run: the home may have done what a
-/// lost one asks, and a caller who trusts the refusal would be misled.
+/// Returns a response of type T for a call that has no reply. Its outcome is
+/// `not_run` only if no byte of the call was sent. The home may have executed a
+/// lost call, so `not_run` would mislead the caller.
 template <class T>
 T make_failed_response(const call_result& result) {
     const auto* failure = std::get_if<call_failure>(&result);
-    const bool never_left =
+    const bool not_sent =
         failure != nullptr && *failure == call_failure::not_sent;
-    T answer;
-    answer.result =
-        never_left ? wire::outcome::not_run : wire::outcome::unknown;
-    answer.why = never_left ? wire::reason::home_unreachable
+    T response;
+    response.result =
+        not_sent ? wire::outcome::not_run : wire::outcome::unknown;
+    response.why = not_sent ? wire::reason::home_unreachable
                             : wire::reason::connection_lost;
-    answer.retry_after_ms = default_retry_after_ms;
-    return answer;
+    response.retry_after_ms = default_retry_after_ms;
+    return response;
 }
 
 } // namespace
 
 void control_plane::on_peer_message(wire::peer_message message) {
-    boost::asio::post(
-        dependencies_.io, [this, m = std::move(message)]() mutable {
-            std::visit([this](auto& one) { handle(std::move(one)); }, m);
-        });
+    boost::asio::post(dependencies_.io, [this,
+                                         m = std::move(message)]() mutable {
+        std::visit(
+            [this](auto& typed_message) { handle(std::move(typed_message)); },
+            m);
+    });
 }
 
 void control_plane::on_link_changed(const base::node_id& peer, bool open) {
     boost::asio::post(dependencies_.io, [this, peer, open] {
         open_links_ += open ? 1 : -1;
-        // The calls that left by the old link would wait for their whole
-        // deadline; now they can be tried again while there is time.
+        // Calls that were sent over the closed link would otherwise stay
+        // pending until their deadline. Failing them now leaves time for a
+        // retry.
         if (!open) {
             calls_.fail_calls_to(peer);
         }
@@ -98,8 +101,8 @@
 
 std::function<void(wire::reply_body)>
 control_plane::make_reply_function(const wire::call& call) {
-    return [this, to = call.from, id = call.id](wire::reply_body body) {
-        dependencies_.mesh.send(to, wire::reply{id, std::move(body)});
+    return [this, caller = call.from, id = call.id](wire::reply_body body) {
+        dependencies_.mesh.send(caller, wire::reply{id, std::move(body)});
     };
 }
 
@@ -114,10 +117,10 @@
 void control_plane::serve(const wire::call& call,
                           const wire::learn_version& body) {
     samples_.update_newest_version(body.trainer, body.version);
-    wire::version_response answer;
-    answer.result = wire::outcome::completed;
-    answer.newest = samples_.versions().newest(body.trainer);
-    make_reply_function(call)(answer);
+    wire::version_response response;
+    response.result = wire::outcome::completed;
+    response.newest = samples_.versions().newest(body.trainer);
+    make_reply_function(call)(response);
 }
 
 void control_plane::serve(const wire::call& call,
@@ -148,9 +151,9 @@
     calls_.call(
         home, std::move(message), open_timeout_ms,
         [done = std::move(done)](const call_result& result) {
-            const auto* a = response_in<wire::step_response>(result);
-            done(a != nullptr
-                     ? *a
+            const auto* response = response_in<wire::step_response>(result);
+            done(response != nullptr
+                     ? *response
                      : make_failed_response<wire::step_response>(result));
         });
 }
@@ -177,13 +180,14 @@
         home, std::move(message), deadline,
         [this, trainer, done = std::move(done),
          pull](const call_result& result) {
-            if (const auto* a = response_in<wire::pull_response>(result)) {
-                done(samples_.without_stale_samples(trainer, *a));
+            if (const auto* response =
+                    response_in<wire::pull_response>(result)) {
+                done(samples_.without_stale_samples(trainer, *response));
                 return;
             }
-            auto answer = make_failed_response<wire::pull_response>(result);
-            answer.pull = pull;
-            done(std::move(answer));
+            auto response = make_failed_response<wire::pull_response>(result);
+            response.pull = pull;
+            done(std::move(response));
         });
 }
 
@@ -201,18 +205,19 @@
     const wire::learn_version& message,
     std::function<void(wire::version_response)> done) {
     const auto* config = config_.in_force();
-    const auto longest =
+    const auto call_timeout_ms =
         config != nullptr
             ? config->content.limit.pull_wait_ms + call_timeout_margin_ms
             : call_timeout_margin_ms;
-    wire::version_response answer;
-    answer.result = wire::outcome::completed;
-    answer.newest = samples_.versions().newest(message.trainer);
-    // A pull that waits at another node still goes by the old version; the
-    // trainer may count on the bound only after each such node has answered,
-    // or after its longest pull is over. A node that this one does not hear
-    // may still be heard by others and answer their pulls, so all that are
-    // listed count, and one that cannot be asked is waited out.
+    wire::version_response response;
+    response.result = wire::outcome::completed;
+    response.newest = samples_.versions().newest(message.trainer);
+    // A pull that is pending at another node still uses the old version. The
+    // trainer can rely on the staleness bound only once every such node has
+    // responded, or once the longest possible pull there has ended. A node that
+    // this node cannot reach may still respond to pulls that come through other
+    // nodes, so all listed nodes count. For a node that does not respond, the
+    // maximum duration of a pull is waited out.
     std::set<base::node_id> nodes;
     for (const auto& [node, row] : members_.all()) {
         nodes.insert(node);
@@ -223,37 +228,38 @@
         }
     }
     nodes.erase(self_);
-    auto left = std::make_shared<std::size_t>(nodes.size() + 1);
-    const auto one_less = [left, answer, done = std::move(done)] {
-        if (--*left == 0) {
-            done(answer);
+    auto pending_count = std::make_shared<std::size_t>(nodes.size() + 1);
+    const auto complete_one = [pending_count, response,
+                               done = std::move(done)] {
+        if (--*pending_count == 0) {
+            done(response);
         }
     };
-    const auto until = dependencies_.clock.now() + longest;
+    const auto pulls_end_at = dependencies_.clock.now() + call_timeout_ms;
     for (const auto& node : nodes) {
-        calls_.call(node, message, longest,
-                    [this, one_less, until](const call_result& result) {
-                        if (response_in<wire::version_response>(result) !=
-                            nullptr) {
-                            one_less();
-                        } else {
-                            call_at(until, one_less);
-                        }
-                    });
+        calls_.call(
+            node, message, call_timeout_ms,
+            [this, complete_one, pulls_end_at](const call_result& result) {
+                if (response_in<wire::version_response>(result) != nullptr) {
+                    complete_one();
+                } else {
+                    call_at(pulls_end_at, complete_one);
+                }
+            });
     }
-    boost::asio::post(dependencies_.io, one_less);
+    boost::asio::post(dependencies_.io, complete_one);
 }
 
-void control_plane::call_at(base::millis when, std::function<void()> event) {
+void control_plane::call_at(base::millis time, std::function<void()> callback) {
     auto timer = std::make_shared<boost::asio::steady_timer>(dependencies_.io);
     timer->expires_after(std::chrono::milliseconds(
-        std::max<base::millis>(when - dependencies_.clock.now(), 0)));
-    timer->async_wait(
-        [timer, e = std::move(event)](const boost::system::error_code& error) {
-            if (!error) {
-                e();
-            }
-        });
+        std::max<base::millis>(time - dependencies_.clock.now(), 0)));
+    timer->async_wait([timer, callback = std::move(callback)](
+                          const boost::system::error_code& error) {
+        if (!error) {
+            callback();
+        }
+    });
 }
 
 void control_plane::run_request(
@@ -275,22 +281,23 @@
     }
     const auto id = request.id;
     const auto deadline = request.deadline_ms;
-    calls_.call(
-        home, wire::run_request{std::move(request)}, deadline,
-        [this, id, done = std::move(done)](const call_result& result) {
-            if (const auto* a = response_in<wire::service_response>(result)) {
-                done(*a);
-                return;
-            }
-            const auto* failure = std::get_if<call_failure>(&result);
-            const bool never_left =
-                failure != nullptr && *failure == call_failure::not_sent;
-            done(never_left ? wire::make_not_run_response(
-                                  id, wire::reason::home_unreachable,
-                                  default_retry_after_ms, self_)
-                            : wire::make_unknown_response(
-                                  id, wire::reason::connection_lost, self_));
-        });
+    calls_.call(home, wire::run_request{std::move(request)}, deadline,
+                [this, id, done = std::move(done)](const call_result& result) {
+                    if (const auto* response =
+                            response_in<wire::service_response>(result)) {
+                        done(*response);
+                        return;
+                    }
+                    const auto* failure = std::get_if<call_failure>(&result);
+                    const bool not_sent = failure != nullptr &&
+                                          *failure == call_failure::not_sent;
+                    done(not_sent
+                             ? wire::make_not_run_response(
+                                   id, wire::reason::home_unreachable,
+                                   default_retry_after_ms, self_)
+                             : wire::make_unknown_response(
+                                   id, wire::reason::connection_lost, self_));
+                });
 }
 
 } // namespace hibiscus::node
--- a/packages/node/src/control_plane_status.cpp
+++ b/packages/node/src/control_plane_status.cpp
@@ -13,13 +13,13 @@
 
 json members_to_json(const cluster::member_table& members) {
     json rows = json::array();
-    for (const auto& [node, row] : members.all()) {
+    for (const auto& [node, member] : members.all()) {
         rows.push_back({{"node", node.str()},
-                        {"zone", row.heartbeat.zone.str()},
-                        {"address", row.heartbeat.address},
-                        {"state", base::name_of(row.heartbeat.state)},
-                        {"revision", row.heartbeat.revision},
-                        {"engines", row.heartbeat.engines.size()}});
+                        {"zone", member.heartbeat.zone.str()},
+                        {"address", member.heartbeat.address},
+                        {"state", base::name_of(member.heartbeat.state)},
+                        {"revision", member.heartbeat.revision},
+                        {"engines", member.heartbeat.engines.size()}});
     }
     return rows;
 }
@@ -27,33 +27,33 @@
 json engines_to_json(const cluster::engine_table& engines,
                      const cluster::member_table& members) {
     json rows = json::array();
-    for (const auto& [id, row] : engines.all()) {
+    for (const auto& [id, engine] : engines.all()) {
         json serving = json::object();
-        for (const auto& s : row.status.serving) {
-            serving[s.trainer.str()] = s.version;
+        for (const auto& served : engine.status.serving) {
+            serving[served.trainer.str()] = served.version;
         }
         rows.push_back({{"engine", id.str()},
-                        {"pool", row.pool.str()},
-                        {"zone", row.zone.str()},
+                        {"pool", engine.pool.str()},
+                        {"zone", engine.zone.str()},
                         {"home", members.home_of("engine/" + id.str()).str()},
-                        {"healthy", row.status.healthy},
-                        {"leaving", row.leaving},
-                        {"admitted", row.status.admitted},
-                        {"slots", row.status.slots},
+                        {"healthy", engine.status.healthy},
+                        {"leaving", engine.leaving},
+                        {"admitted", engine.status.admitted},
+                        {"slots", engine.status.slots},
                         {"serving", std::move(serving)}});
     }
     return rows;
 }
 
-json usage_to_json(const policy::usage_meter& account) {
+json usage_to_json(const policy::usage_meter& meter) {
     json rows = json::array();
-    for (const auto& [owner, row] : account.owners()) {
+    for (const auto& [owner, usage] : meter.owners()) {
         rows.push_back(
             {{"owner", owner.str()},
-             {"used_ms", std::llround(row.used_ms)},
-             {"idle_ms", std::llround(row.idle_ms)},
-             {"idle_while_queued_ms", std::llround(row.idle_while_queued_ms)},
-             {"queued_ms", std::llround(row.queued_ms)}});
+             {"used_ms", std::llround(usage.used_ms)},
+             {"idle_ms", std::llround(usage.idle_ms)},
+             {"idle_while_queued_ms", std::llround(usage.idle_while_queued_ms)},
+             {"queued_ms", std::llround(usage.queued_ms)}});
     }
     return rows;
 }
@@ -74,17 +74,17 @@
 void control_plane::write_status(std::function<void(std::string)> done) {
     boost::asio::post(dependencies_.io, [this, d = std::move(done)] {
         const auto* config = config_.in_force();
-        json out{{"node", self_.str()},
-                 {"zone", dependencies_.config.zone.str()},
-                 {"state", base::name_of(state_)},
-                 {"revision", config != nullptr ? config->number : 0},
-                 {"document", config != nullptr ? config->text : ""},
-                 {"pending_claims", claims_.pending_count()},
-                 {"nodes", members_to_json(members_)},
-                 {"engines", engines_to_json(samples_.engines(), members_)},
-                 {"usage", usage_to_json(samples_.usage())},
-                 {"steps", steps_to_json(samples_.steps())}};
-        d(out.dump(-1, ' ', false, json::error_handler_t::replace));
+        json status{{"node", self_.str()},
+                    {"zone", dependencies_.config.zone.str()},
+                    {"state", base::name_of(state_)},
+                    {"revision", config != nullptr ? config->number : 0},
+                    {"document", config != nullptr ? config->text : ""},
+                    {"pending_claims", claims_.pending_count()},
+                    {"nodes", members_to_json(members_)},
+                    {"engines", engines_to_json(samples_.engines(), members_)},
+                    {"usage", usage_to_json(samples_.usage())},
+                    {"steps", steps_to_json(samples_.steps())}};
+        d(status.dump(-1, ' ', false, json::error_handler_t::replace));
     });
 }
 
--- a/packages/node/src/daemon.cpp
+++ b/packages/node/src/daemon.cpp
@@ -19,13 +19,13 @@
 
 namespace {
 
-constexpr base::millis connect_ms = 500;
+constexpr base::millis connect_timeout_ms = 500;
 constexpr base::millis drain_check_interval_ms = 50;
-/// The time without a request after which a draining node ends. A request may
-/// be on its way on a connection that a caller has kept.
+/// Time without a request after which a draining node stops. Until then, a
+/// request may still arrive on a connection that a caller keeps open.
 constexpr base::millis min_idle_ms = 300;
 
-net::http_limits to_http_limits(const settings& s) {
+net::http_limits make_http_limits(const settings& s) {
     net::http_limits limits;
     limits.max_body_bytes = s.body_bytes;
     limits.max_header_bytes = s.header_bytes;
@@ -35,17 +35,18 @@
 
 } // namespace
 
-/// Holds the parts in the order in which they depend on each other.
+/// Owns the components, in the order of their dependencies.
 class daemon::impl {
 public:
     explicit impl(const settings& config)
         : config_(config), logger_(config.node, config.log_level, clock_),
           traffic_guard_(traffic_io_.get_executor()),
-          links_guard_(links_io_.get_executor()),
+          mesh_guard_(mesh_io_.get_executor()),
           control_guard_(control_io_.get_executor()),
-          client_(traffic_io_, connect_ms), log_(client_, config.platform_log),
+          client_(traffic_io_, connect_timeout_ms),
+          log_(client_, config.platform_log),
           instances_(client_, config.platform_instances),
-          mesh_(links_io_, {}, make_peer_callbacks()),
+          mesh_(mesh_io_, {}, make_peer_callbacks()),
           service_gateway_(std::make_shared<service_gateway>(
               config.node, traffic_io_, client_, shared_, logger_, counters_,
               clock_)),
@@ -56,7 +57,7 @@
           api_(config.node, control_, shared_, *service_gateway_, counters_,
                clock_, static_cast<std::size_t>(config.non_idempotent_in_work)),
           server_(
-              traffic_io_, to_http_limits(config),
+              traffic_io_, make_http_limits(config),
               [this](net::http_request request, net::http_responder respond) {
                   api_.handle(std::move(request), std::move(respond));
               }),
@@ -85,7 +86,7 @@
         for (int i = 0; i < config_.traffic_threads; ++i) {
             threads.emplace_back([this] { run_guarded(traffic_io_); });
         }
-        threads.emplace_back([this] { run_guarded(links_io_); });
+        threads.emplace_back([this] { run_guarded(mesh_io_); });
         run_guarded(control_io_);
         for (auto& t : threads) {
             t.join();
@@ -111,8 +112,9 @@
                 }};
     }
 
-    /// Runs a context to its end. An exception that a handler lets out would
-    /// end the process; it is counted and the other handlers go on.
+    /// Runs `io` until it is stopped. An exception that escapes from a handler
+    /// would end the process; it is counted and logged instead, and the
+    /// remaining handlers run.
     void run_guarded(asio::io_context& io) {
         while (!io.stopped()) {
             try {
@@ -133,12 +135,12 @@
         });
     }
 
-    /// Ends the threads once every request that came in has its answer.
+    /// Stops the threads once every received request has its response.
     void wait_until_idle() {
         if (server_.idle_ms() >= min_idle_ms && control_.is_idle()) {
             logger_.event(severity::info, "stopped", {});
             traffic_io_.stop();
-            links_io_.stop();
+            mesh_io_.stop();
             control_io_.stop();
             return;
         }
@@ -161,10 +163,10 @@
     telemetry::metrics counters_;
     shared_view shared_;
     asio::io_context traffic_io_;
-    asio::io_context links_io_{1};
+    asio::io_context mesh_io_{1};
     asio::io_context control_io_{1};
     work_guard traffic_guard_;
-    work_guard links_guard_;
+    work_guard mesh_guard_;
     work_guard control_guard_;
     net::http_client client_;
     platform::log_client log_;
--- a/packages/node/src/engine_client.hpp
+++ b/packages/node/src/engine_client.hpp
@@ -9,30 +9,34 @@
 
 namespace hibiscus::node {
 
-/// Speaks to model engines. Callbacks run on a traffic thread.
+/// HTTP client for model engines. Callbacks run on a traffic thread unless
+/// stated otherwise.
 class engine_client {
 public:
-    /// Constructs a gateway that tells the time by `clock`.
+    /// Constructs a client that sends its requests with `http`.
     engine_client(net::http_client& http, base::clock clock);
 
-    /// Starts a stream, or finds the one of that id. `done` gets true if the
-    /// engine has it.
+    /// Starts a stream unless the engine already has one with this ID. Passes
+    /// true to `done` if the engine has the stream.
     void start_stream(const base::endpoint& engine,
                       const wire::stream_start& start,
                       std::function<void(bool)> done);
 
-    /// Stops a stream. There is no answer to wait for: an engine that did not
-    /// hear it goes on until the stream's end, and nobody takes the sample.
+    /// Stops a stream. The result is ignored: an engine that missed the request
+    /// generates the sample to its end, and the sample is then discarded.
     void stop_stream(const base::endpoint& engine,
                      const base::stream_id& stream);
 
-    /// Asks for news of streams.
+    /// Polls the engine for reports on streams. Passes nullopt to `done` if the
+    /// poll failed.
     void poll_streams(
         const base::endpoint& engine, const wire::engine_poll& poll,
         std::function<void(std::optional<wire::engine_poll_response>)> done);
 
-    /// Sends an order, unless `expires_at` has passed; `done` gets nothing if
-    /// it is not known what became of it.
+    /// Sends an order to serve a version, unless the monotonic time
+    /// `expires_at` has passed. Passes nullopt to `done` if the order was not
+    /// sent, in which case `done` runs before the function returns, or if its
+    /// outcome is unknown.
     void
     send_order(const base::endpoint& engine, const wire::version_order& order,
                base::millis expires_at,
--- a/packages/node/src/engine_selector.hpp
+++ b/packages/node/src/engine_selector.hpp
@@ -16,35 +16,36 @@
 
 namespace hibiscus::node {
 
-/// Chooses the engine of each slot by the policy that the document names for
-/// the pool, and writes a log line for each choice. Lives on the control
-/// thread.
+/// Selects the engine for each sample slot by the placement policy that the
+/// document sets for the pool, and logs each decision. Must be used on the
+/// control thread only.
 class engine_selector {
 public:
-    /// Returns the document in force, or null.
+    /// Returns the document in force, or null if there is none.
     using document_function = std::function<const document::document*()>;
 
-    /// Constructs a chooser of the node `self` among `engines`.
+    /// Constructs a selector for the node `self` that selects among `engines`.
+    /// The ID of the node seeds random choices.
     engine_selector(const base::node_id& self, cluster::engine_table& engines,
-                    const cluster::version_table& versions, event_log& lines,
-                    base::clock clock, document_function document);
+                    const cluster::version_table& versions, event_log& logger,
+                    base::clock clock, document_function current_document);
 
-    /// Returns an engine for a slot and counts the slot there, or nothing if
-    /// none can take it now.
+    /// Selects an engine for a sample slot and adds the slot to the engine's
+    /// estimated load. Returns nullopt if no engine has capacity now.
     std::optional<cluster::placement>
     select_engine(const cluster::placement_query& query);
 
 private:
-    /// The policy that runs for a pool, with its state.
+    /// The placement policy of a pool, with its state.
     struct pool_policy {
         document::placement_kind kind = document::placement_kind::random_choice;
         policy::placement_policy placement = policy::random_choice{};
     };
 
-    /// The newest version of a trainer and since when it is known here.
+    /// The newest version of a trainer and when this node learned of it.
     struct known_version {
         wire::weight_version version = 0;
-        base::millis since = 0;
+        base::millis first_seen_at = 0;
     };
 
     wire::weight_version oldest_start_version(const document::trainer& trainer,
@@ -55,7 +56,7 @@
                          const document::pool& pool);
     pool_policy& policy_of(const document::pool& pool);
     void log_choice(const document::trainer& trainer,
-                    const std::vector<policy::engine_candidate>& open,
+                    const std::vector<policy::engine_candidate>& candidates,
                     const policy::engine_candidate& chosen,
                     document::placement_kind kind);
 
@@ -63,10 +64,10 @@
     const cluster::version_table& versions_;
     event_log& logger_;
     base::clock clock_;
-    document_function document_;
+    document_function current_document_;
     std::map<base::pool_id, pool_policy> policies_;
     std::map<base::trainer_id, known_version> newest_versions_;
-    std::mt19937_64 random_;
+    std::mt19937_64 random_generator_;
 };
 
 } // namespace hibiscus::node
--- a/packages/node/src/event_log.cpp
+++ b/packages/node/src/event_log.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr unsigned queued_lines = 8192;
+constexpr unsigned max_queued_lines = 8192;
 
 log4cplus::LogLevel level_of(severity level) {
     switch (level) {
@@ -42,9 +42,10 @@
 }
 
 severity severity_of(const std::string& name) {
-    for (const auto s : {severity::debug, severity::warn, severity::error}) {
-        if (name == name_of(s)) {
-            return s;
+    for (const auto level :
+         {severity::debug, severity::warn, severity::error}) {
+        if (name == name_of(level)) {
+            return level;
         }
     }
     return severity::info;
@@ -52,20 +53,21 @@
 
 } // namespace
 
-/// Holds the library's objects.
+/// Owns the objects of the logging library.
 class event_log::impl {
 public:
-    impl(const base::node_id& node, const std::string& least, base::clock clock)
+    impl(const base::node_id& node, const std::string& min_level,
+         base::clock clock)
         : node_(node.str()), clock_(std::move(clock)),
           logger_(log4cplus::Logger::getInstance(node.str())) {
         log4cplus::SharedAppenderPtr console(
             new log4cplus::ConsoleAppender(true, true));
         console->setLayout(std::make_unique<log4cplus::PatternLayout>("%m%n"));
         log4cplus::SharedAppenderPtr queue(
-            new log4cplus::AsyncAppender(console, queued_lines));
+            new log4cplus::AsyncAppender(console, max_queued_lines));
         logger_.addAppender(queue);
         logger_.setAdditivity(false);
-        logger_.setLogLevel(level_of(severity_of(least)));
+        logger_.setLogLevel(level_of(severity_of(min_level)));
     }
 
     ~impl() { logger_.closeNestedAppenders(); }
@@ -87,15 +89,15 @@
     }
 
 private:
-    log4cplus::Initializer library_;
+    log4cplus::Initializer initializer_;
     std::string node_;
     base::clock clock_;
     log4cplus::Logger logger_;
 };
 
-event_log::event_log(const base::node_id& node, const std::string& least,
+event_log::event_log(const base::node_id& node, const std::string& min_level,
                      base::clock clock)
-    : impl_(std::make_unique<impl>(node, least, std::move(clock))) {}
+    : impl_(std::make_unique<impl>(node, min_level, std::move(clock))) {}
 
 event_log::~event_log() = default;
 
@@ -117,9 +119,9 @@
         return;
     }
     nlohmann::json line{{"event", name}};
-    for (const auto& f : fields) {
-        line[f.name] =
-            f.is_number ? nlohmann::json(f.number) : nlohmann::json(f.text);
+    for (const auto& field : fields) {
+        line[field.name] = field.is_number ? nlohmann::json(field.number)
+                                           : nlohmann::json(field.text);
     }
     impl_->write(level, std::move(line));
 }
--- a/packages/node/src/event_log.hpp
+++ b/packages/node/src/event_log.hpp
@@ -10,16 +10,16 @@
 
 namespace hibiscus::node {
 
-/// How much a log line matters.
+/// Severity of a log line, in ascending order.
 enum class severity { debug, info, warn, error };
 
-/// One named value of a log line.
+/// A key of a log line, with its value.
 struct log_field {
-    /// Constructs a field with a text.
+    /// Constructs a text field.
     log_field(const char* name, std::string text)
         : name(name), text(std::move(text)) {}
 
-    /// Constructs a field with a whole number.
+    /// Constructs an integer field.
     log_field(const char* name, std::int64_t number)
         : name(name), number(number), is_number(true) {}
 
@@ -29,37 +29,38 @@
     bool is_number = false;
 };
 
-/// A routing or placement decision: what was asked, what could have been
-/// chosen, what was, and why.
+/// A decision, such as the choice of a server: its subject, the candidates, the
+/// choice and the reason for it.
 struct decision {
-    /// "route", "place", "claim", "order", ...
+    /// "route", "place", "admit", "claim" or "order".
     const char* kind;
-    /// The request, sample or engine that it is about.
+    /// ID of the request, stream, trainer or engine that the decision concerns.
     std::string subject;
     std::vector<std::string> candidates;
     std::string choice;
     std::string reason;
 };
 
-/// Writes JSON lines to the standard error stream. Lines are queued, so that
-/// no thread waits for the reader of the stream. Safe for several threads.
+/// Writes JSON lines to the standard error stream. A separate thread writes the
+/// queued lines, so that callers do not wait for the reader of the stream.
+/// Thread-safe.
 class event_log {
 public:
-    /// Constructs a log of the node `node` that drops lines below `least`
-    /// ("debug", "info", "warn", "error").
-    event_log(const base::node_id& node, const std::string& least,
+    /// Constructs the log of the node `node`. Drops lines below the severity
+    /// `min_level` ("debug", "info", "warn" or "error").
+    event_log(const base::node_id& node, const std::string& min_level,
               base::clock clock);
 
-    /// Writes what is queued.
+    /// Flushes the queue.
     ~event_log();
 
     event_log(const event_log&) = delete;
     event_log& operator=(const event_log&) = delete;
 
-    /// Writes a decision.
+    /// Writes a line with the event name "decision".
     void write_decision(const decision& d);
 
-    /// Writes an event that is not a decision.
+    /// Writes a line with the event name `name` and the given fields.
     void event(severity level, const char* name,
                const std::vector<log_field>& fields);
 
--- a/packages/node/src/main.cpp
+++ b/packages/node/src/main.cpp
@@ -12,13 +12,13 @@
 namespace {
 
 constexpr int exit_ok = 0;
-constexpr int exit_listen = 1;
-constexpr int exit_settings = 2;
+constexpr int exit_listen_failed = 1;
+constexpr int exit_invalid_settings = 2;
 
 } // namespace
 
 /// Runs one entry instance of hibiscustack. Exits with 0 after a graceful
-/// shutdown, 1 if an address cannot be had, 2 if a setting is wrong.
+/// shutdown, 1 if an address cannot be bound, 2 if a setting is invalid.
 int main(int argc, char** argv) {
     absl::SetProgramUsageMessage(
         "runs one entry instance: hibiscusd --settings=FILE");
@@ -31,7 +31,7 @@
              std::get<hibiscus::node::setting_errors>(loaded)) {
             std::cerr << hibiscus::settings::to_string(error) << '\n';
         }
-        return exit_settings;
+        return exit_invalid_settings;
     }
     if (absl::GetFlag(FLAGS_check)) {
         return exit_ok;
@@ -40,7 +40,7 @@
     if (const auto error = daemon.run()) {
         std::cerr << "cannot listen on "
                   << hibiscus::base::to_string(error->address) << '\n';
-        return exit_listen;
+        return exit_listen_failed;
     }
     return exit_ok;
 }
--- a/packages/node/src/peer_rpc_client.hpp
+++ b/packages/node/src/peer_rpc_client.hpp
@@ -10,43 +10,46 @@
 
 namespace hibiscus::node {
 
-/// How far a call to a peer got that has no reply.
+/// Why a call to a peer has no reply.
 enum class call_failure {
-    not_sent, ///< No byte of it can have left this node.
-    lost      ///< The peer may have it.
+    not_sent, ///< No byte of the call has left this node.
+    lost      ///< The peer may have received the call.
 };
 
-/// What a call to a peer comes to.
+/// The reply to a call, or the reason why there is none.
 using call_result = std::variant<wire::reply_body, call_failure>;
 
-/// Calls other nodes and matches their replies. Lives on the control thread.
+/// Sends calls to other nodes and matches the replies to them. Must be used on
+/// the control thread only.
 class peer_rpc_client {
 public:
-    /// Constructs an object of the node `self` that speaks over `mesh` and
-    /// runs its callbacks on `control`.
+    /// Constructs a client of the node `self` that sends over `mesh`. Callbacks
+    /// run on `control_io`.
     peer_rpc_client(base::node_id self, net::peer_mesh& mesh,
-                    boost::asio::io_context& control, base::clock clock);
+                    boost::asio::io_context& control_io, base::clock clock);
 
-    /// Calls `to` and calls `done` once, within `deadline` ms.
-    void call(const base::node_id& to, wire::call_body body,
-              base::millis deadline, std::function<void(call_result)> done);
+    /// Sends a call to `peer`. Runs `done` exactly once; expire_calls() fails
+    /// the call after `timeout` ms.
+    void call(const base::node_id& peer, wire::call_body body,
+              base::millis timeout, std::function<void(call_result)> done);
 
-    /// Takes a reply; one that is late or unknown is dropped.
+    /// Finishes the call that `reply` belongs to. Ignores the reply if that
+    /// call is unknown or already finished.
     void on_reply(wire::reply reply);
 
     /// Returns the number of calls without a reply.
     std::size_t pending_count() const { return pending_.size(); }
 
-    /// Ends the calls to a node that is no longer heard, or whose link has
+    /// Fails the calls to a node that has left the cluster or whose link has
     /// closed.
     void fail_calls_to(const base::node_id& node);
 
-    /// Ends the calls whose time is over.
+    /// Fails the calls whose deadline has passed. Must be called periodically.
     void expire_calls();
 
 private:
     struct pending_call {
-        base::node_id to;
+        base::node_id peer;
         base::millis deadline = 0;
         std::function<void(call_result)> done;
     };
@@ -55,7 +58,7 @@
 
     base::node_id self_;
     net::peer_mesh& mesh_;
-    boost::asio::io_context& control_;
+    boost::asio::io_context& control_io_;
     base::clock clock_;
     std::map<std::uint64_t, pending_call> pending_;
     std::uint64_t last_call_id_ = 0;
--- a/packages/node/src/public_api.cpp
+++ b/packages/node/src/public_api.cpp
@@ -20,11 +20,11 @@
 
 constexpr std::size_t max_id_bytes = 128;
 constexpr base::millis max_deadline_ms = 600000;
-constexpr std::uint64_t max_slots_per_step = 65536;
+constexpr std::uint64_t max_samples_per_step = 65536;
 constexpr std::uint32_t max_tokens_per_sample = 1000000;
 constexpr base::millis default_ttl_ms = 1000;
 
-/// Returns the HTTP status that stands for an outcome.
+/// Returns the HTTP status for an outcome.
 int status_of(wire::outcome result, wire::reason why) {
     switch (result) {
     case wire::outcome::completed:
@@ -44,7 +44,7 @@
     return {status, wire::to_json(p), "application/json"};
 }
 
-/// Returns true if `id` can be a part of a path.
+/// Returns true if `id` is valid as a segment of a path.
 bool is_valid_id(const std::string& id) {
     const auto allowed = [](unsigned char c) {
         return std::isalnum(c) != 0 || c == '-' || c == '_' || c == '.';
@@ -53,14 +53,14 @@
            id != ".." && std::all_of(id.begin(), id.end(), allowed);
 }
 
-std::vector<std::string> split(const std::string& target) {
+std::vector<std::string> split_path(const std::string& target) {
     std::vector<std::string> parts;
-    std::size_t at = 1;
+    std::size_t segment_begin = 1;
     const auto end = std::min(target.find('?'), target.size());
-    while (at <= end) {
-        const auto slash = std::min(target.find('/', at), end);
-        parts.push_back(target.substr(at, slash - at));
-        at = slash + 1;
+    while (segment_begin <= end) {
+        const auto slash = std::min(target.find('/', segment_begin), end);
+        parts.push_back(target.substr(segment_begin, slash - segment_begin));
+        segment_begin = slash + 1;
     }
     return parts;
 }
@@ -71,65 +71,67 @@
     return parsed.ec == std::errc() && parsed.ptr == last && number >= 0;
 }
 
-/// Returns what is wrong with a request to a service, or nothing.
-std::optional<wire::problem> check(const wire::service_request& r) {
-    const auto bad = wire::reason::invalid_request;
+/// Returns the first problem of a request to a service, or nullopt if it is
+/// valid.
+std::optional<wire::problem> validate(const wire::service_request& r) {
+    const auto invalid = wire::reason::invalid_request;
     if (!is_valid_id(r.id.str())) {
-        return wire::problem{bad, "/id", "1 to 128 of A-Z a-z 0-9 - _ ."};
+        return wire::problem{invalid, "/id", "1 to 128 of A-Z a-z 0-9 - _ ."};
     }
     if (r.deadline_ms <= 0 || r.deadline_ms > max_deadline_ms) {
-        return wire::problem{bad, "/deadline_ms", "1 to 600000"};
+        return wire::problem{invalid, "/deadline_ms", "1 to 600000"};
     }
     if (!r.idempotent && r.created_ms <= 0) {
-        return wire::problem{bad, "/created_ms", "the time of day in ms"};
+        return wire::problem{invalid, "/created_ms", "the time of day in ms"};
     }
     return std::nullopt;
 }
 
-/// Returns what is wrong with a step, or nothing.
-std::optional<wire::problem> check(const wire::step_request& r) {
-    const auto bad = wire::reason::invalid_request;
-    std::uint64_t slots = 0;
+/// Returns the first problem of a step, or nullopt if it is valid.
+std::optional<wire::problem> validate(const wire::step_request& r) {
+    const auto invalid = wire::reason::invalid_request;
+    std::uint64_t total_samples = 0;
     for (std::size_t i = 0; i < r.groups.size(); ++i) {
-        const auto at = "/groups/" + std::to_string(i);
-        slots += r.groups[i].samples;
-        if (r.groups[i].samples == 0 || slots > max_slots_per_step) {
-            return wire::problem{bad, at + "/samples",
+        const auto group_path = "/groups/" + std::to_string(i);
+        total_samples += r.groups[i].samples;
+        if (r.groups[i].samples == 0 || total_samples > max_samples_per_step) {
+            return wire::problem{invalid, group_path + "/samples",
                                  "1 or more, 65536 in all"};
         }
         if (r.groups[i].max_tokens == 0 ||
             r.groups[i].max_tokens > max_tokens_per_sample) {
-            return wire::problem{bad, at + "/max_tokens", "1 to 1000000"};
+            return wire::problem{invalid, group_path + "/max_tokens",
+                                 "1 to 1000000"};
         }
     }
     if (r.groups.empty()) {
-        return wire::problem{bad, "/groups", "one group or more"};
+        return wire::problem{invalid, "/groups", "one group or more"};
     }
     if (r.version < 0) {
-        return wire::problem{bad, "/version", "0 or more"};
+        return wire::problem{invalid, "/version", "0 or more"};
     }
     return std::nullopt;
 }
 
-/// Returns what is wrong with a pull, or nothing.
-std::optional<wire::problem> check(const wire::pull_request& r) {
-    const auto bad = wire::reason::invalid_request;
+/// Returns the first problem of a pull, or nullopt if it is valid.
+std::optional<wire::problem> validate(const wire::pull_request& r) {
+    const auto invalid = wire::reason::invalid_request;
     if (r.version < 0) {
-        return wire::problem{bad, "/version", "0 or more"};
+        return wire::problem{invalid, "/version", "0 or more"};
     }
     for (const auto& range : r.received) {
-        if (range.first > range.last || range.last >= max_slots_per_step) {
-            return wire::problem{bad, "/received", "pairs [first, last]"};
+        if (range.first > range.last || range.last >= max_samples_per_step) {
+            return wire::problem{invalid, "/received", "pairs [first, last]"};
         }
     }
     if (r.wait_ms < 0) {
-        return wire::problem{bad, "/wait_ms", "0 or more"};
+        return wire::problem{invalid, "/wait_ms", "0 or more"};
     }
     return std::nullopt;
 }
 
-/// Returns the message in a request's body; answers a 4xx and returns nothing
-/// if there is none.
+/// Returns the message in the body of a request. If the body is invalid, sends
+/// a 4xx response and returns nullopt.
 template <class T>
 std::optional<T> parse_body(const net::http_request& request,
                             const net::http_responder& respond) {
@@ -138,43 +140,44 @@
                         "application/json"));
         return std::nullopt;
     }
-    auto read = wire::from_json<T>(request.body);
-    auto* value = base::value_if(read);
+    auto decoded = wire::from_json<T>(request.body);
+    auto* value = base::value_if(decoded);
     if (value == nullptr) {
         respond(problem(status_bad_request, "/body",
-                        std::get<wire::decode_error>(read).message));
+                        std::get<wire::decode_error>(decoded).message));
         return std::nullopt;
     }
-    if (const auto wrong = check(*value)) {
+    if (const auto error = validate(*value)) {
         respond(
-            {status_bad_request, wire::to_json(*wrong), "application/json"});
+            {status_bad_request, wire::to_json(*error), "application/json"});
         return std::nullopt;
     }
     return std::move(*value);
 }
 
-/// Returns a function that counts an answer and sends it.
+/// Returns a function that counts a response and sends it.
 template <class T>
-std::function<void(T)> respond_with(telemetry::metrics& counters,
-                                    const char* kind,
-                                    net::http_responder respond) {
-    return [&counters, kind, respond = std::move(respond)](const T& answer) {
-        counters.count_response(kind, std::string(base::name_of(answer.result)),
-                                std::string(base::name_of(answer.why)));
-        respond({status_of(answer.result, answer.why), wire::to_json(answer),
-                 "application/json"});
+std::function<void(T)> make_response_function(telemetry::metrics& counters,
+                                              const char* kind,
+                                              net::http_responder respond) {
+    return [&counters, kind, respond = std::move(respond)](const T& response) {
+        counters.count_response(kind,
+                                std::string(base::name_of(response.result)),
+                                std::string(base::name_of(response.why)));
+        respond({status_of(response.result, response.why),
+                 wire::to_json(response), "application/json"});
     };
 }
 
 } // namespace
 
-public_api::public_api(base::node_id self, control_plane& state,
+public_api::public_api(base::node_id self, control_plane& control,
                        const shared_view& shared, service_gateway& services,
                        telemetry::metrics& counters, base::clock clock,
-                       std::size_t most)
-    : self_(std::move(self)), control_(state), shared_(shared),
+                       std::size_t max_non_idempotent)
+    : self_(std::move(self)), control_(control), shared_(shared),
       services_(services), counters_(counters), clock_(std::move(clock)),
-      non_idempotent_limit_(most) {}
+      non_idempotent_limit_(max_non_idempotent) {}
 
 void public_api::handle(net::http_request request,
                         net::http_responder respond) {
@@ -182,7 +185,7 @@
         handle_get(request, respond);
         return;
     }
-    const auto path = split(request.target);
+    const auto path = split_path(request.target);
     if (path.size() == 2 && path[0] == "v1" && path[1] == "requests") {
         run_service(request, respond);
         return;
@@ -221,12 +224,12 @@
 }
 
 void public_api::list_entries(const net::http_responder& respond) {
-    const auto v = shared_.get();
-    wire::entries_response answer;
-    answer.ttl_ms =
-        v->config ? v->config->content.limit.entries_ttl_ms : default_ttl_ms;
-    answer.entries = v->entries;
-    respond({status_ok, wire::to_json(answer), "application/json"});
+    const auto view = shared_.get();
+    wire::entries_response response;
+    response.ttl_ms = view->config ? view->config->content.limit.entries_ttl_ms
+                                   : default_ttl_ms;
+    response.entries = view->entries;
+    respond({status_ok, wire::to_json(response), "application/json"});
 }
 
 bool public_api::accepts_requests(wire::reason& why) const {
@@ -247,8 +250,8 @@
     if (!body) {
         return;
     }
-    auto done =
-        respond_with<wire::service_response>(counters_, "service", respond);
+    auto done = make_response_function<wire::service_response>(
+        counters_, "service", respond);
     wire::reason why{};
     if (!accepts_requests(why)) {
         done(wire::make_not_run_response(body->id, why, default_ttl_ms, self_));
@@ -259,33 +262,33 @@
     }
 }
 
-/// Hands a non-idempotent request to the control thread. That thread works off
-/// what it is given in turn, so without a bound an overload would let each
-/// request wait behind all others until its deadline; the caller is told at
-/// once instead.
+/// Passes a non-idempotent request to the control thread. That thread handles
+/// requests one after the other, so during an overload without a limit each
+/// request would wait behind all others until its deadline. Requests beyond the
+/// limit are rejected at once instead.
 void public_api::run_non_idempotent(
     const wire::service_request& request,
     std::function<void(wire::service_response)> done) {
-    std::optional<base::millis> refused_for;
+    std::optional<base::millis> retry_after;
     {
         const std::lock_guard<std::mutex> lock(mutex_);
         if (!non_idempotent_limit_.try_acquire()) {
-            refused_for = non_idempotent_limit_.retry_after(clock_.now());
+            retry_after = non_idempotent_limit_.retry_after(clock_.now());
         }
     }
-    if (refused_for) {
+    if (retry_after) {
         done(wire::make_not_run_response(request.id, wire::reason::overloaded,
-                                         *refused_for, self_));
+                                         *retry_after, self_));
         return;
     }
-    control_.run_request(
-        request, [this, done = std::move(done)](wire::service_response answer) {
-            {
-                const std::lock_guard<std::mutex> lock(mutex_);
-                non_idempotent_limit_.release(clock_.now());
-            }
-            done(std::move(answer));
-        });
+    control_.run_request(request, [this, done = std::move(done)](
+                                      wire::service_response response) {
+        {
+            const std::lock_guard<std::mutex> lock(mutex_);
+            non_idempotent_limit_.release(clock_.now());
+        }
+        done(std::move(response));
+    });
 }
 
 void public_api::handle_trainer_request(const net::http_request& request,
@@ -298,14 +301,14 @@
                         "a trainer's name and a number"));
         return;
     }
-    const bool put = request.method == "PUT";
-    const bool post = request.method == "POST";
-    if (path.size() == 5 && path[3] == "steps" && put) {
+    const bool is_put = request.method == "PUT";
+    const bool is_post = request.method == "POST";
+    if (path.size() == 5 && path[3] == "steps" && is_put) {
         open_step(request, trainer, number, respond);
-    } else if (path.size() == 5 && path[3] == "versions" && put) {
+    } else if (path.size() == 5 && path[3] == "versions" && is_put) {
         publish_version(trainer, number, respond);
     } else if (path.size() == 6 && path[3] == "steps" && path[5] == "pull" &&
-               post) {
+               is_post) {
         pull_samples(request, trainer, number, respond);
     } else if (path[3] == "steps" || path[3] == "versions") {
         respond(problem(status_method_not_allowed, "/method",
@@ -323,7 +326,8 @@
     if (!body) {
         return;
     }
-    auto done = respond_with<wire::step_response>(counters_, "step", respond);
+    auto done =
+        make_response_function<wire::step_response>(counters_, "step", respond);
     wire::reason why{};
     if (!accepts_requests(why)) {
         done({wire::outcome::not_run, why, default_ttl_ms, 0});
@@ -340,22 +344,23 @@
     if (!body) {
         return;
     }
-    auto done = respond_with<wire::pull_response>(counters_, "pull", respond);
+    auto done =
+        make_response_function<wire::pull_response>(counters_, "pull", respond);
     wire::reason why{};
     if (!accepts_requests(why)) {
-        wire::pull_response answer;
-        answer.pull = body->pull;
-        answer.result = wire::outcome::not_run;
-        answer.why = why;
-        answer.retry_after_ms = default_ttl_ms;
-        answer.node = self_;
-        done(std::move(answer));
+        wire::pull_response response;
+        response.pull = body->pull;
+        response.result = wire::outcome::not_run;
+        response.why = why;
+        response.retry_after_ms = default_ttl_ms;
+        response.node = self_;
+        done(std::move(response));
         return;
     }
-    const auto v = shared_.get();
-    if (v->config) {
+    const auto view = shared_.get();
+    if (view->config) {
         body->wait_ms =
-            std::min(body->wait_ms, v->config->content.limit.pull_wait_ms);
+            std::min(body->wait_ms, view->config->content.limit.pull_wait_ms);
     }
     control_.pull_samples({trainer, step, *body}, std::move(done));
 }
@@ -363,15 +368,15 @@
 void public_api::publish_version(const base::trainer_id& trainer,
                                  wire::weight_version version,
                                  const net::http_responder& respond) {
-    auto done =
-        respond_with<wire::version_response>(counters_, "version", respond);
+    auto done = make_response_function<wire::version_response>(
+        counters_, "version", respond);
     wire::reason why{};
     if (!accepts_requests(why)) {
         done({wire::outcome::not_run, why, default_ttl_ms, 0});
         return;
     }
-    const auto v = shared_.get();
-    if (v->config && v->config->content.find(trainer) == nullptr) {
+    const auto view = shared_.get();
+    if (view->config && view->config->content.find(trainer) == nullptr) {
         done({wire::outcome::not_run, wire::reason::unknown_trainer,
               default_ttl_ms, 0});
         return;
--- a/packages/node/src/public_api.hpp
+++ b/packages/node/src/public_api.hpp
@@ -10,18 +10,20 @@
 
 namespace hibiscus::node {
 
-/// Answers the callers' HTTP requests on traffic threads. Each path, method
-/// and body that is wrong gets a typed 4xx; see docs/API.md.
+/// Handles the HTTP requests of callers, on traffic threads. A request with an
+/// invalid path, method or body gets a 4xx response with a typed problem; see
+/// docs/API.md.
 class public_api {
 public:
-    /// Constructs the API of a node that takes `most` non-idempotent requests
-    /// at a time.
-    public_api(base::node_id self, control_plane& state,
+    /// Constructs the API of a node that accepts at most `max_non_idempotent`
+    /// non-idempotent requests in flight.
+    public_api(base::node_id self, control_plane& control,
                const shared_view& shared, service_gateway& services,
                telemetry::metrics& counters, base::clock clock,
-               std::size_t most);
+               std::size_t max_non_idempotent);
 
-    /// Handles one request.
+    /// Handles one request. `respond` may be called later and on another
+    /// thread.
     void handle(net::http_request request, net::http_responder respond);
 
 private:
--- a/packages/node/src/rollout_planner.hpp
+++ b/packages/node/src/rollout_planner.hpp
@@ -8,19 +8,21 @@
 
 namespace hibiscus::node {
 
-/// Decides when the engines of a pool swap to a new version, by the document
-/// and by what the nodes say of the pool. Lives on the control thread.
+/// Decides when the engines of a pool swap to a new version, based on the
+/// document and on the engine statuses that nodes report. Must be used on the
+/// control thread only.
 class rollout_planner {
 public:
-    /// Returns the document in force, or null.
+    /// Returns the document in force, or null if there is none.
     using document_function = std::function<const document::document*()>;
 
-    /// Constructs a planner for the engines of `engines`.
+    /// Constructs a planner for `engines`. `engines` and `versions` must
+    /// outlive it.
     rollout_planner(const cluster::engine_table& engines,
                     const cluster::version_table& versions,
-                    document_function document);
+                    document_function current_document);
 
-    /// Returns true if it is the engine's turn to swap to `version`.
+    /// Returns true if `engine` may swap to `version` now.
     bool may_swap(base::millis now, const base::engine_id& engine,
                   const wire::trainer_version& version) const;
 
--- a/packages/node/src/sample_driver.hpp
+++ b/packages/node/src/sample_driver.hpp
@@ -21,76 +21,80 @@
 
 namespace hibiscus::node {
 
-/// Carries out what the homes of steps and engines decide. Lives on the
-/// control thread.
+/// Executes the effects of the step and engine coordinators. Must be used on
+/// the control thread only.
 class sample_driver {
 public:
-    /// Takes the answer to one pull.
+    /// Receives the response to one pull.
     using pull_function = std::function<void(wire::pull_response)>;
 
-    /// Returns the document in force, or null.
+    /// Returns the document in force, or null if there is none.
     using document_function = std::function<const document::document*()>;
 
-    /// Constructs a runner of the node `self`.
-    sample_driver(const base::node_id& self, boost::asio::io_context& control,
+    /// Constructs a driver for the node `self`. Callbacks run on `control_io`.
+    sample_driver(const base::node_id& self,
+                  boost::asio::io_context& control_io,
                   const cluster::member_table& members, peer_rpc_client& calls,
                   net::peer_mesh& mesh, platform::log_client& log,
-                  engine_client& engines, event_log& lines,
+                  engine_client& engines, event_log& logger,
                   telemetry::metrics& counters, base::clock clock,
-                  document_function document);
+                  document_function current_document);
 
-    /// Opens a step whose home this node is.
+    /// Opens a step of a trainer whose home is this node.
     wire::step_response open_step(const wire::open_step& message);
 
-    /// Answers a pull whose home this node is.
+    /// Handles a pull of a trainer whose home is this node.
     void pull_samples(const wire::pull_step& message, pull_function done);
 
-    /// Returns the answer of another home without what is too old by now.
-    wire::pull_response without_stale_samples(const base::trainer_id& trainer,
-                                              wire::pull_response answer) const;
+    /// Returns the pull response of another home without the samples that have
+    /// become stale in the meantime.
+    wire::pull_response
+    without_stale_samples(const base::trainer_id& trainer,
+                          wire::pull_response response) const;
 
-    /// Admits a stream at an engine whose home this node is.
+    /// Admits or refuses a stream at an engine whose home is this node.
     wire::place_response admit_stream(const wire::place_sample& message);
 
-    /// Takes reports of an engine's home.
+    /// Handles reports from the home of an engine.
     void on_report(const wire::sample_report& message);
 
-    /// Takes an acknowledgement of reports.
+    /// Handles the acknowledgement of reports that this node sent.
     void on_acknowledgement(const wire::sample_ack& message);
 
-    /// Stops streams at engines whose home this node is.
+    /// Cancels streams at engines whose home is this node.
     void cancel_streams(const wire::cancel_streams& message);
 
-    /// Notes a trainer's version.
+    /// Records a version of a trainer if it is newer than the known one.
     void update_newest_version(const base::trainer_id& trainer,
                                wire::weight_version version);
 
-    /// Notes what a peer says of the engines whose home it is.
-    void on_heartbeat(const wire::heartbeat& beat);
+    /// Applies the versions and engine statuses of a node's heartbeat.
+    void on_heartbeat(const wire::heartbeat& heartbeat);
 
-    /// Takes over the platform's list.
-    void update_instances(const wire::instance_list& page);
+    /// Applies the instance list of the platform.
+    void update_instances(const wire::instance_list& list);
 
-    /// Takes over engines and trainers, or leaves them, as the members and
-    /// the document say.
+    /// Takes over or releases engines and trainers according to the members and
+    /// the document.
     void assign_homes();
 
-    /// Does what is due.
+    /// Handles expired timers, polls engines and records usage.
     void tick();
 
-    /// Returns the loads of this home's engines, for heartbeats.
+    /// Returns the statuses of the engines whose home is this node, for
+    /// heartbeats.
     std::vector<wire::engine_status> engine_statuses() const;
 
-    /// Returns the newest versions.
+    /// Returns the newest version of each trainer.
     const cluster::version_table& versions() const { return versions_; }
 
-    /// Returns all engines that are listed.
+    /// Returns all engines of the instance list.
     const cluster::engine_table& engines() const { return engines_; }
 
-    /// Returns the slot time of this home's engines by owner.
+    /// Returns the slot time, by owner, of the engines whose home is this node.
     const policy::usage_meter& usage() const { return usage_; }
 
-    /// Returns the trainers whose steps this node has.
+    /// Returns the steps of the trainers whose home is this node.
     const cluster::step_coordinator& steps() const { return step_coordinator_; }
 
 private:
@@ -98,13 +102,13 @@
     staleness_bound_of(const base::trainer_id& trainer) const;
     cluster::straggler_policy
     straggler_policy_of(const base::trainer_id& trainer) const;
-    cluster::engine_traits traits_of(const cluster::engine_entry& row,
+    cluster::engine_traits traits_of(const cluster::engine_entry& entry,
                                      const document::document& document,
                                      const document::pool& pool) const;
     void request_streams_of_moved_engines();
     void forward_report(const wire::sample_report& message);
 
-    void note_ended(const wire::sample_report& message);
+    void record_ended_streams(const wire::sample_report& message);
     void execute_effects();
     void execute(const cluster::place_stream& effect);
     void execute(const cluster::cancel_stream& effect);
@@ -115,16 +119,17 @@
     void execute(const cluster::send_report& effect);
     void execute(const cluster::append_epoch& effect);
     void on_place_response(const base::stream_id& stream,
-                           const wire::place_response& answer);
+                           const wire::place_response& response);
     void poll_engines();
     void
     on_poll_response(const base::engine_id& engine,
-                     const std::optional<wire::engine_poll_response>& news);
-    std::optional<base::endpoint> address_of(const base::engine_id& e) const;
+                     const std::optional<wire::engine_poll_response>& response);
+    std::optional<base::endpoint>
+    address_of(const base::engine_id& engine) const;
     base::node_id home_of(const base::engine_id& engine) const;
 
     base::node_id self_;
-    boost::asio::io_context& control_;
+    boost::asio::io_context& control_io_;
     const cluster::member_table& members_;
     peer_rpc_client& calls_;
     net::peer_mesh& mesh_;
@@ -133,7 +138,7 @@
     event_log& logger_;
     telemetry::metrics& counters_;
     base::clock clock_;
-    document_function document_;
+    document_function current_document_;
     cluster::version_table versions_;
     cluster::engine_table engines_;
     engine_selector selector_;
@@ -144,7 +149,7 @@
     std::map<base::engine_id, base::node_id> engine_homes_;
     policy::usage_meter usage_;
     std::map<cluster::waiter_id, pull_function> callbacks_;
-    cluster::waiter_id last_waiter_ = 0;
+    cluster::waiter_id last_waiter_id_ = 0;
     std::set<base::engine_id> engines_being_polled_;
     std::map<base::engine_id, base::millis> last_poll_at_;
     std::uint64_t epoch_append_count_ = 0;
--- a/packages/node/src/service_gateway.cpp
+++ b/packages/node/src/service_gateway.cpp
@@ -20,34 +20,34 @@
 
 } // namespace
 
-/// A request between its arrival and its answer. Guarded by the gateway's
-/// lock, but for what never changes.
+/// A request that has no response yet. The mutex of the gateway guards it,
+/// except for members that never change.
 struct service_gateway::pending_request {
     wire::service_request request;
     done_function done;
     base::millis deadline = 0;
-    int number = 0;
+    int attempt_count = 0;
     int in_flight = 0;
-    /// The instance of the last attempt.
+    /// The backend server of the last attempt.
     std::string instance;
     /// True once an attempt may have reached a backend server.
     bool may_have_run = false;
     bool answered = false;
     bool hedged = false;
-    /// True if the budget has already paid for the next attempt.
-    bool retry_paid = false;
+    /// True if the retry budget has already been charged for the next attempt.
+    bool retry_charged = false;
 };
 
-/// One send of a request.
+/// One attempt to send a request to a backend server.
 struct service_gateway::attempt {
-    attempt(boost::asio::io_context& io, pending_ptr p)
-        : request(std::move(p)), timer(io) {}
+    attempt(boost::asio::io_context& io, pending_ptr pending)
+        : request(std::move(pending)), timer(io) {}
 
     pending_ptr request;
     policy::instance_candidate instance;
     int number = 0;
     base::millis started_at = 0;
-    base::millis hedge_after = 0;
+    base::millis hedge_delay = 0;
     bool finished = false;
     std::function<void()> cancel;
     boost::asio::steady_timer timer;
@@ -66,10 +66,10 @@
 
 void service_gateway::run(const wire::service_request& request,
                           done_function done) {
-    auto p = std::make_shared<pending_request>();
-    p->request = request;
-    p->done = std::move(done);
-    p->deadline = clock_.now() + request.deadline_ms;
+    auto pending = std::make_shared<pending_request>();
+    pending->request = request;
+    pending->done = std::move(done);
+    pending->deadline = clock_.now() + request.deadline_ms;
     const auto view = shared_.get();
     {
         const std::lock_guard<std::mutex> lock(mutex_);
@@ -78,7 +78,7 @@
         }
         retry_budget_.deposit();
     }
-    start(p);
+    start(pending);
 }
 
 std::size_t service_gateway::queued_count() const {
@@ -86,150 +86,155 @@
     return queued_count_;
 }
 
-void service_gateway::start(const pending_ptr& p) {
-    if (clock_.now() >= p->deadline) {
-        fail_request(p, wire::reason::deadline_passed, default_retry_after_ms);
+void service_gateway::start(const pending_ptr& pending) {
+    if (clock_.now() >= pending->deadline) {
+        fail_request(pending, wire::reason::deadline_passed,
+                     default_retry_after_ms);
         return;
     }
-    if (const auto a = select_instance(p)) {
-        dispatch(a);
+    if (const auto attempt = select_instance(pending)) {
+        dispatch(attempt);
     }
 }
 
-/// Returns an attempt to make now; or queues the request, or gives it up, and
-/// returns null.
+/// Returns an attempt that can be sent now. Otherwise queues or fails the
+/// request and returns null.
 service_gateway::attempt_ptr
-service_gateway::select_instance(const pending_ptr& p) {
+service_gateway::select_instance(const pending_ptr& pending) {
     const auto view = shared_.get();
-    const auto& name = p->request.service;
+    const auto& name = pending->request.service;
     const auto* service =
         view->config ? view->config->content.find(name) : nullptr;
     const auto listed = view->services.find(name);
     if (service == nullptr || listed == view->services.end()) {
-        fail_request(p,
+        fail_request(pending,
                      service == nullptr ? wire::reason::unknown_service
                                         : wire::reason::no_backend,
                      default_retry_after_ms);
         return nullptr;
     }
-    policy::admission_decision verdict;
+    policy::admission_decision admission;
     {
         const std::lock_guard<std::mutex> lock(mutex_);
         auto& state = services_[name];
         if (state.queue.empty()) {
-            if (auto a = select_instance_locked(state, p, *service,
-                                                listed->second)) {
-                return a;
+            if (auto attempt = select_instance_locked(state, pending, *service,
+                                                      listed->second)) {
+                return attempt;
             }
         }
         const auto now = clock_.now();
-        verdict = policy::admit({state.queue.size(),
-                                 state.drain_rate.rate_per_ms(now),
-                                 state.latency.mean(), p->deadline - now});
-        if (verdict.admitted) {
-            state.queue.push_back(p);
+        admission = policy::admit(
+            {state.queue.size(), state.drain_rate.rate_per_ms(now),
+             state.latency.mean(), pending->deadline - now});
+        if (admission.admitted) {
+            state.queue.push_back(pending);
             ++queued_count_;
             arm_expiry_timer();
         }
     }
-    log_choice(*p, listed->second, verdict.admitted ? "queue" : "none",
+    log_choice(*pending, listed->second, admission.admitted ? "queue" : "none",
                "all at their limit, predicted wait " +
-                   std::to_string(verdict.wait) + " ms");
-    if (!verdict.admitted) {
-        fail_request(p, wire::reason::overloaded, verdict.wait);
+                   std::to_string(admission.wait) + " ms");
+    if (!admission.admitted) {
+        fail_request(pending, wire::reason::overloaded, admission.wait);
     }
     return nullptr;
 }
 
 service_gateway::attempt_ptr service_gateway::select_instance_locked(
-    service_state& state, const pending_ptr& p,
+    service_state& state, const pending_ptr& pending,
     const document::service& service,
-    const std::vector<policy::instance_candidate>& from) {
+    const std::vector<policy::instance_candidate>& candidates) {
     const auto now = clock_.now();
-    const auto chosen =
-        router_.begin_request(from, service.max_in_flight, p->instance, now);
+    const auto chosen = router_.begin_request(candidates, service.max_in_flight,
+                                              pending->instance, now);
     if (!chosen) {
         return nullptr;
     }
-    auto a = std::make_shared<attempt>(io_, p);
-    a->instance = from[*chosen];
-    a->number = ++p->number;
-    a->started_at = now;
-    a->hedge_after = state.latency.timeout();
-    p->instance = a->instance.id;
-    p->retry_paid = false;
-    ++p->in_flight;
-    log_choice(*p, from, a->instance.id,
-               a->number > 1 ? "attempt " + std::to_string(a->number)
-                             : "fewest in flight");
-    return a;
+    auto new_attempt = std::make_shared<attempt>(io_, pending);
+    new_attempt->instance = candidates[*chosen];
+    new_attempt->number = ++pending->attempt_count;
+    new_attempt->started_at = now;
+    new_attempt->hedge_delay = state.latency.timeout();
+    pending->instance = new_attempt->instance.id;
+    pending->retry_charged = false;
+    ++pending->in_flight;
+    log_choice(*pending, candidates, new_attempt->instance.id,
+               new_attempt->number > 1
+                   ? "attempt " + std::to_string(new_attempt->number)
+                   : "fewest in flight");
+    return new_attempt;
 }
 
-void service_gateway::dispatch(const attempt_ptr& a) {
-    const auto& request = a->request->request;
-    const auto target = base::parse_endpoint(a->instance.address);
+void service_gateway::dispatch(const attempt_ptr& attempt) {
+    const auto& request = attempt->request->request;
+    const auto target = base::parse_endpoint(attempt->instance.address);
     net::http_request message;
     message.method = "POST";
     message.target = "/v1/run/" + request.id.str();
     message.body = request.body;
-    // A second attempt goes out on a new connection: the first may have failed
-    // because the network has lost track of those that wait.
-    const bool may_reuse = request.idempotent && a->number == 1;
-    auto cancel =
-        http_.send(target.value_or(base::endpoint{}), std::move(message),
-                   a->request->deadline - a->started_at,
-                   may_reuse ? net::connection_reuse::allowed
-                             : net::connection_reuse::never,
-                   [self = shared_from_this(), a](const net::http_result& r) {
-                       self->on_http_result(a, r);
-                   });
+    // A retry uses a new connection: the first attempt may have failed because
+    // the network has lost the state of idle connections.
+    const bool may_reuse = request.idempotent && attempt->number == 1;
+    auto cancel = http_.send(
+        target.value_or(base::endpoint{}), std::move(message),
+        attempt->request->deadline - attempt->started_at,
+        may_reuse ? net::connection_reuse::allowed
+                  : net::connection_reuse::never,
+        [self = shared_from_this(), attempt](const net::http_result& r) {
+            self->on_http_result(attempt, r);
+        });
     const std::lock_guard<std::mutex> lock(mutex_);
-    if (!a->finished && request.idempotent) {
-        a->cancel = std::move(cancel);
-        arm_hedge_timer(a);
+    if (!attempt->finished && request.idempotent) {
+        attempt->cancel = std::move(cancel);
+        arm_hedge_timer(attempt);
     }
 }
 
-/// Looks at the attempt again when an answer should have come. On a silent
-/// connection none ever does, and without this the caller would wait until
-/// its deadline.
-void service_gateway::arm_hedge_timer(const attempt_ptr& a) {
-    a->timer.expires_after(std::chrono::milliseconds(a->hedge_after));
-    a->timer.async_wait(
-        [self = shared_from_this(), a](const boost::system::error_code& error) {
-            if (!error) {
-                self->on_hedge_timer(a);
-            }
-        });
+/// Schedules a check of the attempt for the time when its response is overdue.
+/// On a connection that has gone silent no response ever arrives, and the
+/// caller would otherwise wait until its deadline.
+void service_gateway::arm_hedge_timer(const attempt_ptr& attempt) {
+    attempt->timer.expires_after(
+        std::chrono::milliseconds(attempt->hedge_delay));
+    attempt->timer.async_wait([self = shared_from_this(), attempt](
+                                  const boost::system::error_code& error) {
+        if (!error) {
+            self->on_hedge_timer(attempt);
+        }
+    });
 }
 
-void service_gateway::on_hedge_timer(const attempt_ptr& a) {
-    const auto& p = a->request;
+void service_gateway::on_hedge_timer(const attempt_ptr& attempt) {
+    const auto& pending = attempt->request;
     const auto view = shared_.get();
     const auto* service =
-        view->config ? view->config->content.find(p->request.service) : nullptr;
-    const auto listed = view->services.find(p->request.service);
+        view->config ? view->config->content.find(pending->request.service)
+                     : nullptr;
+    const auto listed = view->services.find(pending->request.service);
     std::function<void()> cancel;
-    attempt_ptr second;
+    attempt_ptr hedge;
     {
         const std::lock_guard<std::mutex> lock(mutex_);
-        if (a->finished || p->answered || p->hedged ||
-            p->number >= max_attempts || service == nullptr ||
+        if (attempt->finished || pending->answered || pending->hedged ||
+            pending->attempt_count >= max_attempts || service == nullptr ||
             listed == view->services.end() || !retry_budget_.withdraw()) {
             return;
         }
         if (service->hedge) {
-            p->hedged = true;
-            auto& state = services_[p->request.service];
-            second = select_instance_locked(state, p, *service, listed->second);
+            pending->hedged = true;
+            auto& state = services_[pending->request.service];
+            hedge = select_instance_locked(state, pending, *service,
+                                           listed->second);
         } else {
-            p->retry_paid = true;
-            cancel = a->cancel;
+            pending->retry_charged = true;
+            cancel = attempt->cancel;
         }
     }
-    if (second) {
+    if (hedge) {
         counters_.count_event("request_hedged");
-        dispatch(second);
+        dispatch(hedge);
     } else if (cancel) {
         counters_.count_event("request_retried_late");
         cancel();
@@ -237,115 +242,122 @@
 }
 
 void service_gateway::log_choice(
-    const pending_request& p,
+    const pending_request& pending,
     const std::vector<policy::instance_candidate>& instances,
     const std::string& choice, const std::string& reason) {
-    decision d{"route", p.request.id.str(), {}, choice, reason};
+    decision d{"route", pending.request.id.str(), {}, choice, reason};
     for (const auto& i : instances) {
         d.candidates.push_back(i.id);
     }
     logger_.write_decision(d);
 }
 
-void service_gateway::on_http_result(const attempt_ptr& a,
+void service_gateway::on_http_result(const attempt_ptr& attempt,
                                      const net::http_result& result) {
-    const auto* response = std::get_if<net::http_response>(&result);
-    const auto& p = a->request;
-    if (response == nullptr) {
-        record_attempt_end(a, policy::attempt_outcome::no_response);
-        on_attempt_failed(a, std::get<net::http_failure>(result).status);
-    } else if (response->status == status_unavailable) {
-        // A backend server says 503 only for what it did not start. That is
-        // true of this send; an earlier one may have run.
-        record_attempt_end(a, policy::attempt_outcome::rejected);
-        on_attempt_failed(a, response->resent ? net::delivery_status::lost
-                                              : net::delivery_status::not_sent);
+    const auto* http_response = std::get_if<net::http_response>(&result);
+    const auto& pending = attempt->request;
+    if (http_response == nullptr) {
+        record_attempt_end(attempt, policy::attempt_outcome::no_response);
+        on_attempt_failed(attempt, std::get<net::http_failure>(result).status);
+    } else if (http_response->status == status_unavailable) {
+        // A backend server responds with 503 only to a request that it did not
+        // start. This holds for the last send only: if the client sent the
+        // request twice, the first send may have run.
+        record_attempt_end(attempt, policy::attempt_outcome::rejected);
+        on_attempt_failed(attempt, http_response->resent
+                                       ? net::delivery_status::lost
+                                       : net::delivery_status::not_sent);
     } else {
-        record_attempt_end(a, policy::attempt_outcome::answered);
-        wire::service_response reply;
-        reply.id = p->request.id;
-        reply.node = self_;
-        reply.attempt = a->number;
-        reply.body = response->body;
-        const bool ok = response->status == status_ok;
-        reply.result = ok ? wire::outcome::completed : wire::outcome::unknown;
-        reply.why = ok ? wire::reason::none : wire::reason::backend_failed;
-        complete_request(p, std::move(reply));
+        record_attempt_end(attempt, policy::attempt_outcome::answered);
+        wire::service_response response;
+        response.id = pending->request.id;
+        response.node = self_;
+        response.attempt = attempt->number;
+        response.body = http_response->body;
+        const bool succeeded = http_response->status == status_ok;
+        response.result =
+            succeeded ? wire::outcome::completed : wire::outcome::unknown;
+        response.why =
+            succeeded ? wire::reason::none : wire::reason::backend_failed;
+        complete_request(pending, std::move(response));
     }
-    dispatch_queued(p->request.service);
+    dispatch_queued(pending->request.service);
 }
 
-void service_gateway::record_attempt_end(const attempt_ptr& a,
-                                         policy::attempt_outcome how) {
+void service_gateway::record_attempt_end(const attempt_ptr& attempt,
+                                         policy::attempt_outcome outcome) {
     const auto now = clock_.now();
     const std::lock_guard<std::mutex> lock(mutex_);
-    a->finished = true;
-    a->timer.cancel();
-    a->cancel = nullptr;
-    --a->request->in_flight;
-    router_.end_request(a->instance.id, how, now);
-    auto& state = services_[a->request->request.service];
-    if (how == policy::attempt_outcome::answered) {
-        state.latency.add_sample(now - a->started_at);
+    attempt->finished = true;
+    attempt->timer.cancel();
+    attempt->cancel = nullptr;
+    --attempt->request->in_flight;
+    router_.end_request(attempt->instance.id, outcome, now);
+    auto& state = services_[attempt->request->request.service];
+    if (outcome == policy::attempt_outcome::answered) {
+        state.latency.add_sample(now - attempt->started_at);
         state.drain_rate.record_completion(now);
     }
 }
 
-void service_gateway::on_attempt_failed(const attempt_ptr& a,
-                                        net::delivery_status how) {
-    const auto& p = a->request;
+void service_gateway::on_attempt_failed(const attempt_ptr& attempt,
+                                        net::delivery_status delivery) {
+    const auto& pending = attempt->request;
     bool retry = false;
     {
         const std::lock_guard<std::mutex> lock(mutex_);
-        p->may_have_run = p->may_have_run || how == net::delivery_status::lost;
-        if (p->answered || p->in_flight > 0) {
+        pending->may_have_run =
+            pending->may_have_run || delivery == net::delivery_status::lost;
+        if (pending->answered || pending->in_flight > 0) {
             return;
         }
-        retry = may_retry(*p, how);
+        retry = may_retry(*pending, delivery);
     }
     if (retry) {
-        start(p);
+        start(pending);
         return;
     }
-    fail_request(p,
-                 p->may_have_run ? wire::reason::connection_lost
-                                 : wire::reason::no_backend,
+    fail_request(pending,
+                 pending->may_have_run ? wire::reason::connection_lost
+                                       : wire::reason::no_backend,
                  default_retry_after_ms);
 }
 
-bool service_gateway::may_retry(const pending_request& p,
-                                net::delivery_status how) {
-    const bool repeatable =
-        p.request.idempotent || how == net::delivery_status::not_sent;
-    if (!repeatable || p.number >= max_attempts || clock_.now() >= p.deadline) {
+bool service_gateway::may_retry(const pending_request& pending,
+                                net::delivery_status delivery) {
+    const bool is_safe_to_retry = pending.request.idempotent ||
+                                  delivery == net::delivery_status::not_sent;
+    if (!is_safe_to_retry || pending.attempt_count >= max_attempts ||
+        clock_.now() >= pending.deadline) {
         return false;
     }
-    return p.retry_paid || retry_budget_.withdraw();
+    return pending.retry_charged || retry_budget_.withdraw();
 }
 
-void service_gateway::fail_request(const pending_ptr& p, wire::reason why,
+void service_gateway::fail_request(const pending_ptr& pending, wire::reason why,
                                    base::millis retry_after) {
-    const auto& id = p->request.id;
-    complete_request(
-        p, p->may_have_run
-               ? wire::make_unknown_response(id, why, self_)
-               : wire::make_not_run_response(id, why, retry_after, self_));
+    const auto& id = pending->request.id;
+    complete_request(pending, pending->may_have_run
+                                  ? wire::make_unknown_response(id, why, self_)
+                                  : wire::make_not_run_response(
+                                        id, why, retry_after, self_));
 }
 
-void service_gateway::complete_request(const pending_ptr& p,
-                                       wire::service_response answer) {
+void service_gateway::complete_request(const pending_ptr& pending,
+                                       wire::service_response response) {
     done_function done;
     {
         const std::lock_guard<std::mutex> lock(mutex_);
-        if (std::exchange(p->answered, true)) {
+        if (std::exchange(pending->answered, true)) {
             return;
         }
-        done = std::move(p->done);
+        done = std::move(pending->done);
     }
-    done(std::move(answer));
+    done(std::move(response));
 }
 
-/// Sends the requests at the head of the queue for which there is room.
+/// Dispatches requests from the head of the queue while a backend server has
+/// capacity.
 void service_gateway::dispatch_queued(const base::service_id& name) {
     const auto view = shared_.get();
     const auto* service =
@@ -354,23 +366,23 @@
     if (service == nullptr || listed == view->services.end()) {
         return;
     }
-    std::vector<attempt_ptr> ready;
+    std::vector<attempt_ptr> attempts;
     {
         const std::lock_guard<std::mutex> lock(mutex_);
         auto& state = services_[name];
         while (!state.queue.empty()) {
-            auto a = select_instance_locked(state, state.queue.front(),
-                                            *service, listed->second);
-            if (!a) {
+            auto attempt = select_instance_locked(state, state.queue.front(),
+                                                  *service, listed->second);
+            if (!attempt) {
                 break;
             }
             state.queue.pop_front();
             --queued_count_;
-            ready.push_back(std::move(a));
+            attempts.push_back(std::move(attempt));
         }
     }
-    for (const auto& a : ready) {
-        dispatch(a);
+    for (const auto& attempt : attempts) {
+        dispatch(attempt);
     }
 }
 
@@ -388,35 +400,38 @@
     });
 }
 
-/// Answers the waiting requests whose time is over, and tries the others: an
-/// instance may have been listed, or have come back, without any request that
-/// ended.
+/// Fails the queued requests whose deadline has passed and tries to dispatch
+/// the others: a backend server may have been listed or have recovered without
+/// a request having ended.
 void service_gateway::expire_queued() {
     const auto now = clock_.now();
-    std::vector<pending_ptr> late;
-    std::vector<base::service_id> waiting;
+    std::vector<pending_ptr> expired;
+    std::vector<base::service_id> queued_services;
     {
         const std::lock_guard<std::mutex> lock(mutex_);
         for (auto& [name, state] : services_) {
-            const auto first_late = std::stable_partition(
-                state.queue.begin(), state.queue.end(),
-                [now](const pending_ptr& p) { return now < p->deadline; });
-            late.insert(late.end(), first_late, state.queue.end());
-            state.queue.erase(first_late, state.queue.end());
+            const auto first_expired =
+                std::stable_partition(state.queue.begin(), state.queue.end(),
+                                      [now](const pending_ptr& pending) {
+                                          return now < pending->deadline;
+                                      });
+            expired.insert(expired.end(), first_expired, state.queue.end());
+            state.queue.erase(first_expired, state.queue.end());
             if (!state.queue.empty()) {
-                waiting.push_back(name);
+                queued_services.push_back(name);
             }
         }
-        queued_count_ -= late.size();
+        queued_count_ -= expired.size();
         expiry_timer_armed_ = false;
         if (queued_count_ > 0) {
             arm_expiry_timer();
         }
     }
-    for (const auto& p : late) {
-        fail_request(p, wire::reason::deadline_passed, default_retry_after_ms);
+    for (const auto& pending : expired) {
+        fail_request(pending, wire::reason::deadline_passed,
+                     default_retry_after_ms);
     }
-    for (const auto& name : waiting) {
+    for (const auto& name : queued_services) {
         dispatch_queued(name);
     }
 }
--- a/packages/node/src/service_gateway.hpp
+++ b/packages/node/src/service_gateway.hpp
@@ -17,27 +17,29 @@
 
 namespace hibiscus::node {
 
-/// Sends requests to the instances of services. Used by traffic threads;
-/// its lock is held only for a choice, never over I/O.
+/// Sends requests to the backend servers of services. Thread-safe; the mutex is
+/// not held during I/O.
 class service_gateway : public std::enable_shared_from_this<service_gateway> {
 public:
-    /// Takes the answer to one request.
+    /// Receives the response to one request.
     using done_function = std::function<void(wire::service_response)>;
 
-    /// Constructs a gateway of the node `self`, with its timers on `io`.
+    /// Constructs a gateway for the node `self`. Its timers run on `io`.
     service_gateway(base::node_id self, boost::asio::io_context& io,
                     net::http_client& http, const shared_view& shared,
                     event_log& log, telemetry::metrics& counters,
                     base::clock clock);
 
-    /// Sends a request and calls `done` once. An idempotent one is tried again
-    /// within the retry budget, also when an answer takes much longer than
-    /// usual; another one is tried again only after an attempt of which no
-    /// byte left. When all instances are at their limit it waits, if it can
-    /// still be answered in time.
+    /// Sends a request to a backend server of its service and calls `done`
+    /// exactly once. Retries are subject to the retry budget. An idempotent
+    /// request is retried when an attempt fails or when its response is
+    /// overdue. A non-idempotent request is retried only if no byte of the
+    /// attempt was sent or the server did not start it. While all servers are
+    /// at their limit, the request is queued if it can still be answered before
+    /// its deadline.
     void run(const wire::service_request& request, done_function done);
 
-    /// Returns the requests that wait for an instance.
+    /// Returns the number of requests that are queued for a backend server.
     std::size_t queued_count() const;
 
 private:
@@ -46,35 +48,39 @@
     using pending_ptr = std::shared_ptr<pending_request>;
     using attempt_ptr = std::shared_ptr<attempt>;
 
-    /// What is known of one service, and the requests that wait for it. Each
-    /// service has its own queue, so that one that is overloaded does not
-    /// delay the others.
+    /// State of one service. Each service has its own queue, so that an
+    /// overloaded service does not delay requests for other services.
     struct service_state {
         policy::latency_estimate latency;
         policy::throughput_meter drain_rate;
         std::deque<pending_ptr> queue;
     };
 
-    void start(const pending_ptr& p);
-    attempt_ptr select_instance(const pending_ptr& p);
-    attempt_ptr
-    select_instance_locked(service_state& state, const pending_ptr& p,
-                           const document::service& service,
-                           const std::vector<policy::instance_candidate>& from);
-    void dispatch(const attempt_ptr& a);
-    void arm_hedge_timer(const attempt_ptr& a);
-    void on_hedge_timer(const attempt_ptr& a);
-    void on_http_result(const attempt_ptr& a, const net::http_result& result);
-    void record_attempt_end(const attempt_ptr& a, policy::attempt_outcome how);
-    void on_attempt_failed(const attempt_ptr& a, net::delivery_status how);
-    bool may_retry(const pending_request& p, net::delivery_status how);
-    void fail_request(const pending_ptr& p, wire::reason why,
+    void start(const pending_ptr& pending);
+    attempt_ptr select_instance(const pending_ptr& pending);
+    attempt_ptr select_instance_locked(
+        service_state& state, const pending_ptr& pending,
+        const document::service& service,
+        const std::vector<policy::instance_candidate>& candidates);
+    void dispatch(const attempt_ptr& attempt);
+    void arm_hedge_timer(const attempt_ptr& attempt);
+    void on_hedge_timer(const attempt_ptr& attempt);
+    void on_http_result(const attempt_ptr& attempt,
+                        const net::http_result& result);
+    void record_attempt_end(const attempt_ptr& attempt,
+                            policy::attempt_outcome outcome);
+    void on_attempt_failed(const attempt_ptr& attempt,
+                           net::delivery_status delivery);
+    bool may_retry(const pending_request& pending,
+                   net::delivery_status delivery);
+    void fail_request(const pending_ptr& pending, wire::reason why,
                       base::millis retry_after);
-    void complete_request(const pending_ptr& p, wire::service_response answer);
+    void complete_request(const pending_ptr& pending,
+                          wire::service_response response);
     void dispatch_queued(const base::service_id& service);
     void arm_expiry_timer();
     void expire_queued();
-    void log_choice(const pending_request& p,
+    void log_choice(const pending_request& pending,
                     const std::vector<policy::instance_candidate>& instances,
                     const std::string& choice, const std::string& reason);
 
--- a/packages/node/src/shared_view.hpp
+++ b/packages/node/src/shared_view.hpp
@@ -10,27 +10,28 @@
 
 namespace hibiscus::node {
 
-/// What traffic threads know of the control state. It never changes; the
-/// control thread publishes a new one instead.
+/// Snapshot of the control state for the traffic threads. A published view is
+/// never modified; the control thread replaces it by a new one.
 struct routing_view {
     wire::node_state state = wire::node_state::starting;
     std::shared_ptr<const document::revision> config;
-    /// Where callers may go, this node's zone first.
+    /// Nodes that accept requests from callers; those in the zone of this node
+    /// come first.
     std::vector<wire::entry_address> entries;
     std::map<base::service_id, std::vector<policy::instance_candidate>>
         services;
 };
 
-/// Hands the newest view from the control thread to the traffic threads.
-/// Neither ever waits for the other.
+/// Passes the newest view from the control thread to the traffic threads.
+/// Neither waits while the other uses a view.
 class shared_view {
 public:
-    /// Constructs a holder of an empty view.
+    /// Constructs with an empty view.
     shared_view() : view_(std::make_shared<const routing_view>()) {}
 
     /// Replaces the view.
-    void publish(std::shared_ptr<const routing_view> v) {
-        std::atomic_store(&view_, std::move(v));
+    void publish(std::shared_ptr<const routing_view> view) {
+        std::atomic_store(&view_, std::move(view));
     }
 
     /// Returns the newest view; never null.
--- a/packages/node/src/usage_meter.hpp
+++ b/packages/node/src/usage_meter.hpp
@@ -9,11 +9,11 @@
 
 namespace hibiscus::node {
 
-/// Returns what the engines of `home` do now, by the owners that `document`
-/// names.
+/// Returns the current usage of the engines of `coordinator`, by the owners
+/// that `document` specifies.
 std::vector<policy::engine_usage>
-collect_engine_uses(const cluster::engine_coordinator& home,
-                    const cluster::engine_table& engines,
-                    const document::document& document);
+collect_engine_usage(const cluster::engine_coordinator& coordinator,
+                     const cluster::engine_table& engines,
+                     const document::document& document);
 
 } // namespace hibiscus::node
--- a/packages/node/test/rollout_planner_test.cpp
+++ b/packages/node/test/rollout_planner_test.cpp
@@ -5,57 +5,60 @@
 namespace hibiscus::node {
 namespace {
 
-const base::pool_id shared("shared");
-const base::trainer_id tagger("tagger");
-constexpr int engines = 10;
+const base::pool_id pool_name("shared");
+const base::trainer_id trainer_name("tagger");
+constexpr int engine_count = 10;
 
-/// Returns a document with one pool, a third of which may swap at a time.
-document::document one_pool() {
+/// Returns a document with one pool. A third of its engines may swap at a time.
+document::document make_document() {
     document::document d;
     document::pool pool;
-    pool.name = shared;
+    pool.name = pool_name;
     pool.swap_share = 0.34;
     d.pools.push_back(pool);
     document::trainer trainer;
-    trainer.name = tagger;
-    trainer.pool = shared;
+    trainer.name = trainer_name;
+    trainer.pool = pool_name;
     trainer.staleness_bound = 1;
     d.trainers.push_back(trainer);
     return d;
 }
 
-/// Ten engines that serve one version of the tagger.
+/// A pool of ten engines that serve the same version of the trainer.
 class rollout_planner_test : public ::testing::Test {
 protected:
     rollout_planner_test()
-        : document_(one_pool()),
+        : document_(make_document()),
           planner_(table_, versions_, [this] { return &document_; }) {
-        wire::instance_list page;
-        for (int i = 0; i < engines; ++i) {
-            wire::instance row;
-            row.id = "e" + std::to_string(i);
-            row.role = wire::instance_role::engine;
-            row.group = shared.str();
-            page.instances.push_back(row);
+        wire::instance_list list;
+        for (int i = 0; i < engine_count; ++i) {
+            wire::instance instance;
+            instance.id = "e" + std::to_string(i);
+            instance.role = wire::instance_role::engine;
+            instance.group = pool_name.str();
+            list.instances.push_back(instance);
         }
-        table_.update_instances(page);
+        table_.update_instances(list);
     }
 
-    /// Returns how many engines that serve `served` may swap to `newest`.
-    int turns(wire::weight_version served, wire::weight_version newest) {
-        versions_.update(1000, tagger, newest);
-        for (const auto& [id, row] : table_.all()) {
-            wire::engine_status digest;
-            digest.engine = id;
-            digest.healthy = true;
+    /// Returns how many engines may swap to `newest` while all serve `served`,
+    /// or no version if `served` is 0.
+    int count_allowed_swaps(wire::weight_version served,
+                            wire::weight_version newest) {
+        versions_.update(1000, trainer_name, newest);
+        for (const auto& [id, entry] : table_.all()) {
+            wire::engine_status status;
+            status.engine = id;
+            status.healthy = true;
             if (served > 0) {
-                digest.serving = {{tagger, served}};
+                status.serving = {{trainer_name, served}};
             }
-            table_.update_status(1000, digest);
+            table_.update_status(1000, status);
         }
         int count = 0;
-        for (const auto& [id, row] : table_.all()) {
-            count += planner_.may_swap(1000, id, {tagger, newest}) ? 1 : 0;
+        for (const auto& [id, entry] : table_.all()) {
+            count +=
+                planner_.may_swap(1000, id, {trainer_name, newest}) ? 1 : 0;
         }
         return count;
     }
@@ -66,20 +69,20 @@
     rollout_planner planner_;
 };
 
-TEST_F(rollout_planner_test, a_share_of_the_engines_swaps_at_a_time) {
-    const int swapping = turns(4, 5);
-    EXPECT_GT(swapping, 0);
-    EXPECT_LT(swapping, engines / 2);
+TEST_F(rollout_planner_test, limited_share_of_engines_swaps_at_once) {
+    const int allowed_swaps = count_allowed_swaps(4, 5);
+    EXPECT_GT(allowed_swaps, 0);
+    EXPECT_LT(allowed_swaps, engine_count / 2);
 }
 
-// A trainer publishes its first version. No engine can run its samples before
-// it swaps, so waiting for turns only makes the trainer wait.
+// No engine can run samples of a trainer before it has swapped to the first
+// version, so swapping in turns would only delay the trainer.
 TEST_F(rollout_planner_test, engines_without_a_version_all_swap_at_once) {
-    EXPECT_EQ(turns(0, 1), engines);
+    EXPECT_EQ(count_allowed_swaps(0, 1), engine_count);
 }
 
 TEST_F(rollout_planner_test, engines_outside_the_bound_all_swap_at_once) {
-    EXPECT_EQ(turns(3, 5), engines);
+    EXPECT_EQ(count_allowed_swaps(3, 5), engine_count);
 }
 
 } // namespace
