--- a/packages/node/include/hibiscus/node/settings.hpp
+++ b/packages/node/include/hibiscus/node/settings.hpp
@@ -36,7 +36,9 @@
     int non_idempotent_in_work = 2048;
     /// Number of shards of non-idempotent keys; must be the same on all nodes.
     int claim_shards = 16;
-    /// Minimum time between two appends of claims to a shard, in ms.
+    /// Minimum interval between two appends of claims to the log stream of a
+    /// shard, in ms. Not related to `claim_window_ms` of the document, which is
+    /// the retention of claims.
     base::millis claim_window_ms = 10;
     /// Interval between heartbeats to the peers, in ms.
     base::millis heartbeat_ms = 250;
--- a/packages/node/src/claim_driver.cpp
+++ b/packages/node/src/claim_driver.cpp
@@ -31,7 +31,7 @@
       counters_(counters), clock_(std::move(clock)) {}
 
 void claim_driver::submit_request(const wire::service_request& request,
-                                  done_function done) {
+                                  response_callback done) {
     const auto waiter = ++last_waiter_id_;
     callbacks_[waiter] = std::move(done);
     coordinator_.submit(clock_.now(), clock_.wall_time(), waiter,
@@ -54,7 +54,7 @@
     execute_effects();
 }
 
-void claim_driver::on_tick() {
+void claim_driver::tick() {
     coordinator_.tick(clock_.now(), clock_.wall_time());
     execute_effects();
     read_shards();
@@ -131,8 +131,8 @@
         log_.read(platform::claim_stream(shard), offset, read_wait_ms,
                   [this, s = shard](platform::read_result result) {
                       boost::asio::post(control_io_,
-                                        [this, s, r = std::move(result)] {
-                                            on_read_result(s, r);
+                                        [this, s, result = std::move(result)] {
+                                            on_read_result(s, result);
                                         });
                   });
     }
--- a/packages/node/src/claim_driver.hpp
+++ b/packages/node/src/claim_driver.hpp
@@ -20,7 +20,7 @@
 class claim_driver {
 public:
     /// Receives the response to one request.
-    using done_function = std::function<void(wire::service_response)>;
+    using response_callback = std::function<void(wire::service_response)>;
 
     /// Constructs a driver for `shard_count` shards of non-idempotent keys.
     /// Callbacks run on `control_io`.
@@ -34,7 +34,7 @@
     /// Submits a request whose home is this node, or was this node when the
     /// sender routed it.
     void submit_request(const wire::service_request& request,
-                        done_function done);
+                        response_callback done);
 
     /// Returns the key that determines the home node of a request's shard.
     std::string home_key(const base::request_id& request) const;
@@ -49,7 +49,7 @@
 
     /// Handles expired timers of the coordinator and reads the shards that it
     /// needs.
-    void on_tick();
+    void tick();
 
     /// Returns the number of requests without a response.
     std::size_t pending_count() const { return coordinator_.pending_count(); }
@@ -71,7 +71,7 @@
     event_log& logger_;
     telemetry::metrics& counters_;
     base::clock clock_;
-    std::map<cluster::claim_waiter_id, done_function> callbacks_;
+    std::map<cluster::claim_waiter_id, response_callback> callbacks_;
     cluster::claim_waiter_id last_waiter_id_ = 0;
     std::set<cluster::shard_number> shards_being_read_;
     std::map<cluster::shard_number, base::millis> read_not_before_;
--- a/packages/node/src/config_watcher.cpp
+++ b/packages/node/src/config_watcher.cpp
@@ -43,9 +43,10 @@
 void config_watcher::read() {
     log_.read(platform::config_stream, state_machine_.next_offset(),
               read_wait_ms, [this](platform::read_result result) {
-                  boost::asio::post(control_io_, [this, r = std::move(result)] {
-                      on_read_result(r);
-                  });
+                  boost::asio::post(control_io_,
+                                    [this, result = std::move(result)] {
+                                        on_read_result(result);
+                                    });
               });
 }
 
--- a/packages/node/src/config_watcher.hpp
+++ b/packages/node/src/config_watcher.hpp
@@ -49,8 +49,8 @@
         return state_machine_.in_force();
     }
 
-    /// Returns the monotonic time of the last response of the log, or 0 if
-    /// there was none.
+    /// Returns the monotonic time of the last successful read of the log, or 0
+    /// if there was none.
     base::millis log_responded_at() const { return log_responded_at_; }
 
 private:
--- a/packages/node/src/control_plane.cpp
+++ b/packages/node/src/control_plane.cpp
@@ -11,7 +11,7 @@
 
 constexpr base::millis tick_interval_ms = 20;
 constexpr base::millis instance_list_interval_ms = 500;
-/// Time without a response of the log after which the log counts as
+/// Time without a successful read of the log after which the log counts as
 /// unreachable.
 constexpr base::millis log_timeout_ms = 6000;
 
@@ -24,31 +24,35 @@
 } // namespace
 
 control_plane::control_plane(const control_dependencies& dependencies)
-    : dependencies_(dependencies), self_(dependencies.config.node),
+    : dependencies_(dependencies), self_(dependencies.node_settings.node),
       incarnation_(static_cast<std::uint64_t>(dependencies.clock.wall_time())),
-      timer_(dependencies.io),
-      members_(self_, dependencies.config.member_timeout_ms),
-      calls_(self_, dependencies.mesh, dependencies.io, dependencies.clock),
-      config_(self_, dependencies.io, dependencies.log, dependencies.mesh,
-              dependencies.logger, dependencies.counters, dependencies.clock,
-              [this] { on_config_changed(); }),
-      claims_(
-          self_, incarnation_, make_claim_options(dependencies.config),
-          static_cast<cluster::shard_number>(dependencies.config.claim_shards),
-          dependencies.io, dependencies.log, dependencies.services,
+      timer_(dependencies.control_io),
+      members_(self_, dependencies.node_settings.member_timeout_ms),
+      peer_rpc_client_(self_, dependencies.mesh, dependencies.control_io,
+                       dependencies.clock),
+      config_watcher_(self_, dependencies.control_io, dependencies.log,
+                      dependencies.mesh, dependencies.logger,
+                      dependencies.counters, dependencies.clock,
+                      [this] { on_config_changed(); }),
+      claim_driver_(
+          self_, incarnation_, make_claim_options(dependencies.node_settings),
+          static_cast<cluster::shard_number>(
+              dependencies.node_settings.claim_shards),
+          dependencies.control_io, dependencies.log, dependencies.services,
           dependencies.logger, dependencies.counters, dependencies.clock),
-      samples_(self_, dependencies.io, members_, calls_, dependencies.mesh,
-               dependencies.log, dependencies.engines, dependencies.logger,
-               dependencies.counters, dependencies.clock,
-               [this]() -> const document::document* {
-                   const auto* r = config_.in_force();
-                   return r != nullptr ? &r->content : nullptr;
-               }),
+      sample_driver_(
+          self_, dependencies.control_io, members_, peer_rpc_client_,
+          dependencies.mesh, dependencies.log, dependencies.engines,
+          dependencies.logger, dependencies.counters, dependencies.clock,
+          [this]() -> const document::document* {
+              const auto* revision = config_watcher_.in_force();
+              return revision != nullptr ? &revision->content : nullptr;
+          }),
       started_at_(dependencies.clock.now()) {}
 
 void control_plane::start() {
-    boost::asio::post(dependencies_.io, [this] {
-        config_.start();
+    boost::asio::post(dependencies_.control_io, [this] {
+        config_watcher_.start();
         tick();
     });
 }
@@ -69,39 +73,39 @@
         fetch_instances();
     }
     update_state();
-    if (now - heartbeat_at_ >= dependencies_.config.heartbeat_ms) {
+    if (now - heartbeat_at_ >= dependencies_.node_settings.heartbeat_ms) {
         send_heartbeat();
     }
     for (const auto& member : members_.remove_expired(now)) {
         dependencies_.logger.event(severity::warn, "member_gone",
                                    {{"member", member.str()}});
-        calls_.fail_calls_to(member);
+        peer_rpc_client_.fail_calls_to(member);
     }
     if (members_.generation() != generation_) {
         on_members_changed();
     }
-    calls_.expire_calls();
-    config_.tick(members_.is_home("config"));
-    claims_.on_tick();
-    samples_.tick();
+    peer_rpc_client_.expire_calls();
+    config_watcher_.tick(members_.is_home("config"));
+    claim_driver_.tick();
+    sample_driver_.tick();
     finish_drain();
 }
 
 void control_plane::send_heartbeat() {
     heartbeat_at_ = dependencies_.clock.now();
-    const auto* config = config_.in_force();
+    const auto* revision = config_watcher_.in_force();
     wire::heartbeat heartbeat{
         self_,
         incarnation_,
-        dependencies_.config.zone,
-        base::to_string(dependencies_.config.listen_callers),
-        base::to_string(dependencies_.config.listen_peers),
+        dependencies_.node_settings.zone,
+        base::to_string(dependencies_.node_settings.listen_callers),
+        base::to_string(dependencies_.node_settings.listen_peers),
         state_,
-        config != nullptr ? config->number : 0,
-        samples_.versions().all(),
-        samples_.engine_statuses()};
+        revision != nullptr ? revision->number : 0,
+        sample_driver_.versions().all(),
+        sample_driver_.engine_statuses()};
     members_.record_heartbeat(heartbeat_at_, heartbeat);
-    samples_.on_heartbeat(heartbeat);
+    sample_driver_.on_heartbeat(heartbeat);
     for (const auto& instance : instance_list_.instances) {
         if (instance.role == wire::instance_role::entry &&
             instance.id != self_.str()) {
@@ -115,9 +119,10 @@
 void control_plane::fetch_instances() {
     fetching_instances_ = true;
     instances_fetched_at_ = dependencies_.clock.now();
-    dependencies_.instances.fetch(
-        [this](std::optional<wire::instance_list> list) {
-            boost::asio::post(dependencies_.io, [this, list = std::move(list)] {
+    dependencies_.instances.fetch([this](
+                                      std::optional<wire::instance_list> list) {
+        boost::asio::post(
+            dependencies_.control_io, [this, list = std::move(list)] {
                 fetching_instances_ = false;
                 if (list) {
                     on_instance_list(*list);
@@ -125,7 +130,7 @@
                     dependencies_.counters.count_event("instance_list_failed");
                 }
             });
-        });
+    });
 }
 
 void control_plane::on_instance_list(const wire::instance_list& list) {
@@ -139,21 +144,21 @@
         }
     }
     dependencies_.mesh.set_peers(std::move(peers));
-    samples_.update_instances(list);
+    sample_driver_.update_instances(list);
     publish_view();
 }
 
 void control_plane::on_members_changed() {
     generation_ = members_.generation();
-    claims_.assign_shards(members_);
-    samples_.assign_homes();
+    claim_driver_.assign_shards(members_);
+    sample_driver_.assign_homes();
     publish_view();
 }
 
 void control_plane::on_config_changed() {
-    claims_.set_claim_retention(
-        config_.in_force()->content.limit.claim_window_ms);
-    samples_.assign_homes();
+    claim_driver_.set_claim_retention(
+        config_watcher_.in_force()->content.limit.claim_window_ms);
+    sample_driver_.assign_homes();
     update_state();
     publish_view();
 }
@@ -161,7 +166,7 @@
 bool control_plane::is_isolated() const {
     const auto now = dependencies_.clock.now();
     const auto last_response_at =
-        std::max(config_.log_responded_at(), started_at_);
+        std::max(config_watcher_.log_responded_at(), started_at_);
     if (now - last_response_at <= log_timeout_ms) {
         return false;
     }
@@ -178,12 +183,13 @@
 void control_plane::update_state() {
     auto next_state = state_;
     if (state_ != wire::node_state::draining) {
-        if (config_.in_force() == nullptr) {
+        if (config_watcher_.in_force() == nullptr) {
             next_state = wire::node_state::starting;
         } else {
             // A node that can reach neither the log nor a majority of its peers
-            // cannot know whether its document is still in force, and might
-            // serve callers by an outdated one.
+            // cannot know whether its document is still in force. It is
+            // isolated and rejects requests, so that callers are not served
+            // according to an outdated document.
             next_state = is_isolated() ? wire::node_state::isolated
                                        : wire::node_state::ready;
         }
@@ -201,11 +207,11 @@
 void control_plane::publish_view() {
     auto view = std::make_shared<routing_view>();
     view->state = state_;
-    if (const auto* config = config_.in_force()) {
-        const auto published = dependencies_.shared.get()->config;
-        view->config = published && published->number == config->number
-                           ? published
-                           : std::make_shared<document::revision>(*config);
+    if (const auto* revision = config_watcher_.in_force()) {
+        const auto published = dependencies_.shared.get()->revision;
+        view->revision = published && published->number == revision->number
+                             ? published
+                             : std::make_shared<document::revision>(*revision);
     }
     for (const auto& [node, member] : members_.all()) {
         if (member.heartbeat.state == wire::node_state::ready) {
@@ -215,7 +221,8 @@
     }
     std::stable_partition(view->entries.begin(), view->entries.end(),
                           [&](const wire::entry_address& entry) {
-                              return entry.zone == dependencies_.config.zone;
+                              return entry.zone ==
+                                     dependencies_.node_settings.zone;
                           });
     for (const auto& instance : instance_list_.instances) {
         if (instance.role == wire::instance_role::service &&
@@ -228,16 +235,16 @@
 }
 
 void control_plane::drain(std::function<void()> done) {
-    boost::asio::post(dependencies_.io, [this, d = std::move(done)] {
-        const auto* config = config_.in_force();
+    boost::asio::post(dependencies_.control_io, [this, done = std::move(done)] {
+        const auto* revision = config_watcher_.in_force();
         const auto ttl =
-            config != nullptr ? config->content.limit.entries_ttl_ms : 0;
-        on_drained_ = d;
+            revision != nullptr ? revision->content.limit.entries_ttl_ms : 0;
+        on_drained_ = done;
         // Callers cache the response to GET /v1/entries for its time to live.
         // This node must stay available to a caller that fetched a list with
         // this node just before the other nodes removed it.
         drain_until_ = dependencies_.clock.now() + ttl +
-                       dependencies_.config.member_timeout_ms;
+                       dependencies_.node_settings.member_timeout_ms;
         state_ = wire::node_state::draining;
         dependencies_.logger.event(severity::info, "state",
                                    {{"state", "draining"}});
@@ -248,7 +255,7 @@
 
 void control_plane::finish_drain() {
     if (on_drained_ && dependencies_.clock.now() >= drain_until_ &&
-        claims_.pending_count() == 0) {
+        claim_driver_.pending_count() == 0) {
         std::exchange(on_drained_, nullptr)();
     }
 }
--- a/packages/node/src/control_plane.hpp
+++ b/packages/node/src/control_plane.hpp
@@ -16,8 +16,8 @@
 
 /// Dependencies of a control_plane. All of them must outlive it.
 struct control_dependencies {
-    const settings& config;
-    boost::asio::io_context& io;
+    const settings& node_settings;
+    boost::asio::io_context& control_io;
     base::clock clock;
     event_log& logger;
     telemetry::metrics& counters;
@@ -30,10 +30,10 @@
 };
 
 /// Owns the control state of a node. Only the control thread, which runs
-/// `control_dependencies::io`, reads and changes that state. Unless stated
-/// otherwise, the public functions may be called from any thread: they post
-/// their work to the control thread and return at once. Callbacks run on the
-/// control thread.
+/// `control_dependencies::control_io`, reads and changes that state. Unless
+/// stated otherwise, the public functions may be called from any thread: they
+/// post their work to the control thread and return at once. Callbacks run on
+/// the control thread.
 class control_plane {
 public:
     /// Constructs the control plane of a node that has just started.
@@ -70,11 +70,12 @@
     /// Returns true if no claimed request and no call to a peer is pending on
     /// this node. Must be called on the control thread.
     bool is_idle() const {
-        return claims_.pending_count() == 0 && calls_.pending_count() == 0;
+        return claim_driver_.pending_count() == 0 &&
+               peer_rpc_client_.pending_count() == 0;
     }
 
     /// Passes the state of the node, as JSON, to `done`.
-    void write_status(std::function<void(std::string)> done);
+    void collect_status(std::function<void(std::string)> done);
 
     /// Withdraws this node from the list of entries and hands its home roles
     /// over to other nodes. Calls `done` once no claim is pending and callers
@@ -126,10 +127,10 @@
     boost::asio::steady_timer timer_;
     wire::node_state state_ = wire::node_state::starting;
     cluster::member_table members_;
-    peer_rpc_client calls_;
-    config_watcher config_;
-    claim_driver claims_;
-    sample_driver samples_;
+    peer_rpc_client peer_rpc_client_;
+    config_watcher config_watcher_;
+    claim_driver claim_driver_;
+    sample_driver sample_driver_;
     wire::instance_list instance_list_;
     std::uint64_t generation_ = 0;
     int open_links_ = 0;
--- a/packages/node/src/control_plane_calls.cpp
+++ b/packages/node/src/control_plane_calls.cpp
@@ -26,8 +26,8 @@
 }
 
 /// Returns a response of type T for a call that has no reply. Its outcome is
-/// `not_run` only if no byte of the call was sent. The home may have executed a
-/// lost call, so `not_run` would mislead the caller.
+/// `not_run` only if no byte of the call was sent. Otherwise the home may have
+/// executed the call, and `not_run` would mislead the caller.
 template <class T>
 T make_failed_response(const call_result& result) {
     const auto* failure = std::get_if<call_failure>(&result);
@@ -45,38 +45,38 @@
 } // namespace
 
 void control_plane::on_peer_message(wire::peer_message message) {
-    boost::asio::post(dependencies_.io, [this,
-                                         m = std::move(message)]() mutable {
+    boost::asio::post(dependencies_.control_io, [this, message = std::move(
+                                                           message)]() mutable {
         std::visit(
             [this](auto& typed_message) { handle(std::move(typed_message)); },
-            m);
+            message);
     });
 }
 
 void control_plane::on_link_changed(const base::node_id& peer, bool open) {
-    boost::asio::post(dependencies_.io, [this, peer, open] {
+    boost::asio::post(dependencies_.control_io, [this, peer, open] {
         open_links_ += open ? 1 : -1;
         // Calls that were sent over the closed link would otherwise stay
         // pending until their deadline. Failing them now leaves time for a
         // retry.
         if (!open) {
-            calls_.fail_calls_to(peer);
+            peer_rpc_client_.fail_calls_to(peer);
         }
     });
 }
 
 void control_plane::handle(wire::heartbeat message) {
     members_.record_heartbeat(dependencies_.clock.now(), message);
-    config_.on_peer_revision(message.node, message.revision);
-    samples_.on_heartbeat(message);
+    config_watcher_.on_peer_revision(message.node, message.revision);
+    sample_driver_.on_heartbeat(message);
 }
 
 void control_plane::handle(wire::document_request message) {
-    config_.on_document_request(message);
+    config_watcher_.on_document_request(message);
 }
 
 void control_plane::handle(wire::document_offer message) {
-    config_.on_document_offer(message);
+    config_watcher_.on_document_offer(message);
 }
 
 void control_plane::handle(wire::call message) {
@@ -84,19 +84,19 @@
 }
 
 void control_plane::handle(wire::reply message) {
-    calls_.on_reply(std::move(message));
+    peer_rpc_client_.on_reply(std::move(message));
 }
 
 void control_plane::handle(wire::sample_report message) {
-    samples_.on_report(message);
+    sample_driver_.on_report(message);
 }
 
 void control_plane::handle(wire::sample_ack message) {
-    samples_.on_acknowledgement(message);
+    sample_driver_.on_acknowledgement(message);
 }
 
 void control_plane::handle(wire::cancel_streams message) {
-    samples_.cancel_streams(message);
+    sample_driver_.cancel_streams(message);
 }
 
 std::function<void(wire::reply_body)>
@@ -107,48 +107,49 @@
 }
 
 void control_plane::serve(const wire::call& call, const wire::open_step& body) {
-    make_reply_function(call)(samples_.open_step(body));
+    make_reply_function(call)(sample_driver_.open_step(body));
 }
 
 void control_plane::serve(const wire::call& call, const wire::pull_step& body) {
-    samples_.pull_samples(body, make_reply_function(call));
+    sample_driver_.pull_samples(body, make_reply_function(call));
 }
 
 void control_plane::serve(const wire::call& call,
                           const wire::learn_version& body) {
-    samples_.update_newest_version(body.trainer, body.version);
+    sample_driver_.update_newest_version(body.trainer, body.version);
     wire::version_response response;
     response.result = wire::outcome::completed;
-    response.newest = samples_.versions().newest(body.trainer);
+    response.newest = sample_driver_.versions().newest(body.trainer);
     make_reply_function(call)(response);
 }
 
 void control_plane::serve(const wire::call& call,
                           const wire::run_request& body) {
-    claims_.submit_request(body.request, make_reply_function(call));
+    claim_driver_.submit_request(body.request, make_reply_function(call));
 }
 
 void control_plane::serve(const wire::call& call,
                           const wire::place_sample& body) {
-    make_reply_function(call)(samples_.admit_stream(body));
+    make_reply_function(call)(sample_driver_.admit_stream(body));
 }
 
 void control_plane::open_step(wire::open_step message,
                               std::function<void(wire::step_response)> done) {
-    boost::asio::post(dependencies_.io, [this, m = std::move(message),
-                                         d = std::move(done)]() mutable {
-        open_at_home(std::move(m), std::move(d));
-    });
+    boost::asio::post(
+        dependencies_.control_io,
+        [this, message = std::move(message), done = std::move(done)]() mutable {
+            open_at_home(std::move(message), std::move(done));
+        });
 }
 
 void control_plane::open_at_home(
     wire::open_step message, std::function<void(wire::step_response)> done) {
     const auto home = members_.home_of(trainer_key(message.trainer));
     if (home == self_) {
-        done(samples_.open_step(message));
+        done(sample_driver_.open_step(message));
         return;
     }
-    calls_.call(
+    peer_rpc_client_.call(
         home, std::move(message), open_timeout_ms,
         [done = std::move(done)](const call_result& result) {
             const auto* response = response_in<wire::step_response>(result);
@@ -160,33 +161,35 @@
 
 void control_plane::pull_samples(
     wire::pull_step message, std::function<void(wire::pull_response)> done) {
-    boost::asio::post(dependencies_.io, [this, m = std::move(message),
-                                         d = std::move(done)]() mutable {
-        pull_at_home(std::move(m), std::move(d));
-    });
+    boost::asio::post(
+        dependencies_.control_io,
+        [this, message = std::move(message), done = std::move(done)]() mutable {
+            pull_at_home(std::move(message), std::move(done));
+        });
 }
 
 void control_plane::pull_at_home(
     wire::pull_step message, std::function<void(wire::pull_response)> done) {
     const auto home = members_.home_of(trainer_key(message.trainer));
     if (home == self_) {
-        samples_.pull_samples(message, std::move(done));
+        sample_driver_.pull_samples(message, std::move(done));
         return;
     }
-    const auto pull = message.request.pull;
+    const auto pull_number = message.request.pull;
     const auto trainer = message.trainer;
-    const auto deadline = message.request.wait_ms + call_timeout_margin_ms;
-    calls_.call(
-        home, std::move(message), deadline,
+    const auto call_timeout_ms =
+        message.request.wait_ms + call_timeout_margin_ms;
+    peer_rpc_client_.call(
+        home, std::move(message), call_timeout_ms,
         [this, trainer, done = std::move(done),
-         pull](const call_result& result) {
+         pull_number](const call_result& result) {
             if (const auto* response =
                     response_in<wire::pull_response>(result)) {
-                done(samples_.without_stale_samples(trainer, *response));
+                done(sample_driver_.without_stale_samples(trainer, *response));
                 return;
             }
             auto response = make_failed_response<wire::pull_response>(result);
-            response.pull = pull;
+            response.pull = pull_number;
             done(std::move(response));
         });
 }
@@ -194,30 +197,33 @@
 void control_plane::publish_version(
     wire::learn_version message,
     std::function<void(wire::version_response)> done) {
-    boost::asio::post(dependencies_.io, [this, m = std::move(message),
-                                         d = std::move(done)]() mutable {
-        samples_.update_newest_version(m.trainer, m.version);
-        broadcast_version(m, std::move(d));
-    });
+    boost::asio::post(
+        dependencies_.control_io,
+        [this, message = std::move(message), done = std::move(done)]() mutable {
+            sample_driver_.update_newest_version(message.trainer,
+                                                 message.version);
+            broadcast_version(message, std::move(done));
+        });
 }
 
 void control_plane::broadcast_version(
     const wire::learn_version& message,
     std::function<void(wire::version_response)> done) {
-    const auto* config = config_.in_force();
+    const auto* revision = config_watcher_.in_force();
     const auto call_timeout_ms =
-        config != nullptr
-            ? config->content.limit.pull_wait_ms + call_timeout_margin_ms
+        revision != nullptr
+            ? revision->content.limit.pull_wait_ms + call_timeout_margin_ms
             : call_timeout_margin_ms;
     wire::version_response response;
     response.result = wire::outcome::completed;
-    response.newest = samples_.versions().newest(message.trainer);
-    // A pull that is pending at another node still uses the old version. The
-    // trainer can rely on the staleness bound only once every such node has
-    // responded, or once the longest possible pull there has ended. A node that
-    // this node cannot reach may still respond to pulls that come through other
-    // nodes, so all listed nodes count. For a node that does not respond, the
-    // maximum duration of a pull is waited out.
+    response.newest = sample_driver_.versions().newest(message.trainer);
+    // Pulls that are pending at other nodes still check staleness against the
+    // previous version. The publication therefore completes, and the trainer
+    // can rely on the staleness bound, only once every node has acknowledged
+    // the new version or, for a node that does not respond, once the maximum
+    // duration of a pull has passed. All nodes of the instance list count,
+    // because a node that is unreachable from here may still serve pulls
+    // through other nodes.
     std::set<base::node_id> nodes;
     for (const auto& [node, row] : members_.all()) {
         nodes.insert(node);
@@ -237,7 +243,7 @@
     };
     const auto pulls_end_at = dependencies_.clock.now() + call_timeout_ms;
     for (const auto& node : nodes) {
-        calls_.call(
+        peer_rpc_client_.call(
             node, message, call_timeout_ms,
             [this, complete_one, pulls_end_at](const call_result& result) {
                 if (response_in<wire::version_response>(result) != nullptr) {
@@ -247,11 +253,12 @@
                 }
             });
     }
-    boost::asio::post(dependencies_.io, complete_one);
+    boost::asio::post(dependencies_.control_io, complete_one);
 }
 
 void control_plane::call_at(base::millis time, std::function<void()> callback) {
-    auto timer = std::make_shared<boost::asio::steady_timer>(dependencies_.io);
+    auto timer =
+        std::make_shared<boost::asio::steady_timer>(dependencies_.control_io);
     timer->expires_after(std::chrono::milliseconds(
         std::max<base::millis>(time - dependencies_.clock.now(), 0)));
     timer->async_wait([timer, callback = std::move(callback)](
@@ -265,39 +272,40 @@
 void control_plane::run_request(
     wire::service_request request,
     std::function<void(wire::service_response)> done) {
-    boost::asio::post(dependencies_.io, [this, r = std::move(request),
-                                         d = std::move(done)]() mutable {
-        run_at_home(std::move(r), std::move(d));
-    });
+    boost::asio::post(
+        dependencies_.control_io,
+        [this, request = std::move(request), done = std::move(done)]() mutable {
+            run_at_home(std::move(request), std::move(done));
+        });
 }
 
 void control_plane::run_at_home(
     wire::service_request request,
     std::function<void(wire::service_response)> done) {
-    const auto home = members_.home_of(claims_.home_key(request.id));
+    const auto home = members_.home_of(claim_driver_.home_key(request.id));
     if (home == self_) {
-        claims_.submit_request(request, std::move(done));
+        claim_driver_.submit_request(request, std::move(done));
         return;
     }
     const auto id = request.id;
-    const auto deadline = request.deadline_ms;
-    calls_.call(home, wire::run_request{std::move(request)}, deadline,
-                [this, id, done = std::move(done)](const call_result& result) {
-                    if (const auto* response =
-                            response_in<wire::service_response>(result)) {
-                        done(*response);
-                        return;
-                    }
-                    const auto* failure = std::get_if<call_failure>(&result);
-                    const bool not_sent = failure != nullptr &&
-                                          *failure == call_failure::not_sent;
-                    done(not_sent
-                             ? wire::make_not_run_response(
-                                   id, wire::reason::home_unreachable,
-                                   default_retry_after_ms, self_)
-                             : wire::make_unknown_response(
-                                   id, wire::reason::connection_lost, self_));
-                });
+    const auto call_timeout_ms = request.deadline_ms;
+    peer_rpc_client_.call(
+        home, wire::run_request{std::move(request)}, call_timeout_ms,
+        [this, id, done = std::move(done)](const call_result& result) {
+            if (const auto* response =
+                    response_in<wire::service_response>(result)) {
+                done(*response);
+                return;
+            }
+            const auto* failure = std::get_if<call_failure>(&result);
+            const bool not_sent =
+                failure != nullptr && *failure == call_failure::not_sent;
+            done(not_sent ? wire::make_not_run_response(
+                                id, wire::reason::home_unreachable,
+                                default_retry_after_ms, self_)
+                          : wire::make_unknown_response(
+                                id, wire::reason::connection_lost, self_));
+        });
 }
 
 } // namespace hibiscus::node
--- a/packages/node/src/control_plane_status.cpp
+++ b/packages/node/src/control_plane_status.cpp
@@ -71,20 +71,21 @@
 
 } // namespace
 
-void control_plane::write_status(std::function<void(std::string)> done) {
-    boost::asio::post(dependencies_.io, [this, d = std::move(done)] {
-        const auto* config = config_.in_force();
-        json status{{"node", self_.str()},
-                    {"zone", dependencies_.config.zone.str()},
-                    {"state", base::name_of(state_)},
-                    {"revision", config != nullptr ? config->number : 0},
-                    {"document", config != nullptr ? config->text : ""},
-                    {"pending_claims", claims_.pending_count()},
-                    {"nodes", members_to_json(members_)},
-                    {"engines", engines_to_json(samples_.engines(), members_)},
-                    {"usage", usage_to_json(samples_.usage())},
-                    {"steps", steps_to_json(samples_.steps())}};
-        d(status.dump(-1, ' ', false, json::error_handler_t::replace));
+void control_plane::collect_status(std::function<void(std::string)> done) {
+    boost::asio::post(dependencies_.control_io, [this, done = std::move(done)] {
+        const auto* revision = config_watcher_.in_force();
+        json status{
+            {"node", self_.str()},
+            {"zone", dependencies_.node_settings.zone.str()},
+            {"state", base::name_of(state_)},
+            {"revision", revision != nullptr ? revision->number : 0},
+            {"document", revision != nullptr ? revision->text : ""},
+            {"pending_claims", claim_driver_.pending_count()},
+            {"nodes", members_to_json(members_)},
+            {"engines", engines_to_json(sample_driver_.engines(), members_)},
+            {"usage", usage_to_json(sample_driver_.usage())},
+            {"steps", steps_to_json(sample_driver_.steps())}};
+        done(status.dump(-1, ' ', false, json::error_handler_t::replace));
     });
 }
 
--- a/packages/node/src/daemon.cpp
+++ b/packages/node/src/daemon.cpp
@@ -39,7 +39,7 @@
 class daemon::impl {
 public:
     explicit impl(const settings& config)
-        : config_(config), logger_(config.node, config.log_level, clock_),
+        : settings_(config), logger_(config.node, config.log_level, clock_),
           traffic_guard_(traffic_io_.get_executor()),
           mesh_guard_(mesh_io_.get_executor()),
           control_guard_(control_io_.get_executor()),
@@ -51,7 +51,7 @@
               config.node, traffic_io_, client_, shared_, logger_, counters_,
               clock_)),
           engine_client_(client_, clock_),
-          control_({config_, control_io_, clock_, logger_, counters_, shared_,
+          control_({settings_, control_io_, clock_, logger_, counters_, shared_,
                     mesh_, log_, instances_, *service_gateway_,
                     engine_client_}),
           api_(config.node, control_, shared_, *service_gateway_, counters_,
@@ -64,15 +64,15 @@
           signals_(control_io_, SIGTERM, SIGINT), drain_timer_(control_io_) {}
 
     std::optional<listen_error> run() {
-        if (!mesh_.listen(config_.listen_peers)) {
-            return listen_error{config_.listen_peers};
+        if (!mesh_.listen(settings_.listen_peers)) {
+            return listen_error{settings_.listen_peers};
         }
-        if (!server_.listen(config_.listen_callers)) {
-            return listen_error{config_.listen_callers};
+        if (!server_.listen(settings_.listen_callers)) {
+            return listen_error{settings_.listen_callers};
         }
         logger_.event(severity::info, "listening",
-                      {{"callers", base::to_string(config_.listen_callers)},
-                       {"peers", base::to_string(config_.listen_peers)},
+                      {{"callers", base::to_string(settings_.listen_callers)},
+                       {"peers", base::to_string(settings_.listen_peers)},
                        {"startup_ms", clock_.now() - started_at_}});
         signals_.async_wait(
             [this](const boost::system::error_code& error, int) {
@@ -82,8 +82,9 @@
             });
         control_.start();
         std::vector<std::thread> threads;
-        threads.reserve(static_cast<std::size_t>(config_.traffic_threads) + 1);
-        for (int i = 0; i < config_.traffic_threads; ++i) {
+        threads.reserve(static_cast<std::size_t>(settings_.traffic_threads) +
+                        1);
+        for (int i = 0; i < settings_.traffic_threads; ++i) {
             threads.emplace_back([this] { run_guarded(traffic_io_); });
         }
         threads.emplace_back([this] { run_guarded(mesh_io_); });
@@ -158,7 +159,7 @@
 
     base::clock clock_;
     base::millis started_at_ = clock_.now();
-    settings config_;
+    settings settings_;
     event_log logger_;
     telemetry::metrics counters_;
     shared_view shared_;
--- a/packages/node/src/engine_selector.cpp
+++ b/packages/node/src/engine_selector.cpp
@@ -66,14 +66,14 @@
 wire::weight_version
 engine_selector::oldest_start_version(const document::trainer& trainer,
                                       const document::pool& pool) {
-    auto& known = newest_versions_[trainer.name];
+    auto& entry = newest_versions_[trainer.name];
     const auto newest = versions_.newest(trainer.name);
-    if (known.version != newest) {
-        known = {newest, clock_.now()};
+    if (entry.version != newest) {
+        entry = {newest, clock_.now()};
     }
     return policy::oldest_start_version(
         policy::make_start_version_policy(pool.start_version),
-        {newest, clock_.now() - known.first_seen_at, trainer.staleness_bound});
+        {newest, clock_.now() - entry.first_seen_at, trainer.staleness_bound});
 }
 
 std::vector<policy::engine_candidate>
@@ -139,16 +139,16 @@
     const document::trainer& trainer,
     const std::vector<policy::engine_candidate>& candidates,
     const policy::engine_candidate& chosen, document::placement_kind kind) {
-    decision d{"place",
-               trainer.name.str(),
-               {},
-               chosen.engine.str(),
-               std::string(base::name_of(kind))};
+    decision record{"place",
+                    trainer.name.str(),
+                    {},
+                    chosen.engine.str(),
+                    std::string(base::name_of(kind))};
     for (const auto& candidate : candidates) {
-        d.candidates.push_back(candidate.engine.str() + ":" +
-                               std::to_string(candidate.streams));
+        record.candidates.push_back(candidate.engine.str() + ":" +
+                                    std::to_string(candidate.streams));
     }
-    logger_.write_decision(d);
+    logger_.write_decision(record);
 }
 
 } // namespace hibiscus::node
--- a/packages/node/src/engine_selector.hpp
+++ b/packages/node/src/engine_selector.hpp
@@ -43,7 +43,7 @@
     };
 
     /// The newest version of a trainer and when this node learned of it.
-    struct known_version {
+    struct newest_version_entry {
         wire::weight_version version = 0;
         base::millis first_seen_at = 0;
     };
@@ -66,7 +66,7 @@
     base::clock clock_;
     document_function current_document_;
     std::map<base::pool_id, pool_policy> policies_;
-    std::map<base::trainer_id, known_version> newest_versions_;
+    std::map<base::trainer_id, newest_version_entry> newest_versions_;
     std::mt19937_64 random_generator_;
 };
 
--- a/packages/node/src/event_log.cpp
+++ b/packages/node/src/event_log.cpp
@@ -75,7 +75,7 @@
     impl(const impl&) = delete;
     impl& operator=(const impl&) = delete;
 
-    bool enabled(severity level) const {
+    bool is_enabled(severity level) const {
         return logger_.isEnabledFor(level_of(level));
     }
 
@@ -101,21 +101,21 @@
 
 event_log::~event_log() = default;
 
-void event_log::write_decision(const decision& d) {
-    if (!impl_->enabled(severity::info)) {
+void event_log::write_decision(const decision& record) {
+    if (!impl_->is_enabled(severity::info)) {
         return;
     }
     impl_->write(severity::info, {{"event", "decision"},
-                                  {"kind", d.kind},
-                                  {"subject", d.subject},
-                                  {"candidates", d.candidates},
-                                  {"choice", d.choice},
-                                  {"reason", d.reason}});
+                                  {"kind", record.kind},
+                                  {"subject", record.subject},
+                                  {"candidates", record.candidates},
+                                  {"choice", record.choice},
+                                  {"reason", record.reason}});
 }
 
 void event_log::event(severity level, const char* name,
                       const std::vector<log_field>& fields) {
-    if (!impl_->enabled(level)) {
+    if (!impl_->is_enabled(level)) {
         return;
     }
     nlohmann::json line{{"event", name}};
--- a/packages/node/src/event_log.hpp
+++ b/packages/node/src/event_log.hpp
@@ -13,13 +13,12 @@
 /// Severity of a log line, in ascending order.
 enum class severity { debug, info, warn, error };
 
-/// A key of a log line, with its value.
+/// A key of a log line, with its value. The constructors are implicit, so that
+/// `{"key", value}` is a field.
 struct log_field {
-    /// Constructs a text field.
     log_field(const char* name, std::string text)
         : name(name), text(std::move(text)) {}
 
-    /// Constructs an integer field.
     log_field(const char* name, std::int64_t number)
         : name(name), number(number), is_number(true) {}
 
@@ -58,7 +57,7 @@
     event_log& operator=(const event_log&) = delete;
 
     /// Writes a line with the event name "decision".
-    void write_decision(const decision& d);
+    void write_decision(const decision& record);
 
     /// Writes a line with the event name `name` and the given fields.
     void event(severity level, const char* name,
--- a/packages/node/src/main.cpp
+++ b/packages/node/src/main.cpp
@@ -17,8 +17,9 @@
 
 } // namespace
 
-/// Runs one entry instance of hibiscustack. Exits with 0 after a graceful
-/// shutdown, 1 if an address cannot be bound, 2 if a setting is invalid.
+/// Runs hibiscusd, the server that accepts the requests of callers. Exits with
+/// 0 after a graceful shutdown, 1 if an address cannot be bound, 2 if the
+/// settings file is invalid.
 int main(int argc, char** argv) {
     absl::SetProgramUsageMessage(
         "runs one entry instance: hibiscusd --settings=FILE");
--- a/packages/node/src/peer_rpc_client.cpp
+++ b/packages/node/src/peer_rpc_client.cpp
@@ -35,7 +35,7 @@
         }
     }
     for (const auto id : ids) {
-        finish(id, call_failure::lost);
+        finish(id, call_failure::outcome_unknown);
     }
 }
 
@@ -48,7 +48,7 @@
         }
     }
     for (const auto id : ids) {
-        finish(id, call_failure::lost);
+        finish(id, call_failure::outcome_unknown);
     }
 }
 
--- a/packages/node/src/peer_rpc_client.hpp
+++ b/packages/node/src/peer_rpc_client.hpp
@@ -12,8 +12,8 @@
 
 /// Why a call to a peer has no reply.
 enum class call_failure {
-    not_sent, ///< No byte of the call has left this node.
-    lost      ///< The peer may have received the call.
+    not_sent,       ///< No byte of the call has left this node.
+    outcome_unknown ///< The peer may have received or executed the call.
 };
 
 /// The reply to a call, or the reason why there is none.
--- a/packages/node/src/public_api.cpp
+++ b/packages/node/src/public_api.cpp
@@ -73,58 +73,59 @@
 
 /// Returns the first problem of a request to a service, or nullopt if it is
 /// valid.
-std::optional<wire::problem> validate(const wire::service_request& r) {
+std::optional<wire::problem> validate(const wire::service_request& request) {
     const auto invalid = wire::reason::invalid_request;
-    if (!is_valid_id(r.id.str())) {
+    if (!is_valid_id(request.id.str())) {
         return wire::problem{invalid, "/id", "1 to 128 of A-Z a-z 0-9 - _ ."};
     }
-    if (r.deadline_ms <= 0 || r.deadline_ms > max_deadline_ms) {
+    if (request.deadline_ms <= 0 || request.deadline_ms > max_deadline_ms) {
         return wire::problem{invalid, "/deadline_ms", "1 to 600000"};
     }
-    if (!r.idempotent && r.created_ms <= 0) {
+    if (!request.idempotent && request.created_ms <= 0) {
         return wire::problem{invalid, "/created_ms", "the time of day in ms"};
     }
     return std::nullopt;
 }
 
-/// Returns the first problem of a step, or nullopt if it is valid.
-std::optional<wire::problem> validate(const wire::step_request& r) {
+/// Returns the first problem of a step request, or nullopt if it is valid.
+std::optional<wire::problem> validate(const wire::step_request& request) {
     const auto invalid = wire::reason::invalid_request;
     std::uint64_t total_samples = 0;
-    for (std::size_t i = 0; i < r.groups.size(); ++i) {
+    for (std::size_t i = 0; i < request.groups.size(); ++i) {
         const auto group_path = "/groups/" + std::to_string(i);
-        total_samples += r.groups[i].samples;
-        if (r.groups[i].samples == 0 || total_samples > max_samples_per_step) {
+        total_samples += request.groups[i].samples;
+        if (request.groups[i].samples == 0 ||
+            total_samples > max_samples_per_step) {
             return wire::problem{invalid, group_path + "/samples",
                                  "1 or more, 65536 in all"};
         }
-        if (r.groups[i].max_tokens == 0 ||
-            r.groups[i].max_tokens > max_tokens_per_sample) {
+        if (request.groups[i].max_tokens == 0 ||
+            request.groups[i].max_tokens > max_tokens_per_sample) {
             return wire::problem{invalid, group_path + "/max_tokens",
                                  "1 to 1000000"};
         }
     }
-    if (r.groups.empty()) {
+    if (request.groups.empty()) {
         return wire::problem{invalid, "/groups", "one group or more"};
     }
-    if (r.version < 0) {
+    if (request.version < 0) {
         return wire::problem{invalid, "/version", "0 or more"};
     }
     return std::nullopt;
 }
 
-/// Returns the first problem of a pull, or nullopt if it is valid.
-std::optional<wire::problem> validate(const wire::pull_request& r) {
+/// Returns the first problem of a pull request, or nullopt if it is valid.
+std::optional<wire::problem> validate(const wire::pull_request& request) {
     const auto invalid = wire::reason::invalid_request;
-    if (r.version < 0) {
+    if (request.version < 0) {
         return wire::problem{invalid, "/version", "0 or more"};
     }
-    for (const auto& range : r.received) {
+    for (const auto& range : request.received) {
         if (range.first > range.last || range.last >= max_samples_per_step) {
             return wire::problem{invalid, "/received", "pairs [first, last]"};
         }
     }
-    if (r.wait_ms < 0) {
+    if (request.wait_ms < 0) {
         return wire::problem{invalid, "/wait_ms", "0 or more"};
     }
     return std::nullopt;
@@ -215,7 +216,7 @@
     } else if (target == "/v1/entries") {
         list_entries(respond);
     } else if (target == "/v1/status") {
-        control_.write_status([respond](std::string text) {
+        control_.collect_status([respond](std::string text) {
             respond({status_ok, std::move(text), "application/json"});
         });
     } else {
@@ -226,8 +227,9 @@
 void public_api::list_entries(const net::http_responder& respond) {
     const auto view = shared_.get();
     wire::entries_response response;
-    response.ttl_ms = view->config ? view->config->content.limit.entries_ttl_ms
-                                   : default_ttl_ms;
+    response.ttl_ms = view->revision
+                          ? view->revision->content.limit.entries_ttl_ms
+                          : default_ttl_ms;
     response.entries = view->entries;
     respond({status_ok, wire::to_json(response), "application/json"});
 }
@@ -262,10 +264,10 @@
     }
 }
 
-/// Passes a non-idempotent request to the control thread. That thread handles
-/// requests one after the other, so during an overload without a limit each
-/// request would wait behind all others until its deadline. Requests beyond the
-/// limit are rejected at once instead.
+/// Passes a non-idempotent request to the control thread, which handles
+/// requests one after the other. Without a limit, each request would wait
+/// behind all others during an overload, until its deadline. Requests beyond
+/// the limit are rejected at once instead.
 void public_api::run_non_idempotent(
     const wire::service_request& request,
     std::function<void(wire::service_response)> done) {
@@ -358,9 +360,9 @@
         return;
     }
     const auto view = shared_.get();
-    if (view->config) {
+    if (view->revision) {
         body->wait_ms =
-            std::min(body->wait_ms, view->config->content.limit.pull_wait_ms);
+            std::min(body->wait_ms, view->revision->content.limit.pull_wait_ms);
     }
     control_.pull_samples({trainer, step, *body}, std::move(done));
 }
@@ -376,7 +378,7 @@
         return;
     }
     const auto view = shared_.get();
-    if (view->config && view->config->content.find(trainer) == nullptr) {
+    if (view->revision && view->revision->content.find(trainer) == nullptr) {
         done({wire::outcome::not_run, wire::reason::unknown_trainer,
               default_ttl_ms, 0});
         return;
--- a/packages/node/src/sample_driver.cpp
+++ b/packages/node/src/sample_driver.cpp
@@ -15,9 +15,10 @@
 /// Time for which a node that cannot reach an engine is not considered as its
 /// home.
 constexpr base::millis home_exclusion_ms = 10000;
-/// Longer than the interval between reports of running streams, which is 250 ms
-/// (four times a second).
-constexpr base::millis adoption_delay_ms = 300;
+/// Time for which the first step of a trainer waits for reports of streams that
+/// the former home started. Must be longer than the interval between reports of
+/// running streams, which are sent four times a second.
+constexpr base::millis stream_adoption_delay_ms = 300;
 
 std::string trainer_key(const base::trainer_id& trainer) {
     return "trainer/" + trainer.str();
@@ -25,7 +26,7 @@
 
 cluster::step_options make_step_options() {
     cluster::step_options options;
-    options.adoption_delay = adoption_delay_ms;
+    options.adoption_delay = stream_adoption_delay_ms;
     return options;
 }
 
@@ -34,15 +35,15 @@
 sample_driver::sample_driver(const base::node_id& self,
                              boost::asio::io_context& control_io,
                              const cluster::member_table& members,
-                             peer_rpc_client& calls, net::peer_mesh& mesh,
+                             peer_rpc_client& rpc_client, net::peer_mesh& mesh,
                              platform::log_client& log, engine_client& engines,
                              event_log& logger, telemetry::metrics& counters,
                              base::clock clock,
                              document_function current_document)
-    : self_(self), control_io_(control_io), members_(members), calls_(calls),
-      mesh_(mesh), log_(log), engine_client_(engines), logger_(logger),
-      counters_(counters), clock_(std::move(clock)),
-      current_document_(std::move(current_document)),
+    : self_(self), control_io_(control_io), members_(members),
+      peer_rpc_client_(rpc_client), mesh_(mesh), log_(log),
+      engine_client_(engines), logger_(logger), counters_(counters),
+      clock_(std::move(clock)), current_document_(std::move(current_document)),
       selector_(self, engines_, versions_, logger, clock_, current_document_),
       step_coordinator_(
           self, make_step_options(),
@@ -67,7 +68,7 @@
 }
 
 void sample_driver::pull_samples(const wire::pull_step& message,
-                                 pull_function done) {
+                                 pull_callback done) {
     versions_.update(clock_.now(), message.trainer, message.request.version);
     const auto waiter = ++last_waiter_id_;
     callbacks_[waiter] = std::move(done);
@@ -116,10 +117,10 @@
     execute_effects();
 }
 
+/// Forwards reports to the current homes of their trainers. After a planned
+/// handover of a trainer, the homes of engines still report to its former home.
+/// A sample whose report is dropped there would be generated a second time.
 void sample_driver::forward_report(const wire::sample_report& message) {
-    // After a planned handover of a trainer, the homes of engines still report
-    // to its former home. A sample whose report is dropped there would be
-    // generated a second time.
     std::map<base::node_id, wire::sample_report> reports_by_home;
     for (const auto& report_entry : message.streams) {
         const auto parsed_id = cluster::parse_stream_id(report_entry.stream);
@@ -319,24 +320,24 @@
         on_place_response(stream, admit_stream(message));
         return;
     }
-    calls_.call(home, std::move(message), place_timeout_ms,
-                [this, stream](const call_result& result) {
-                    const auto* reply = std::get_if<wire::reply_body>(&result);
-                    if (reply == nullptr) {
-                        // If the call was lost, the silence of the stream
-                        // reveals it later.
-                        if (std::get<call_failure>(result) ==
-                            call_failure::not_sent) {
-                            step_coordinator_.on_placement_refused(clock_.now(),
-                                                                   stream, 0);
-                        }
-                        return;
-                    }
-                    if (const auto* response =
-                            std::get_if<wire::place_response>(reply)) {
-                        on_place_response(stream, *response);
-                    }
-                });
+    peer_rpc_client_.call(
+        home, std::move(message), place_timeout_ms,
+        [this, stream](const call_result& result) {
+            const auto* reply = std::get_if<wire::reply_body>(&result);
+            if (reply == nullptr) {
+                // If the outcome of the call is unknown, a lost call is
+                // detected later, when the stream sends no reports.
+                if (std::get<call_failure>(result) == call_failure::not_sent) {
+                    step_coordinator_.on_placement_refused(clock_.now(), stream,
+                                                           0);
+                }
+                return;
+            }
+            if (const auto* response =
+                    std::get_if<wire::place_response>(reply)) {
+                on_place_response(stream, *response);
+            }
+        });
 }
 
 void sample_driver::on_place_response(const base::stream_id& stream,
--- a/packages/node/src/sample_driver.hpp
+++ b/packages/node/src/sample_driver.hpp
@@ -21,12 +21,15 @@
 
 namespace hibiscus::node {
 
-/// Executes the effects of the step and engine coordinators. Must be used on
-/// the control thread only.
+/// Executes the effects of the step and engine coordinators: places samples on
+/// engines, polls engines, and sends orders, reports and pull responses. A
+/// *step* is a batch of samples that a trainer requests, a *pull* fetches its
+/// finished samples, and a *stream* is the generation of one sample at one
+/// engine. Must be used on the control thread only.
 class sample_driver {
 public:
     /// Receives the response to one pull.
-    using pull_function = std::function<void(wire::pull_response)>;
+    using pull_callback = std::function<void(wire::pull_response)>;
 
     /// Returns the document in force, or null if there is none.
     using document_function = std::function<const document::document*()>;
@@ -34,17 +37,17 @@
     /// Constructs a driver for the node `self`. Callbacks run on `control_io`.
     sample_driver(const base::node_id& self,
                   boost::asio::io_context& control_io,
-                  const cluster::member_table& members, peer_rpc_client& calls,
-                  net::peer_mesh& mesh, platform::log_client& log,
-                  engine_client& engines, event_log& logger,
-                  telemetry::metrics& counters, base::clock clock,
-                  document_function current_document);
+                  const cluster::member_table& members,
+                  peer_rpc_client& rpc_client, net::peer_mesh& mesh,
+                  platform::log_client& log, engine_client& engines,
+                  event_log& logger, telemetry::metrics& counters,
+                  base::clock clock, document_function current_document);
 
     /// Opens a step of a trainer whose home is this node.
     wire::step_response open_step(const wire::open_step& message);
 
     /// Handles a pull of a trainer whose home is this node.
-    void pull_samples(const wire::pull_step& message, pull_function done);
+    void pull_samples(const wire::pull_step& message, pull_callback done);
 
     /// Returns the pull response of another home without the samples that have
     /// become stale in the meantime.
@@ -68,7 +71,9 @@
     void update_newest_version(const base::trainer_id& trainer,
                                wire::weight_version version);
 
-    /// Applies the versions and engine statuses of a node's heartbeat.
+    /// Applies the versions and engine statuses of a node's heartbeat, and
+    /// reassigns homes if the set of engines that the node can reach has
+    /// changed.
     void on_heartbeat(const wire::heartbeat& heartbeat);
 
     /// Applies the instance list of the platform.
@@ -91,7 +96,9 @@
     /// Returns all engines of the instance list.
     const cluster::engine_table& engines() const { return engines_; }
 
-    /// Returns the slot time, by owner, of the engines whose home is this node.
+    /// Returns, for each owner of pools and trainers, the time for which engine
+    /// slots were used, were idle or had streams queued for them. Covers the
+    /// engines whose home is this node.
     const policy::usage_meter& usage() const { return usage_; }
 
     /// Returns the steps of the trainers whose home is this node.
@@ -131,7 +138,7 @@
     base::node_id self_;
     boost::asio::io_context& control_io_;
     const cluster::member_table& members_;
-    peer_rpc_client& calls_;
+    peer_rpc_client& peer_rpc_client_;
     net::peer_mesh& mesh_;
     platform::log_client& log_;
     engine_client& engine_client_;
@@ -148,7 +155,7 @@
     cluster::engine_reachability reachability_;
     std::map<base::engine_id, base::node_id> engine_homes_;
     policy::usage_meter usage_;
-    std::map<cluster::waiter_id, pull_function> callbacks_;
+    std::map<cluster::waiter_id, pull_callback> callbacks_;
     cluster::waiter_id last_waiter_id_ = 0;
     std::set<base::engine_id> engines_being_polled_;
     std::map<base::engine_id, base::millis> last_poll_at_;
--- a/packages/node/src/service_gateway.cpp
+++ b/packages/node/src/service_gateway.cpp
@@ -24,12 +24,12 @@
 /// except for members that never change.
 struct service_gateway::pending_request {
     wire::service_request request;
-    done_function done;
+    response_callback done;
     base::millis deadline = 0;
     int attempt_count = 0;
     int in_flight = 0;
-    /// The backend server of the last attempt.
-    std::string instance;
+    /// ID of the backend server of the last attempt.
+    std::string server_id;
     /// True once an attempt may have reached a backend server.
     bool may_have_run = false;
     bool answered = false;
@@ -41,10 +41,10 @@
 /// One attempt to send a request to a backend server.
 struct service_gateway::attempt {
     attempt(boost::asio::io_context& io, pending_ptr pending)
-        : request(std::move(pending)), timer(io) {}
+        : pending(std::move(pending)), timer(io) {}
 
-    pending_ptr request;
-    policy::instance_candidate instance;
+    pending_ptr pending;
+    policy::instance_candidate server;
     int number = 0;
     base::millis started_at = 0;
     base::millis hedge_delay = 0;
@@ -56,16 +56,16 @@
 service_gateway::service_gateway(base::node_id self,
                                  boost::asio::io_context& io,
                                  net::http_client& http,
-                                 const shared_view& shared, event_log& log,
+                                 const shared_view& shared, event_log& logger,
                                  telemetry::metrics& counters,
                                  base::clock clock)
     : self_(std::move(self)), io_(io), http_(http), shared_(shared),
-      logger_(log), counters_(counters), clock_(std::move(clock)),
+      logger_(logger), counters_(counters), clock_(std::move(clock)),
       router_(base::stable_hash(self_.str())),
       retry_budget_(default_retry_ratio, retry_budget_reserve) {}
 
 void service_gateway::run(const wire::service_request& request,
-                          done_function done) {
+                          response_callback done) {
     auto pending = std::make_shared<pending_request>();
     pending->request = request;
     pending->done = std::move(done);
@@ -73,8 +73,8 @@
     const auto view = shared_.get();
     {
         const std::lock_guard<std::mutex> lock(mutex_);
-        if (view->config) {
-            retry_budget_.set_ratio(view->config->content.limit.retry_ratio);
+        if (view->revision) {
+            retry_budget_.set_ratio(view->revision->content.limit.retry_ratio);
         }
         retry_budget_.deposit();
     }
@@ -92,7 +92,7 @@
                      default_retry_after_ms);
         return;
     }
-    if (const auto attempt = select_instance(pending)) {
+    if (const auto attempt = select_server(pending)) {
         dispatch(attempt);
     }
 }
@@ -100,11 +100,11 @@
 /// Returns an attempt that can be sent now. Otherwise queues or fails the
 /// request and returns null.
 service_gateway::attempt_ptr
-service_gateway::select_instance(const pending_ptr& pending) {
+service_gateway::select_server(const pending_ptr& pending) {
     const auto view = shared_.get();
     const auto& name = pending->request.service;
     const auto* service =
-        view->config ? view->config->content.find(name) : nullptr;
+        view->revision ? view->revision->content.find(name) : nullptr;
     const auto listed = view->services.find(name);
     if (service == nullptr || listed == view->services.end()) {
         fail_request(pending,
@@ -118,8 +118,8 @@
         const std::lock_guard<std::mutex> lock(mutex_);
         auto& state = services_[name];
         if (state.queue.empty()) {
-            if (auto attempt = select_instance_locked(state, pending, *service,
-                                                      listed->second)) {
+            if (auto attempt = select_server_locked(state, pending, *service,
+                                                    listed->second)) {
                 return attempt;
             }
         }
@@ -142,25 +142,25 @@
     return nullptr;
 }
 
-service_gateway::attempt_ptr service_gateway::select_instance_locked(
+service_gateway::attempt_ptr service_gateway::select_server_locked(
     service_state& state, const pending_ptr& pending,
     const document::service& service,
     const std::vector<policy::instance_candidate>& candidates) {
     const auto now = clock_.now();
     const auto chosen = router_.begin_request(candidates, service.max_in_flight,
-                                              pending->instance, now);
+                                              pending->server_id, now);
     if (!chosen) {
         return nullptr;
     }
     auto new_attempt = std::make_shared<attempt>(io_, pending);
-    new_attempt->instance = candidates[*chosen];
+    new_attempt->server = candidates[*chosen];
     new_attempt->number = ++pending->attempt_count;
     new_attempt->started_at = now;
     new_attempt->hedge_delay = state.latency.timeout();
-    pending->instance = new_attempt->instance.id;
+    pending->server_id = new_attempt->server.id;
     pending->retry_charged = false;
     ++pending->in_flight;
-    log_choice(*pending, candidates, new_attempt->instance.id,
+    log_choice(*pending, candidates, new_attempt->server.id,
                new_attempt->number > 1
                    ? "attempt " + std::to_string(new_attempt->number)
                    : "fewest in flight");
@@ -168,8 +168,8 @@
 }
 
 void service_gateway::dispatch(const attempt_ptr& attempt) {
-    const auto& request = attempt->request->request;
-    const auto target = base::parse_endpoint(attempt->instance.address);
+    const auto& request = attempt->pending->request;
+    const auto target = base::parse_endpoint(attempt->server.address);
     net::http_request message;
     message.method = "POST";
     message.target = "/v1/run/" + request.id.str();
@@ -179,7 +179,7 @@
     const bool may_reuse = request.idempotent && attempt->number == 1;
     auto cancel = http_.send(
         target.value_or(base::endpoint{}), std::move(message),
-        attempt->request->deadline - attempt->started_at,
+        attempt->pending->deadline - attempt->started_at,
         may_reuse ? net::connection_reuse::allowed
                   : net::connection_reuse::never,
         [self = shared_from_this(), attempt](const net::http_result& r) {
@@ -207,11 +207,11 @@
 }
 
 void service_gateway::on_hedge_timer(const attempt_ptr& attempt) {
-    const auto& pending = attempt->request;
+    const auto& pending = attempt->pending;
     const auto view = shared_.get();
     const auto* service =
-        view->config ? view->config->content.find(pending->request.service)
-                     : nullptr;
+        view->revision ? view->revision->content.find(pending->request.service)
+                       : nullptr;
     const auto listed = view->services.find(pending->request.service);
     std::function<void()> cancel;
     attempt_ptr hedge;
@@ -225,8 +225,8 @@
         if (service->hedge) {
             pending->hedged = true;
             auto& state = services_[pending->request.service];
-            hedge = select_instance_locked(state, pending, *service,
-                                           listed->second);
+            hedge =
+                select_server_locked(state, pending, *service, listed->second);
         } else {
             pending->retry_charged = true;
             cancel = attempt->cancel;
@@ -243,19 +243,19 @@
 
 void service_gateway::log_choice(
     const pending_request& pending,
-    const std::vector<policy::instance_candidate>& instances,
+    const std::vector<policy::instance_candidate>& servers,
     const std::string& choice, const std::string& reason) {
-    decision d{"route", pending.request.id.str(), {}, choice, reason};
-    for (const auto& i : instances) {
-        d.candidates.push_back(i.id);
+    decision record{"route", pending.request.id.str(), {}, choice, reason};
+    for (const auto& i : servers) {
+        record.candidates.push_back(i.id);
     }
-    logger_.write_decision(d);
+    logger_.write_decision(record);
 }
 
 void service_gateway::on_http_result(const attempt_ptr& attempt,
                                      const net::http_result& result) {
     const auto* http_response = std::get_if<net::http_response>(&result);
-    const auto& pending = attempt->request;
+    const auto& pending = attempt->pending;
     if (http_response == nullptr) {
         record_attempt_end(attempt, policy::attempt_outcome::no_response);
         on_attempt_failed(attempt, std::get<net::http_failure>(result).status);
@@ -291,9 +291,9 @@
     attempt->finished = true;
     attempt->timer.cancel();
     attempt->cancel = nullptr;
-    --attempt->request->in_flight;
-    router_.end_request(attempt->instance.id, outcome, now);
-    auto& state = services_[attempt->request->request.service];
+    --attempt->pending->in_flight;
+    router_.end_request(attempt->server.id, outcome, now);
+    auto& state = services_[attempt->pending->request.service];
     if (outcome == policy::attempt_outcome::answered) {
         state.latency.add_sample(now - attempt->started_at);
         state.drain_rate.record_completion(now);
@@ -302,7 +302,7 @@
 
 void service_gateway::on_attempt_failed(const attempt_ptr& attempt,
                                         net::delivery_status delivery) {
-    const auto& pending = attempt->request;
+    const auto& pending = attempt->pending;
     bool retry = false;
     {
         const std::lock_guard<std::mutex> lock(mutex_);
@@ -345,7 +345,7 @@
 
 void service_gateway::complete_request(const pending_ptr& pending,
                                        wire::service_response response) {
-    done_function done;
+    response_callback done;
     {
         const std::lock_guard<std::mutex> lock(mutex_);
         if (std::exchange(pending->answered, true)) {
@@ -361,7 +361,7 @@
 void service_gateway::dispatch_queued(const base::service_id& name) {
     const auto view = shared_.get();
     const auto* service =
-        view->config ? view->config->content.find(name) : nullptr;
+        view->revision ? view->revision->content.find(name) : nullptr;
     const auto listed = view->services.find(name);
     if (service == nullptr || listed == view->services.end()) {
         return;
@@ -371,8 +371,8 @@
         const std::lock_guard<std::mutex> lock(mutex_);
         auto& state = services_[name];
         while (!state.queue.empty()) {
-            auto attempt = select_instance_locked(state, state.queue.front(),
-                                                  *service, listed->second);
+            auto attempt = select_server_locked(state, state.queue.front(),
+                                                *service, listed->second);
             if (!attempt) {
                 break;
             }
--- a/packages/node/src/service_gateway.hpp
+++ b/packages/node/src/service_gateway.hpp
@@ -22,12 +22,12 @@
 class service_gateway : public std::enable_shared_from_this<service_gateway> {
 public:
     /// Receives the response to one request.
-    using done_function = std::function<void(wire::service_response)>;
+    using response_callback = std::function<void(wire::service_response)>;
 
     /// Constructs a gateway for the node `self`. Its timers run on `io`.
     service_gateway(base::node_id self, boost::asio::io_context& io,
                     net::http_client& http, const shared_view& shared,
-                    event_log& log, telemetry::metrics& counters,
+                    event_log& logger, telemetry::metrics& counters,
                     base::clock clock);
 
     /// Sends a request to a backend server of its service and calls `done`
@@ -37,7 +37,7 @@
     /// attempt was sent or the server did not start it. While all servers are
     /// at their limit, the request is queued if it can still be answered before
     /// its deadline.
-    void run(const wire::service_request& request, done_function done);
+    void run(const wire::service_request& request, response_callback done);
 
     /// Returns the number of requests that are queued for a backend server.
     std::size_t queued_count() const;
@@ -57,8 +57,8 @@
     };
 
     void start(const pending_ptr& pending);
-    attempt_ptr select_instance(const pending_ptr& pending);
-    attempt_ptr select_instance_locked(
+    attempt_ptr select_server(const pending_ptr& pending);
+    attempt_ptr select_server_locked(
         service_state& state, const pending_ptr& pending,
         const document::service& service,
         const std::vector<policy::instance_candidate>& candidates);
@@ -81,7 +81,7 @@
     void arm_expiry_timer();
     void expire_queued();
     void log_choice(const pending_request& pending,
-                    const std::vector<policy::instance_candidate>& instances,
+                    const std::vector<policy::instance_candidate>& servers,
                     const std::string& choice, const std::string& reason);
 
     base::node_id self_;
--- a/packages/node/src/shared_view.hpp
+++ b/packages/node/src/shared_view.hpp
@@ -14,7 +14,7 @@
 /// never modified; the control thread replaces it by a new one.
 struct routing_view {
     wire::node_state state = wire::node_state::starting;
-    std::shared_ptr<const document::revision> config;
+    std::shared_ptr<const document::revision> revision;
     /// Nodes that accept requests from callers; those in the zone of this node
     /// come first.
     std::vector<wire::entry_address> entries;
--- a/packages/node/test/rollout_planner_test.cpp
+++ b/packages/node/test/rollout_planner_test.cpp
@@ -41,8 +41,8 @@
         table_.update_instances(list);
     }
 
-    /// Returns how many engines may swap to `newest` while all serve `served`,
-    /// or no version if `served` is 0.
+    /// Returns how many engines may swap to `newest` while each of them serves
+    /// `served`. If `served` is 0, the engines serve no version.
     int count_allowed_swaps(wire::weight_version served,
                             wire::weight_version newest) {
         versions_.update(1000, trainer_name, newest);
