--- a/packages/base/include/hibiscus/base/clock.hpp
+++ b/packages/base/include/hibiscus/base/clock.hpp
@@ -10,33 +10,35 @@
 /// A point in time or a duration in milliseconds.
 using millis = std::int64_t;
 
-/// A time that only a test moves. Safe to read from several threads.
+/// A time source that a test advances by hand. Thread-safe.
 class manual_time {
 public:
-    /// Moves the time forward by `by` milliseconds.
-    void advance(millis by) { now_ += by; }
+    /// Advances the time by `duration` milliseconds.
+    void advance(millis duration) { now_ += duration; }
 
-    /// Returns the milliseconds that have passed since construction.
+    /// Returns the milliseconds by which the time was advanced since
+    /// construction.
     millis now() const { return now_; }
 
 private:
     std::atomic<millis> now_{0};
 };
 
-/// Tells the time in milliseconds, either the machine's or a test's.
-/// Copies of a clock tell the same time.
+/// Returns the time in milliseconds, either from the system clocks or from a
+/// test's manual_time. Copies of a clock share the same time source.
 class clock {
 public:
-    /// Constructs a clock that reads the machine's clocks.
+    /// Constructs a clock that reads the system clocks.
     clock() = default;
 
-    /// Constructs a clock that shows `time`, for tests.
+    /// Constructs a clock that reads `time`, for tests.
     explicit clock(std::shared_ptr<const manual_time> time);
 
-    /// Returns the monotonic time; it has no relation to the time of day.
+    /// Returns the monotonic time. It has no relation to the time of day.
     millis now() const;
 
-    /// Returns the time of day as milliseconds since 1970. It may jump.
+    /// Returns the time of day in milliseconds since the Unix epoch. It may
+    /// jump forward or backward.
     millis wall_time() const;
 
 private:
--- a/packages/base/include/hibiscus/base/endpoint.hpp
+++ b/packages/base/include/hibiscus/base/endpoint.hpp
@@ -7,7 +7,7 @@
 
 namespace hibiscus::base {
 
-/// An address by IP number and a port.
+/// An IP address and a port.
 struct endpoint {
     std::string ip;
     std::uint16_t port = 0;
@@ -20,11 +20,11 @@
     }
 };
 
-/// Returns the endpoint that `text` ("127.0.0.1:80") names, or nothing if it
-/// has no port between 0 and 65535. The IP number itself is not checked.
+/// Parses an endpoint such as "127.0.0.1:80". Returns nothing if `text` has no
+/// IP address or no port between 0 and 65535. Does not validate the IP address.
 std::optional<endpoint> parse_endpoint(std::string_view text);
 
-/// Returns `e` in the form that parse_endpoint() reads.
-std::string to_string(const endpoint& e);
+/// Formats `address` so that parse_endpoint() can read it back.
+std::string to_string(const endpoint& address);
 
 } // namespace hibiscus::base
--- a/packages/base/include/hibiscus/base/enum_names.hpp
+++ b/packages/base/include/hibiscus/base/enum_names.hpp
@@ -7,20 +7,19 @@
 
 namespace hibiscus::base {
 
-/// One row of an enumeration's table of names.
+/// One enumerator and its name.
 template <class E>
 struct enum_name {
     E value;
     std::string_view name;
 };
 
-/// The table of names of the enumeration E. An enumeration that is logged,
-/// counted or sent specialises it with a member `table`, an array of
-/// enum_name<E>.
+/// Maps the enumerators of E to their names in logs, metrics and messages.
+/// Specializations provide a member `table`, an array of enum_name<E>.
 template <class E>
 struct enum_names;
 
-/// True if E has a table of names.
+/// True if enum_names is specialized for E.
 template <class E, class = void>
 struct has_enum_names : std::false_type {};
 
@@ -28,7 +27,7 @@
 struct has_enum_names<E, std::void_t<decltype(enum_names<E>::table)>>
     : std::true_type {};
 
-/// Returns the name of `value`, or "invalid" if the table lacks it.
+/// Returns the name of `value`, or "invalid" if the table does not contain it.
 template <class E>
 constexpr std::string_view name_of(E value) {
     for (const auto& row : enum_names<E>::table) {
@@ -39,7 +38,7 @@
     return "invalid";
 }
 
-/// Returns the value that is called `name`, or nothing.
+/// Returns the enumerator named `name`, or nothing if there is none.
 template <class E>
 constexpr std::optional<E> from_name(std::string_view name) {
     for (const auto& row : enum_names<E>::table) {
--- a/packages/base/include/hibiscus/base/features.hpp
+++ b/packages/base/include/hibiscus/base/features.hpp
@@ -6,32 +6,32 @@
 #include <bitset>
 #include <cstddef>
 
-/// The decisions that operators may switch off one by one.
+/// Feature switches.
 namespace hibiscus::base {
 
-/// A decision that is meant to serve callers better. Each can be switched off
-/// in the settings, so that operators see what it is worth on a deployment.
+/// An optimization that can be switched off in the settings, which lets
+/// operators measure its effect on a deployment.
 enum class feature {
-    move_silent_runs,     ///< Runs leave servers that have fallen silent.
-    move_slow_runs,       ///< Runs leave servers that have become slow.
-    move_to_faster,       ///< Long runs go on at a faster server.
-    remember_paces,       ///< Paces seen some seconds ago still count.
-    spread_runs,          ///< A fuller server counts as slower.
-    memory_cost,          ///< A server that lacks memory counts as slower.
-    spare_newer_weights,  ///< Weights newer than needed count as dearer.
-    load_one_model,       ///< A load keeps only its own model's runs away.
-    load_by_need,         ///< Loads go to the model supplied worst.
-    load_where_needed,    ///< Only so many servers load as steps need.
-    longest_first,        ///< Of waiting items the longest start first.
-    priorities,           ///< Servers are told which runs are urgent.
-    run_ahead,            ///< Items run before the job that carries them.
-    reuse_texts,          ///< Texts of an earlier job are gone on with.
-    save_progress,        ///< Texts under way are stored for the next owner.
-    owner_by_size,        ///< Small nodes leave the jobs to larger ones.
-    call_through_nodes,   ///< Other nodes pass calls to the store on.
-    give_up_silent_store, ///< Calls to a store that fell silent are ended.
-    known_servers_first,  ///< Requests go to servers with open connections.
-    roomy_nodes_first,    ///< Callers are sent to the larger nodes.
+    move_silent_runs,    ///< Moves runs away from servers that went silent.
+    move_slow_runs,      ///< Moves runs away from servers that became slow.
+    move_to_faster,      ///< Moves long runs to faster servers.
+    remember_paces,      ///< Still uses event intervals that are seconds old.
+    spread_runs,         ///< Treats a server as slower the more runs it has.
+    memory_cost,         ///< Treats a server short of memory as slower.
+    spare_newer_weights, ///< Avoids servers with newer weights than needed.
+    load_one_model,      ///< A loading server still runs its other models.
+    load_by_need,        ///< Loads the model with the least supply first.
+    load_where_needed,   ///< Loads only on as many servers as steps need.
+    longest_first,       ///< Starts the longest pending items first.
+    priorities,          ///< Sends servers the priority of each run.
+    run_ahead,           ///< Runs items speculatively, before their job exists.
+    reuse_texts,         ///< Resumes items from texts of an earlier job.
+    save_progress,       ///< Stores partial texts for the next job owner.
+    owner_by_size,       ///< Prefers larger nodes as job owners.
+    call_through_nodes,  ///< Relays calls to the store through other nodes.
+    give_up_silent_store, ///< Ends calls to a store that stopped responding.
+    known_servers_first,  ///< Prefers servers with open connections.
+    roomy_nodes_first,    ///< Directs callers to the larger nodes.
 };
 
 template <>
@@ -60,15 +60,17 @@
     }};
 };
 
-/// Which mechanisms are on; all of them unless switched off.
+/// The set of enabled features. All features are enabled by default.
 class feature_set {
 public:
-    bool is_enabled(feature m) const { return !disabled_.test(index(m)); }
+    bool is_enabled(feature f) const { return !disabled_.test(index(f)); }
 
-    void set_enabled(feature m, bool on) { disabled_.set(index(m), !on); }
+    void set_enabled(feature f, bool enabled) {
+        disabled_.set(index(f), !enabled);
+    }
 
 private:
-    static std::size_t index(feature m) { return static_cast<std::size_t>(m); }
+    static std::size_t index(feature f) { return static_cast<std::size_t>(f); }
 
     std::bitset<enum_names<feature>::table.size()> disabled_;
 };
--- a/packages/base/include/hibiscus/base/ids.hpp
+++ b/packages/base/include/hibiscus/base/ids.hpp
@@ -7,21 +7,20 @@
 
 namespace hibiscus::base {
 
-/// A name of one kind of entity. Ids of different kinds do not convert into
-/// each other, so that a trainer's name cannot be passed as an engine's.
+/// A strongly typed identifier. Ids with different tags do not convert to each
+/// other: a trainer_id cannot be passed where an engine_id is expected.
 template <class Tag>
 class id {
 public:
-    /// Constructs the empty id, which names nothing.
+    /// Constructs an empty id, which identifies nothing.
     id() = default;
 
     /// Constructs an id from its text.
     explicit id(std::string text) : text_(std::move(text)) {}
 
-    /// Returns the text of the id.
     const std::string& str() const { return text_; }
 
-    /// Returns true if the id names nothing.
+    /// Returns true if the id identifies nothing.
     bool empty() const { return text_.empty(); }
 
     friend bool operator==(const id& a, const id& b) {
@@ -41,25 +40,25 @@
     std::string text_;
 };
 
-/// Names one running entry instance.
+/// Identifies a running entry instance.
 using node_id = id<struct node_tag>;
-/// Names one model engine.
+/// Identifies a model engine.
 using engine_id = id<struct engine_tag>;
-/// Names one trainer.
+/// Identifies a trainer.
 using trainer_id = id<struct trainer_tag>;
-/// Names one service behind the entries.
+/// Identifies a service, that is, a group of backend servers.
 using service_id = id<struct service_tag>;
-/// Names one pool of engines.
+/// Identifies a pool of engines.
 using pool_id = id<struct pool_tag>;
-/// Names one owner who pays for engines.
+/// Identifies an owner, who pays for engines.
 using owner_id = id<struct owner_tag>;
-/// Names one caller's request; a retry carries the same id.
+/// Identifies a caller's request. Retries use the same id.
 using request_id = id<struct request_tag>;
-/// Names one generation of one slot at an engine.
+/// Identifies one generation of one sample slot at an engine.
 using stream_id = id<struct stream_tag>;
-/// Names one availability zone.
+/// Identifies an availability zone.
 using zone_id = id<struct zone_tag>;
-/// Names one record appended to the log, whatever the number of attempts.
+/// Identifies a record to append to the log. Retries use the same id.
 using append_id = id<struct append_tag>;
 
 } // namespace hibiscus::base
--- a/packages/base/include/hibiscus/base/stall_detector.hpp
+++ b/packages/base/include/hibiscus/base/stall_detector.hpp
@@ -4,26 +4,28 @@
 
 namespace hibiscus::base {
 
-/// Tells how long a thread was held up itself between two looks at the bounds
-/// of what it waits for. What came meanwhile is handled only after such a
-/// look, so that others would seem silent for as long.
+/// Measures how long the calling thread did not run between two of its periodic
+/// timeout checks. Input that arrives during such a stall is handled only after
+/// the check. Without a correction, the check would report timeouts of peers
+/// that did send.
 class stall_detector {
 public:
-    /// Looks are taken each `usual` ms; one that comes more than `late` ms
-    /// after the one before shows that the thread was held up.
-    constexpr stall_detector(millis usual, millis late)
-        : tick_interval_(usual), stall_threshold_(late) {}
+    /// The thread calls tick() every `tick_interval` ms. A gap of more than
+    /// `stall_threshold` ms between two calls is a stall.
+    constexpr stall_detector(millis tick_interval, millis stall_threshold)
+        : tick_interval_(tick_interval), stall_threshold_(stall_threshold) {}
 
-    /// Begins at `now`, as if a look had been taken.
+    /// Starts measuring at `now`.
     void start(millis now) {
         last_tick_ = now;
         stalled_ = false;
     }
 
-    /// Takes a look, and returns how much of the time since the last one no
-    /// wait may count. Of two late looks in a row the second counts as a usual
-    /// one: the thread has handled what came between them, and a thread that
-    /// is always late still comes to its bounds.
+    /// Returns how many milliseconds since the last tick must not count toward
+    /// timeouts: 0 if the tick is on time, the whole gap if it is late. The
+    /// second of two late ticks in a row counts one tick interval of the gap:
+    /// the thread has handled its input between them, and timeouts must still
+    /// expire in a thread that is always late.
     millis tick(millis now) {
         const auto gap = now - last_tick_;
         last_tick_ = now;
@@ -35,8 +37,8 @@
         return stalled_ ? gap : gap - tick_interval_;
     }
 
-    /// Returns true if the thread was held up before the last look and has not
-    /// yet handled what came meanwhile.
+    /// Returns true if the thread stalled before the last tick and has not yet
+    /// handled the input that arrived during the stall.
     bool is_stalled() const { return stalled_; }
 
 private:
--- a/packages/base/src/clock.cpp
+++ b/packages/base/src/clock.cpp
@@ -10,8 +10,9 @@
 
 template <class Clock>
 millis read_clock() {
-    const auto since = Clock::now().time_since_epoch();
-    return std::chrono::duration_cast<std::chrono::milliseconds>(since).count();
+    const auto elapsed = Clock::now().time_since_epoch();
+    return std::chrono::duration_cast<std::chrono::milliseconds>(elapsed)
+        .count();
 }
 
 } // namespace
--- a/packages/base/src/endpoint.cpp
+++ b/packages/base/src/endpoint.cpp
@@ -20,8 +20,8 @@
     return result;
 }
 
-std::string to_string(const endpoint& e) {
-    return e.ip + ":" + std::to_string(e.port);
+std::string to_string(const endpoint& address) {
+    return address.ip + ":" + std::to_string(address.port);
 }
 
 } // namespace hibiscus::base
