--- a/packages/settings/include/hibiscus/settings/errors.hpp
+++ b/packages/settings/include/hibiscus/settings/errors.hpp
@@ -8,31 +8,32 @@
 
 namespace hibiscus::settings {
 
-/// What is wrong with a settings file.
+/// The kind of an error in a settings file.
 enum class setting_fault {
     unreadable,  ///< The file cannot be read.
-    not_yaml,    ///< The file is not YAML.
-    missing,     ///< A key that is needed is not there.
-    unknown_key, ///< A key that does not exist.
-    wrong_type,  ///< A value of another type was expected.
-    out_of_range ///< A number is too small or too large.
+    not_yaml,    ///< The file is not valid YAML.
+    missing,     ///< A required key is missing.
+    unknown_key, ///< The key is not a known setting.
+    wrong_type,  ///< The value has the wrong type.
+    out_of_range ///< The number is too small or too large.
 };
 
-/// One error of a settings file.
+/// An error in a settings file.
 struct setting_error {
     setting_fault fault = setting_fault::unreadable;
     std::string file;
-    /// The line, from 1; 0 if it cannot be told.
+    /// The line number, starting at 1, or 0 if it is unknown.
     int line = 0;
-    /// The key with those around it: "listen.callers".
+    /// The full path of the key, such as "listen.callers".
     std::string key;
+    /// A description of the expected value.
     std::string expected;
 };
 
-/// All errors of a settings file.
+/// All errors in a settings file.
 using setting_errors = std::vector<setting_error>;
 
-/// Returns an error in one line, for people.
+/// Formats an error as one human-readable line.
 std::string to_string(const setting_error& error);
 
 } // namespace hibiscus::settings
--- a/packages/settings/include/hibiscus/settings/mapping_reader.hpp
+++ b/packages/settings/include/hibiscus/settings/mapping_reader.hpp
@@ -11,9 +11,12 @@
 
 namespace hibiscus::settings {
 
-/// Reads the keys of one mapping and notes what is wrong with them.
+/// Reads the keys of one YAML mapping and collects the errors in them. Reading
+/// an optional key that is absent leaves the target unchanged.
 class mapping_reader {
 public:
+    /// Constructs a reader that appends to `errors`, which must outlive it.
+    /// `path` is the full path of the mapping in `file`.
     mapping_reader(const YAML::Node& node, std::string path, std::string file,
                    setting_errors& errors)
         : node_(node), path_(std::move(path)), file_(std::move(file)),
@@ -23,26 +26,26 @@
         }
     }
 
-    /// Reads a number with a fraction, if it is there.
-    void decimal(const char* key, double& target, double low, double high) {
+    /// Reads an optional decimal number from `min` to `max`.
+    void decimal(const char* key, double& target, double min, double max) {
         const auto value = find_value(key);
         if (!value.IsDefined()) {
             return;
         }
-        const auto range = std::to_string(low) + " to " + std::to_string(high);
+        const auto range = std::to_string(min) + " to " + std::to_string(max);
         double number = 0;
         if (!value.IsScalar() ||
             !YAML::convert<double>::decode(value, number)) {
             add_error(setting_fault::wrong_type, value, key,
                       "a number, " + range);
-        } else if (number < low || number > high) {
+        } else if (number < min || number > max) {
             add_error(setting_fault::out_of_range, value, key, range);
         } else {
             target = number;
         }
     }
 
-    /// Reads a name, which must be there.
+    /// Reads a required id.
     template <class Id>
     void name(const char* key, Id& target) {
         const auto value = find_required_value(key, "a name");
@@ -51,10 +54,11 @@
         }
     }
 
-    /// Reads an address, which must be there.
+    /// Reads a required address.
     void address(const char* key, base::endpoint& target) {
-        constexpr const char* form = "an IP number and a port, 127.0.0.1:80";
-        const auto value = find_required_value(key, form);
+        constexpr const char* expected =
+            "an IP address and a port, such as 127.0.0.1:80";
+        const auto value = find_required_value(key, expected);
         if (!value.IsDefined() || value.IsNull()) {
             return;
         }
@@ -62,39 +66,39 @@
                                 ? base::parse_endpoint(value.Scalar())
                                 : std::nullopt;
         if (!parsed) {
-            add_error(setting_fault::wrong_type, value, key, form);
+            add_error(setting_fault::wrong_type, value, key, expected);
             return;
         }
         target = *parsed;
     }
 
-    /// Reads a whole number from `low` to `high`, if it is there.
+    /// Reads an optional integer from `min` to `max`.
     template <class T>
-    void integer(const char* key, T& target, long low, long high) {
+    void integer(const char* key, T& target, long min, long max) {
         const auto value = find_value(key);
         if (!value.IsDefined()) {
             return;
         }
-        const auto range = std::to_string(low) + " to " + std::to_string(high);
+        const auto range = std::to_string(min) + " to " + std::to_string(max);
         long number = 0;
         if (!value.IsScalar() || !YAML::convert<long>::decode(value, number)) {
             add_error(setting_fault::wrong_type, value, key,
                       "a whole number, " + range);
-        } else if (number < low || number > high) {
+        } else if (number < min || number > max) {
             add_error(setting_fault::out_of_range, value, key, range);
         } else {
             target = static_cast<T>(number);
         }
     }
 
-    /// Reads true or false, if it is there.
+    /// Reads an optional boolean, `true` or `false`.
     void flag(const char* key, bool& target) {
         std::string text = target ? "true" : "false";
         word(key, text, {"true", "false"});
         target = text == "true";
     }
 
-    /// Reads one of some words, if it is there.
+    /// Reads an optional value that must be one of `words`.
     void word(const char* key, std::string& target,
               const std::set<std::string>& words) {
         const auto value = find_value(key);
@@ -109,11 +113,13 @@
         target = value.Scalar();
     }
 
-    /// Reads a mapping, which must be there if `needed`, with `read`.
+    /// Calls `read` with a reader for the mapping at `key`, if it is present,
+    /// and reports unknown keys in it. A missing mapping is an error if
+    /// `required` is true.
     template <class F>
-    void mapping(const char* key, bool needed, F read) {
+    void mapping(const char* key, bool required, F read) {
         const auto value =
-            needed ? find_required_value(key, "a mapping") : find_value(key);
+            required ? find_required_value(key, "a mapping") : find_value(key);
         if (!value.IsDefined() || value.IsNull()) {
             return;
         }
@@ -122,15 +128,15 @@
         reader.report_unknown_keys();
     }
 
-    /// Notes the keys that were not asked for.
+    /// Adds an error for each key in the mapping that was not read.
     void report_unknown_keys() {
         if (!node_.IsMap()) {
             return;
         }
-        for (const auto& row : node_) {
-            const auto key = row.first.as<std::string>("");
+        for (const auto& pair : node_) {
+            const auto key = pair.first.as<std::string>("");
             if (known_keys_.count(key) == 0) {
-                add_error(setting_fault::unknown_key, row.first, key,
+                add_error(setting_fault::unknown_key, pair.first, key,
                           describe_choices(known_keys_));
             }
         }
@@ -153,11 +159,11 @@
     }
 
     static std::string describe_choices(const std::set<std::string>& words) {
-        std::string out = "one of";
-        for (const auto& w : words) {
-            out += " " + w;
+        std::string description = "one of";
+        for (const auto& choice : words) {
+            description += " " + choice;
         }
-        return out;
+        return description;
     }
 
     std::string full_key(const std::string& key) const {
@@ -167,11 +173,11 @@
         return path_ + "." + key;
     }
 
-    void add_error(setting_fault what, const YAML::Node& at,
+    void add_error(setting_fault fault, const YAML::Node& position,
                    const std::string& key, std::string expected) {
-        const int line = at.IsDefined() ? at.Mark().line + 1 : 0;
+        const int line = position.IsDefined() ? position.Mark().line + 1 : 0;
         errors_.push_back(
-            {what, file_, line, full_key(key), std::move(expected)});
+            {fault, file_, line, full_key(key), std::move(expected)});
     }
 
     YAML::Node node_;
@@ -181,7 +187,8 @@
     std::set<std::string> known_keys_;
 };
 
-/// Returns the YAML of the file `path`, or why it can't be read.
+/// Parses the YAML file at `path`. Returns an error if the file cannot be read
+/// or is not valid YAML.
 base::result<YAML::Node, setting_errors> load_yaml(const std::string& path);
 
 } // namespace hibiscus::settings
--- a/packages/settings/src/mapping_reader.cpp
+++ b/packages/settings/src/mapping_reader.cpp
@@ -9,7 +9,7 @@
     std::ifstream file(path);
     if (!file) {
         return setting_errors{
-            {setting_fault::unreadable, path, 0, "", "a file to read"}};
+            {setting_fault::unreadable, path, 0, "", "a readable file"}};
     }
     std::stringstream text;
     text << file.rdbuf();
@@ -17,7 +17,7 @@
         return YAML::Load(text.str());
     } catch (const YAML::Exception& e) {
         return setting_errors{{setting_fault::not_yaml, path, e.mark.line + 1,
-                               "", "YAML: " + e.msg}};
+                               "", "valid YAML: " + e.msg}};
     }
 }
 
