--- a/packages/telemetry/include/hibiscus/telemetry/event_log.hpp
+++ b/packages/telemetry/include/hibiscus/telemetry/event_log.hpp
@@ -24,7 +24,7 @@
         : name(name), value(static_cast<std::int64_t>(number)) {}
     log_field(const char* name, int number)
         : name(name), value(static_cast<std::int64_t>(number)) {}
-    log_field(const char* name, bool yes) : name(name), value(yes) {}
+    log_field(const char* name, bool flag) : name(name), value(flag) {}
     template <class Tag>
     log_field(const char* name, const base::id<Tag>& id)
         : name(name), value(id.str()) {}
@@ -33,18 +33,21 @@
     std::variant<std::string, std::int64_t, bool> value;
 };
 
-/// Bounds on what a log writes and holds.
+/// Limits on the rate and the buffer of an event log.
 struct event_log_limits {
-    /// Lines a second; more are counted and dropped. An estimate: two lines
-    /// for each run of a step of 200 items that all begin in one second.
+    /// Maximum number of lines per second. Further lines are dropped and
+    /// counted. Allows two lines for each run of a step of 200 items that all
+    /// start within one second.
     int max_lines_per_s = 400;
-    /// Bytes that wait for the reader of the stream.
+    /// Maximum number of bytes that are buffered until they can be written.
     std::size_t max_buffered_bytes = 512 * 1024;
 };
 
-/// Writes JSON lines to a file descriptor without ever blocking: lines are
-/// held and written by flush(). What a reader is too slow for is dropped, and
-/// a line tells how many were. For use by one thread.
+/// Writes JSON lines to a file descriptor without blocking. Lines are buffered
+/// until flush() or until the buffer is large enough. Lines are dropped while
+/// the rate limit is exceeded, or while the buffer is full because the reader
+/// is slow. The next line that is written contains the number of dropped lines.
+/// Not thread-safe.
 class event_log {
 public:
     event_log(const base::node_id& node, int descriptor,
@@ -54,16 +57,17 @@
     event_log(const event_log&) = delete;
     event_log& operator=(const event_log&) = delete;
 
-    /// Adds a line about `event`.
-    void write(const char* event, std::initializer_list<log_field> values);
+    /// Adds a line for `event`, or drops it if a limit is exceeded.
+    void write(const char* event, std::initializer_list<log_field> fields);
 
-    /// Writes what is held, as far as the descriptor takes it.
+    /// Writes as much of the buffer as the descriptor accepts without blocking.
     void flush();
 
-    /// Returns how many lines were dropped.
+    /// Returns the total number of dropped lines.
     std::uint64_t dropped_lines() const { return dropped_lines_; }
 
 private:
+    /// Counts one line; returns false if the rate limit is exceeded.
     bool acquire_rate_limit();
 
     std::string node_;
--- a/packages/telemetry/include/hibiscus/telemetry/metrics.hpp
+++ b/packages/telemetry/include/hibiscus/telemetry/metrics.hpp
@@ -7,33 +7,33 @@
 
 namespace hibiscus::telemetry {
 
-/// The counters and gauges of a node, for GET /metrics. Safe for use by
-/// several threads.
+/// The counters, gauges and histograms of a node, exported at GET /metrics.
+/// Thread-safe.
 class metrics {
 public:
-    /// Constructs the families; all values are 0.
     metrics();
     ~metrics();
 
     metrics(const metrics&) = delete;
     metrics& operator=(const metrics&) = delete;
 
-    /// Counts an answer to a caller. `kind` is "service", "pull", "step",
+    /// Counts a response to a caller. `kind` is "service", "pull", "step",
     /// "version" or "entries".
     void count_response(const std::string& kind, const std::string& outcome,
                         const std::string& reason);
 
-    /// Counts an event: "peer_malformed", "log_failure", "stale_dropped", ...
+    /// Increments the counter of an event: "peer_malformed", "log_failure",
+    /// "stale_dropped", ...
     void count_event(const std::string& name);
 
     /// Sets a gauge: "members", "revision", "pending_claims", ...
     void set(const std::string& name, double value);
 
-    /// Adds a duration in ms to the histogram of `kind`: "lookup", "run",
-    /// "accept", "reward", "store_append", ...
+    /// Adds a duration in milliseconds to the latency histogram of `kind`:
+    /// "lookup", "run", "accept", "reward", "store_append", ...
     void observe(const std::string& kind, base::millis ms);
 
-    /// Returns all values in the text format of Prometheus.
+    /// Returns all metrics in the Prometheus text format.
     std::string serialize() const;
 
 private:
--- a/packages/telemetry/src/event_log.cpp
+++ b/packages/telemetry/src/event_log.cpp
@@ -11,8 +11,8 @@
 
 constexpr base::millis rate_window_ms = 1000;
 
-/// Lines are written once so many bytes are held, without waiting for the
-/// next flush.
+/// Once the buffer exceeds this size, it is written without waiting for the
+/// next flush().
 constexpr std::size_t flush_threshold_bytes = 32 * 1024;
 
 } // namespace
@@ -21,7 +21,8 @@
                      event_log_limits limits, base::clock clock)
     : node_(node.str()), descriptor_(descriptor), limits_(limits),
       clock_(std::move(clock)) {
-    // A reader that stops would otherwise stop the process with it.
+    // A write to a pipe whose reader has stopped reading would otherwise block
+    // the process.
     const int flags = ::fcntl(descriptor_, F_GETFL);
     if (flags >= 0) {
         ::fcntl(descriptor_, F_SETFL, flags | O_NONBLOCK);
@@ -42,7 +43,7 @@
 }
 
 void event_log::write(const char* event,
-                      std::initializer_list<log_field> values) {
+                      std::initializer_list<log_field> fields) {
     if (!acquire_rate_limit() || buffer_.size() > limits_.max_buffered_bytes) {
         ++dropped_lines_;
         return;
@@ -55,8 +56,9 @@
         line["dropped_lines"] = dropped_lines_ - reported_dropped_lines_;
         reported_dropped_lines_ = dropped_lines_;
     }
-    for (const auto& v : values) {
-        std::visit([&](const auto& value) { line[v.name] = value; }, v.value);
+    for (const auto& field : fields) {
+        std::visit([&](const auto& value) { line[field.name] = value; },
+                   field.value);
     }
     buffer_ += line.dump(-1, ' ', false,
                          nlohmann::ordered_json::error_handler_t::replace);
@@ -68,11 +70,12 @@
 
 void event_log::flush() {
     while (!buffer_.empty()) {
-        const auto n = ::write(descriptor_, buffer_.data(), buffer_.size());
-        if (n <= 0) {
+        const auto written =
+            ::write(descriptor_, buffer_.data(), buffer_.size());
+        if (written <= 0) {
             return;
         }
-        buffer_.erase(0, static_cast<std::size_t>(n));
+        buffer_.erase(0, static_cast<std::size_t>(written));
     }
 }
 
--- a/packages/telemetry/src/metrics.cpp
+++ b/packages/telemetry/src/metrics.cpp
@@ -8,7 +8,7 @@
 
 namespace hibiscus::telemetry {
 
-/// Holds the library's objects.
+/// Holds the registry and the metric families of the Prometheus library.
 class metrics::impl {
 public:
     prometheus::Registry registry;
@@ -55,9 +55,9 @@
 }
 
 void metrics::observe(const std::string& kind, base::millis ms) {
-    static const prometheus::Histogram::BucketBoundaries bounds{
+    static const prometheus::Histogram::BucketBoundaries bucket_bounds_ms{
         5, 10, 25, 50, 100, 200, 400, 800, 1500, 3000, 6000, 12000};
-    impl_->latencies.Add({{"kind", kind}}, bounds)
+    impl_->latencies.Add({{"kind", kind}}, bucket_bounds_ms)
         .Observe(static_cast<double>(ms));
 }
 
