--- a/packages/transport/include/hibiscus/transport/event_stream.hpp
+++ b/packages/transport/include/hibiscus/transport/event_stream.hpp
@@ -9,47 +9,48 @@
 
 /// One event of a `text/event-stream` body.
 struct stream_event {
-    /// The value of its `id` field, empty if it has none.
+    /// The value of the `id` field, or empty if the event has none.
     std::string id;
-    /// Its `data` lines, joined by line feeds.
+    /// The values of the `data` fields, joined by line feeds.
     std::string data;
-    /// Fields other than `id` and `data`, in their order.
+    /// All other fields, in the order received.
     std::vector<std::pair<std::string, std::string>> other_fields;
 };
 
-/// Splits the bytes of a stream into events. An event counts once the empty
-/// line behind it has come; a stream that breaks off within an event leaves
-/// nothing of it.
+/// Parses a `text/event-stream` incrementally. An event is complete once the
+/// empty line after it has arrived. If the stream ends within an event, that
+/// event is not returned.
 class event_stream_parser {
 public:
-    /// Takes the next bytes and returns the events that they complete.
+    /// Parses the next bytes and returns the events that they complete.
     std::vector<stream_event> feed(std::string_view bytes);
 
 private:
-    void parse_line(std::string_view text, std::vector<stream_event>& out);
+    void parse_line(std::string_view line, std::vector<stream_event>& events);
 
     std::string partial_line_;
     stream_event current_event_;
     bool has_data_ = false;
 };
 
-/// The whole events in a piece of a stream.
+/// Complete events, unparsed.
 struct complete_events {
-    /// Their bytes as they came, to be handed on.
+    /// The bytes of the events as received, ready to be forwarded.
     std::string bytes;
-    /// The id of the last one that has one; empty if none has.
+    /// The id of the last event that has an id, or empty if none has.
     std::string last_event_id;
 };
 
-/// Hands on a stream event by event. A stream that goes on at another server
-/// begins with a whole event; what the first server had sent of that event
-/// must not have been handed on before.
+/// Buffers a `text/event-stream` so that only complete events are forwarded. If
+/// a server fails in the middle of an event, the server that resumes the stream
+/// sends this event again from its start, so the partial event must not have
+/// been forwarded.
 class event_assembler {
 public:
-    /// Takes the next bytes and returns the events that they complete.
+    /// Buffers the next bytes and returns the events that they complete.
     complete_events feed(std::string_view bytes);
 
-    /// Drops what has come of an event that is not complete.
+    /// Drops the bytes of the incomplete event, if any.
     void discard_partial_event();
 
 private:
--- a/packages/transport/include/hibiscus/transport/headers.hpp
+++ b/packages/transport/include/hibiscus/transport/headers.hpp
@@ -6,21 +6,21 @@
 
 namespace hibiscus::transport {
 
-/// One header field of a message.
+/// A header field of an HTTP message.
 struct header {
     std::string name;
     std::string value;
 };
 
-/// The header fields of a message, in their order.
+/// The header fields of an HTTP message, in the order received or sent.
 using headers = std::vector<header>;
 
-/// Returns the value of the first field called `name`, whatever its case, or
-/// null.
+/// Returns the value of the first field named `name`, ignoring case, or nullptr
+/// if there is none.
 const std::string* find_header(const headers& fields, std::string_view name);
 
-/// Returns true if a field concerns one connection only, so that a proxy must
-/// not forward it.
+/// Returns true if the field applies only to a single connection, so that a
+/// proxy must not forward it.
 bool is_hop_by_hop(std::string_view name);
 
 } // namespace hibiscus::transport
--- a/packages/transport/include/hibiscus/transport/streaming_http_server.hpp
+++ b/packages/transport/include/hibiscus/transport/streaming_http_server.hpp
@@ -15,7 +15,7 @@
 
 namespace hibiscus::transport {
 
-/// A request, read whole, with its header fields.
+/// A complete request.
 struct inbound_request {
     std::string method;
     std::string target;
@@ -23,15 +23,15 @@
     std::string body;
 };
 
-/// An answer that is sent whole.
+/// A complete response.
 struct outbound_response {
     int status = 200;
     headers fields;
     std::string body;
 };
 
-/// Bounds on what a caller may send, and how long it may take, in bytes and
-/// ms. They may change while the server runs.
+/// Limits on the size of requests and on the time that a connection may be
+/// idle. They can be changed while the server runs.
 struct http_server_limits {
     std::size_t max_header_bytes = 16 * 1024;
     std::size_t max_body_bytes = 32 * 1024 * 1024;
@@ -39,98 +39,108 @@
     base::millis idle_timeout_ms = 15000;
 };
 
-/// The way to answer one request. It lives as long as someone holds it, also
-/// when the caller has left; answers then go nowhere.
+/// Sends the response to one request. Remains valid after the caller has
+/// disconnected; output is then discarded.
 class response_writer {
 public:
     virtual ~response_writer() = default;
 
-    /// Sends a whole answer.
+    /// Sends a complete response.
     virtual void send(outbound_response response) = 0;
-    /// Starts an answer whose body follows in pieces.
+    /// Starts a chunked response. Its body is sent with write().
     virtual void send_head(int status, const headers& fields) = 0;
-    /// Sends a piece of the body.
-    virtual void write(std::string_view piece) = 0;
-    /// Ends the body, so that the answer is complete.
+    /// Sends `data` as the next chunk of the body.
+    virtual void write(std::string_view data) = 0;
+    /// Ends the body and thereby completes the response.
     virtual void finish() = 0;
-    /// Closes the connection, so that the answer is seen to be incomplete.
+    /// Closes the connection without completing the response, so that the
+    /// caller can detect that the response is incomplete.
     virtual void abort() = 0;
-    /// Sets what is called once if the caller leaves before the answer's end.
-    virtual void on_disconnect(std::function<void()> closed) = 0;
+    /// Sets a callback that is called once if the request ends before its
+    /// handler has completed the response, for instance because the caller
+    /// disconnects. Calls it immediately if the request has already ended.
+    virtual void on_disconnect(std::function<void()> callback) = 0;
 };
 
 /// Handles one request.
 using request_handler =
     std::function<void(inbound_request, std::shared_ptr<response_writer>)>;
 
-/// Why a request has ended without a complete answer of its handler.
+/// Why a request ended without a complete response from its handler.
 enum class abort_cause {
     /// The caller closed or reset its connection.
     caller_disconnected,
-    /// The caller did not take the answer in time.
+    /// The caller did not read the response in time.
     write_timeout,
-    /// The handler broke the answer off, or dropped the request.
+    /// The handler aborted the response or released its response_writer
+    /// without responding.
     handler_aborted,
-    /// The server ended first; it answered itself if nothing had been sent.
+    /// The server shut down first. It sent an error response itself if no part
+    /// of a response had been sent.
     server_shutdown,
 };
 
-/// A request, read whole, that its handler did not answer completely.
+/// A complete request whose handler did not complete the response.
 struct aborted_request {
-    /// The value of the field that names requests, or "".
+    /// The value of the request id header, or empty.
     std::string request_id;
     std::string target;
     abort_cause cause = abort_cause::caller_disconnected;
-    /// How long ago it was read whole, in ms.
+    /// The time since the request was read completely.
     base::millis age_ms = 0;
-    /// Whether some of the answer was sent.
+    /// Whether a part of the response was passed to the connection.
     bool response_started = false;
 };
 
-/// What a server tells of requests that it could not answer.
+/// How a server reports aborted requests.
 struct abort_reporting {
-    /// The name of the field that names requests.
+    /// The name of the header field that contains the request id.
     std::string request_id_header;
+    /// Called for each aborted request. May be empty.
     std::function<void(const aborted_request&)> on_abort;
 };
 
-/// Answers HTTP/1.1 on one address, with all work on the one thread of its
-/// context. It tells when a caller leaves, and can answer in pieces.
+/// An HTTP/1.1 server for one address. Supports streamed responses and notifies
+/// handlers when the caller disconnects. Must be used only on the thread that
+/// runs its io_context.
 class streaming_http_server {
 public:
-    /// Constructs a server that is not listening yet.
+    /// Constructs a server that does not listen yet.
     streaming_http_server(boost::asio::io_context& io,
                           http_server_limits limits, request_handler handler,
-                          abort_reporting report = {});
+                          abort_reporting reporting = {});
     ~streaming_http_server();
 
     streaming_http_server(const streaming_http_server&) = delete;
     streaming_http_server& operator=(const streaming_http_server&) = delete;
 
-    /// Listens on `address`. Returns the address in use, or nothing.
+    /// Listens on `address`, where port 0 selects a free port. Returns the
+    /// bound address, or nothing on failure.
     std::optional<base::endpoint> listen(const base::endpoint& address);
 
-    /// Changes the bounds, for requests that begin from now on. A connection
-    /// that is idle already may stay so for the longer of the two times.
+    /// Changes the limits for requests that begin from now on. A connection
+    /// that is already idle keeps the longer of the old and the new idle
+    /// timeout.
     void set_limits(http_server_limits limits);
 
-    /// Says from now on in each answer that it is the connection's last.
-    /// Connections stay open until then: a caller that has one may be about to
-    /// use it.
+    /// Adds `Connection: close` to all further responses. Idle connections stay
+    /// open until then, because the caller may be about to send a request.
     void drain();
 
-    /// Stops to listen and ends each connection as soon as no request is being
-    /// read or answered on it. What has arrived by then is still served.
+    /// Stops listening and closes each connection as soon as no request is
+    /// being read or answered on it. Requests that have arrived by then are
+    /// still served.
     void close();
 
-    /// Returns true once close() was called and all connections have ended.
+    /// Returns true once close() was called and all connections are closed.
     bool is_closed() const;
 
-    /// Answers all open requests with `status` in their handlers' place; those
-    /// of which some of an answer was sent are cut off.
+    /// Sends an empty response with `status` to all requests in flight in place
+    /// of their handlers. If a response has already started, closes the
+    /// connection instead.
     void fail_open_requests(int status);
 
-    /// Returns the number of requests without a complete answer.
+    /// Returns the number of requests without a complete response.
     std::size_t requests_in_flight() const;
 
 private:
--- a/packages/transport/include/hibiscus/transport/upstream.hpp
+++ b/packages/transport/include/hibiscus/transport/upstream.hpp
@@ -15,16 +15,17 @@
 
 namespace hibiscus::transport {
 
-/// A request to a server behind this one.
+/// A request to a backend server or to another node.
 struct upstream_request {
     std::string method = "GET";
     std::string target = "/";
-    /// Without the framing of the message, which the client sets.
+    /// The header fields. Must not contain Content-Length or Transfer-Encoding;
+    /// the client frames the body itself.
     headers fields;
     std::string body;
 };
 
-/// The status and header fields of an answer.
+/// The status and the header fields of a response.
 struct response_head {
     int status = 0;
     headers fields;
@@ -32,60 +33,75 @@
 
 /// How a call ended.
 enum class call_outcome {
-    complete,              ///< The whole answer came.
-    closed_without_length, ///< An answer without a length ended with its
-                           ///< connection.
-    not_sent,              ///< No byte of the request can have left.
-    broken, ///< The connection ended or sent bytes that are no answer.
-    stale_connection, ///< A kept connection ended without an answer, or held
-                      ///< another request's; whether the request ran is open.
-    idle_timeout,     ///< Nothing came for as long as the call allows.
-    total_timeout,    ///< The call's whole time was over.
+    /// The complete response was received.
+    complete,
+    /// The server closed the connection to end a response without a declared
+    /// length, which may therefore be truncated.
+    closed_without_length,
+    /// No byte of the request was sent.
+    not_sent,
+    /// The connection ended early, or the response was malformed or belonged to
+    /// another request.
+    broken,
+    /// A reused connection ended without a response or contained the response
+    /// to another request. The server may or may not have processed the
+    /// request.
+    stale_connection,
+    /// No data was received for `idle_timeout_ms`.
+    idle_timeout,
+    /// The call took longer than `total_timeout_ms`, or was ended by
+    /// end_calls_started_before().
+    total_timeout,
 };
 
-/// What a call tells, on the thread of its context. After `ended` nothing
-/// more comes; a cancelled call tells nothing further.
+/// The callbacks of a call. Each may be empty. They are called on the thread of
+/// the client's io_context. `on_end` is the last callback of a call; a
+/// cancelled call makes no further callbacks.
 struct upstream_callbacks {
     std::function<void(const response_head&)> on_head;
     std::function<void(std::string_view)> on_data;
     std::function<void(call_outcome)> on_end;
 };
 
-/// The bounds of one call, in ms; 0 stands for no bound. Time in which the
-/// thread was held up counts only for the whole time, and an answer that has
-/// come by then is taken.
+/// The options of a call. A timeout of 0 means no timeout, except for
+/// `connect_timeout_ms`. Time in which the thread was stalled counts only
+/// toward `total_timeout_ms`. A response that arrived during a stall is still
+/// accepted.
 struct upstream_call_options {
     base::millis connect_timeout_ms = 1000;
-    /// The longest time without a byte.
+    /// The maximum time without receiving data.
     base::millis idle_timeout_ms = 0;
     base::millis total_timeout_ms = 0;
-    /// Whether a connection that was used before may serve. Its server may
-    /// have closed it at the same moment, which leaves open whether the
-    /// request ran.
+    /// Whether the call may reuse an idle connection. The server may close such
+    /// a connection just when the request is sent, and it is then unknown
+    /// whether the request was processed.
     bool reuse_connection = true;
 };
 
-/// One call under way.
+/// A call in flight.
 class upstream_call {
 public:
     virtual ~upstream_call() = default;
 
-    /// Closes the connection of the call, which tells the server to stop.
+    /// Closes the connection of the call, from which the server can detect the
+    /// cancellation. No callback is called after this.
     virtual void cancel() = 0;
 
-    /// Returns true if the call has opened a connection of its own.
+    /// Returns true if the call opened a new connection instead of reusing one.
     virtual bool opened_connection() const = 0;
 };
 
-/// Counts of what a client did.
+/// Counters of a client.
 struct upstream_counts {
     std::uint64_t connections_opened = 0;
     std::uint64_t connections_reused = 0;
+    /// Idle connections that had unread input, and responses that belonged to
+    /// another request.
     std::uint64_t unsolicited_reads = 0;
 };
 
-/// Sends HTTP/1.1 requests over kept connections and hands answers on as they
-/// arrive. All work is on the one thread of its context.
+/// An HTTP/1.1 client that reuses connections and streams responses. Must be
+/// used only on the thread that runs its io_context.
 class upstream_client {
 public:
     explicit upstream_client(boost::asio::io_context& io);
@@ -94,24 +110,25 @@
     upstream_client(const upstream_client&) = delete;
     upstream_client& operator=(const upstream_client&) = delete;
 
-    /// Sends a request. An answer whose `echo` field differs from the
-    /// request's belongs to another request and counts as broken; an empty
-    /// `echo` asks for no such check.
+    /// Sends a request. If `echo_header` is not empty, the server must repeat
+    /// the value of this request field in its response. A response with another
+    /// value, or a successful one without the field, is taken for the response
+    /// to another request; the call then fails as `broken` or
+    /// `stale_connection`.
     std::shared_ptr<upstream_call> start(const base::endpoint& target,
                                          upstream_request request,
                                          upstream_call_options options,
-                                         upstream_callbacks events,
-                                         const std::string& echo = "");
-
-    /// Ends all calls to `target` that began before `before` as timed out, or
-    /// as not sent if they had no connection. For
-    /// a target that was silent and answers again: what it was asked before
-    /// will never be answered, and would hold up its callers until their
-    /// bounds.
+                                         upstream_callbacks callbacks,
+                                         const std::string& echo_header = "");
+
+    /// Ends all calls to `target` that started before `cutoff` as timed out, or
+    /// as not sent if they had no connection. Intended for a target that
+    /// responds again after a period of silence: it will never respond to
+    /// requests from before, which would otherwise wait until their timeouts.
     void end_calls_started_before(const base::endpoint& target,
-                                  base::millis before);
+                                  base::millis cutoff);
 
-    /// Closes the kept connections to `target`.
+    /// Closes the idle connections to `target`.
     void close_idle_connections(const base::endpoint& target);
 
     upstream_counts counts() const;
--- a/packages/transport/src/event_stream.cpp
+++ b/packages/transport/src/event_stream.cpp
@@ -5,7 +5,7 @@
 namespace hibiscus::transport {
 
 std::vector<stream_event> event_stream_parser::feed(std::string_view bytes) {
-    std::vector<stream_event> out;
+    std::vector<stream_event> events;
     partial_line_.append(bytes);
     std::size_t begin = 0;
     for (;;) {
@@ -13,34 +13,34 @@
         if (end == std::string::npos) {
             break;
         }
-        auto text = std::string_view(partial_line_).substr(begin, end - begin);
-        if (!text.empty() && text.back() == '\r') {
-            text.remove_suffix(1);
+        auto line = std::string_view(partial_line_).substr(begin, end - begin);
+        if (!line.empty() && line.back() == '\r') {
+            line.remove_suffix(1);
         }
-        parse_line(text, out);
+        parse_line(line, events);
         begin = end + 1;
     }
     partial_line_.erase(0, begin);
-    return out;
+    return events;
 }
 
-void event_stream_parser::parse_line(std::string_view text,
-                                     std::vector<stream_event>& out) {
-    if (text.empty()) {
+void event_stream_parser::parse_line(std::string_view line,
+                                     std::vector<stream_event>& events) {
+    if (line.empty()) {
         if (has_data_ || !current_event_.id.empty()) {
-            out.push_back(std::move(current_event_));
+            events.push_back(std::move(current_event_));
         }
         current_event_ = {};
         has_data_ = false;
         return;
     }
-    const auto colon = text.find(':');
+    const auto colon = line.find(':');
     if (colon == 0) {
         return;
     }
-    const auto name = text.substr(0, colon);
+    const auto name = line.substr(0, colon);
     auto value = colon == std::string_view::npos ? std::string_view()
-                                                 : text.substr(colon + 1);
+                                                 : line.substr(colon + 1);
     if (!value.empty() && value.front() == ' ') {
         value.remove_prefix(1);
     }
@@ -59,24 +59,24 @@
 
 complete_events event_assembler::feed(std::string_view bytes) {
     partial_event_.append(bytes);
-    // An event ends with an empty line, whichever ends of lines are used.
+    // An event ends with an empty line. Lines may end with LF or CRLF.
     std::size_t end = 0;
-    for (const std::string_view mark : {"\n\n", "\n\r\n"}) {
-        const auto at = partial_event_.rfind(mark);
-        if (at != std::string::npos) {
-            end = std::max(end, at + mark.size());
+    for (const std::string_view terminator : {"\n\n", "\n\r\n"}) {
+        const auto position = partial_event_.rfind(terminator);
+        if (position != std::string::npos) {
+            end = std::max(end, position + terminator.size());
         }
     }
-    complete_events out;
-    out.bytes = partial_event_.substr(0, end);
+    complete_events result;
+    result.bytes = partial_event_.substr(0, end);
     partial_event_.erase(0, end);
     event_stream_parser parser;
-    for (auto& e : parser.feed(out.bytes)) {
-        if (!e.id.empty()) {
-            out.last_event_id = std::move(e.id);
+    for (auto& event : parser.feed(result.bytes)) {
+        if (!event.id.empty()) {
+            result.last_event_id = std::move(event.id);
         }
     }
-    return out;
+    return result;
 }
 
 void event_assembler::discard_partial_event() {
--- a/packages/transport/src/headers.cpp
+++ b/packages/transport/src/headers.cpp
@@ -15,7 +15,8 @@
                       });
 }
 
-/// RFC 9110, section 7.6.1, and the framing of the message itself.
+/// The hop-by-hop fields of RFC 9110, section 7.6.1, and the fields that
+/// describe the framing of a message.
 constexpr std::array<std::string_view, 11> hop_by_hop_headers{
     "connection", "keep-alive", "proxy-connection", "te",   "transfer-encoding",
     "upgrade",    "trailer",    "content-length",   "host", "accept-encoding",
@@ -34,7 +35,9 @@
 
 bool is_hop_by_hop(std::string_view name) {
     return std::any_of(hop_by_hop_headers.begin(), hop_by_hop_headers.end(),
-                       [&](auto row) { return equals_ignore_case(row, name); });
+                       [&](auto hop_by_hop_name) {
+                           return equals_ignore_case(hop_by_hop_name, name);
+                       });
 }
 
 } // namespace hibiscus::transport
--- a/packages/transport/src/server_session.cpp
+++ b/packages/transport/src/server_session.cpp
@@ -14,32 +14,33 @@
 
 namespace {
 
-/// A caller sends its request as soon as its connection is open. A closing
-/// server waits for it so long, in ms.
+/// How long a closing server waits for the first request on a new connection.
+/// Callers send their request as soon as the connection is open.
 constexpr base::millis first_request_timeout_ms = 250;
 
-/// An answer that a caller does not take for so long is given up; it bounds
-/// the memory that callers who stopped reading hold.
+/// How long a caller may take to read a part of a response before the
+/// connection is closed. Bounds the memory used for callers that stopped
+/// reading.
 constexpr base::millis write_timeout_ms = 15000;
 
-/// How long the rest of what a refused caller sends is read and dropped. To
-/// close with unread bytes resets the connection, and the caller would lose
-/// the answer that says why.
+/// How long a connection may be idle while its remaining input is read and
+/// dropped after the last response. Closing a socket with unread input resets
+/// the connection, and the caller could lose the response.
 constexpr base::millis linger_timeout_ms = 2000;
 
 std::string serialize_head(int status, const headers& fields) {
-    std::string out = "HTTP/1.1 " + std::to_string(status) + " ";
+    std::string head = "HTTP/1.1 " + std::to_string(status) + " ";
     const auto reason =
         http::obsolete_reason(static_cast<http::status>(status));
-    out.append(reason.data(), reason.size());
-    out += "\r\n";
+    head.append(reason.data(), reason.size());
+    head += "\r\n";
     for (const auto& f : fields) {
-        out += f.name;
-        out += ": ";
-        out += f.value;
-        out += "\r\n";
+        head += f.name;
+        head += ": ";
+        head += f.value;
+        head += "\r\n";
     }
-    return out;
+    return head;
 }
 
 std::string serialize_empty_response(int status) {
@@ -50,14 +51,15 @@
 
 } // namespace
 
-/// The way to answer one request of a session.
+/// Sends the response to one request of a session.
 class server_session::writer : public response_writer {
 public:
-    writer(std::shared_ptr<server_session> owner, std::uint64_t number)
-        : session_(std::move(owner)), number_(number) {}
+    writer(std::shared_ptr<server_session> session, std::uint64_t number)
+        : session_(std::move(session)), number_(number) {}
 
     ~writer() override {
-        // A handler that forgets to answer would leave its caller waiting.
+        // If the handler never responds, the caller would wait until its own
+        // timeout.
         if (!finished_) {
             session_->abort(number_);
         }
@@ -85,16 +87,16 @@
         session_->send(number_, std::move(bytes), false);
     }
 
-    void write(std::string_view piece) override {
-        if (piece.empty() || finished_) {
+    void write(std::string_view data) override {
+        if (data.empty() || finished_) {
             return;
         }
         char size[32];
-        std::snprintf(size, sizeof size, "%zx\r\n", piece.size());
-        std::string bytes = size;
-        bytes += piece;
-        bytes += "\r\n";
-        session_->send(number_, std::move(bytes), false);
+        std::snprintf(size, sizeof size, "%zx\r\n", data.size());
+        std::string chunk = size;
+        chunk += data;
+        chunk += "\r\n";
+        session_->send(number_, std::move(chunk), false);
     }
 
     void finish() override {
@@ -108,8 +110,8 @@
         session_->abort(number_);
     }
 
-    void on_disconnect(std::function<void()> closed) override {
-        session_->set_on_disconnect(number_, std::move(closed));
+    void on_disconnect(std::function<void()> callback) override {
+        session_->set_on_disconnect(number_, std::move(callback));
     }
 
 private:
@@ -145,23 +147,23 @@
     if (current_request_number_) {
         return;
     }
-    const bool overdue = is_idle_timeout_over(now);
+    const bool timed_out = is_idle_timeout_over(now);
     if (lingering_) {
-        if (overdue) {
+        if (timed_out) {
             close();
         }
-    } else if (overdue || (!read_deadline_extended_ && may_close_idle(now))) {
+    } else if (timed_out || (!read_deadline_extended_ && may_close_idle(now))) {
         cancel_idle_read();
     }
 }
 
 void server_session::set_on_disconnect(std::uint64_t number,
-                                       std::function<void()> closed) {
+                                       std::function<void()> callback) {
     if (current_request_number_ != number || !open_) {
-        closed();
+        callback();
         return;
     }
-    on_disconnect_ = std::move(closed);
+    on_disconnect_ = std::move(callback);
 }
 
 void server_session::send(std::uint64_t number, std::string bytes, bool last) {
@@ -198,8 +200,8 @@
     current_request_number_ = ++last_request_number_;
     keep_alive_ = false;
     send(current_request_number_, serialize_empty_response(status), true);
-    if (auto closed = std::exchange(on_disconnect_, nullptr)) {
-        closed();
+    if (auto callback = std::exchange(on_disconnect_, nullptr)) {
+        callback();
     }
 }
 
@@ -224,7 +226,6 @@
     idle_timeout_ms_ = state_->limits.idle_timeout_ms;
 }
 
-/// A caller may go by the limit that it knew or by the one in force.
 bool server_session::is_idle_timeout_over(base::millis now) const {
     const auto idle_ms =
         std::max(idle_timeout_ms_, state_->limits.idle_timeout_ms);
@@ -292,17 +293,18 @@
 }
 
 void server_session::on_read_error(beast::error_code error) {
-    const bool protocol =
+    const bool is_protocol_error =
         error.category() ==
             http::make_error_code(http::error::bad_method).category() &&
         error != http::error::end_of_stream &&
         error != http::error::partial_message;
-    if (!protocol || lingering_) {
+    if (!is_protocol_error || lingering_) {
         close();
         return;
     }
     if (current_request_number_) {
-        // What follows is no request; the one before is still answered.
+        // The input after the current request is malformed. The current request
+        // is still answered.
         keep_alive_ = false;
         discard_remaining_input_ = true;
         return;
@@ -413,8 +415,8 @@
         current_request_number_ = 0;
         --state_->requests_in_flight;
     }
-    if (auto closed = std::exchange(on_disconnect_, nullptr)) {
-        closed();
+    if (auto callback = std::exchange(on_disconnect_, nullptr)) {
+        callback();
     }
 }
 
--- a/packages/transport/src/server_session.hpp
+++ b/packages/transport/src/server_session.hpp
@@ -20,22 +20,22 @@
 /// The stage of a server's shutdown.
 enum class server_phase { serving, draining, closing };
 
-/// What a server and its sessions share.
+/// The state that a server and its sessions share.
 struct server_state {
     http_server_limits limits;
     request_handler handler;
     abort_reporting reporting;
     base::clock clock;
     std::set<server_session*> sessions;
-    /// Requests without a complete answer.
+    /// The number of requests without a complete response.
     std::size_t requests_in_flight = 0;
-    /// Connections that are open.
+    /// The number of open connections.
     std::size_t open_connections = 0;
     server_phase phase = server_phase::serving;
 };
 
-/// Serves one connection: reads ahead by one request, so that the end of the
-/// connection is seen while an answer is being made.
+/// Serves one connection. While a request is being answered, it already reads
+/// the next one, which detects when the caller closes the connection.
 class server_session : public std::enable_shared_from_this<server_session> {
 public:
     server_session(boost::asio::ip::tcp::socket socket,
@@ -45,32 +45,38 @@
     server_session(const server_session&) = delete;
     server_session& operator=(const server_session&) = delete;
 
-    /// Begins to read.
+    /// Starts reading the first request.
     void start() { read_next_request(); }
 
-    /// Ends what is overdue and, once the server closes, what is idle.
+    /// Closes the connection if a timeout has expired, or if the connection is
+    /// idle while the server closes.
     void check_timeouts(base::millis now);
 
-    /// Takes the limits in force, unless a request has begun to come.
+    /// Applies the current limits, unless a request has been partly read.
     void apply_limits();
 
-    /// Sets what is called if the caller of request `number` leaves.
-    void set_on_disconnect(std::uint64_t number, std::function<void()> closed);
+    /// Sets the callback for the end of request `number` before its handler has
+    /// completed the response. Calls it immediately if the request has already
+    /// ended.
+    void set_on_disconnect(std::uint64_t number,
+                           std::function<void()> callback);
 
-    /// Sends a part of the answer to request `number`, or the last one.
+    /// Sends the next part of the response to request `number`. `last` marks
+    /// the final part. Does nothing if the request has already ended.
     void send(std::uint64_t number, std::string bytes, bool last);
 
-    /// Returns whether another request may follow the present answer.
+    /// Returns true if the connection stays open after the current response.
     bool keep_alive() const;
 
-    /// Notes that the caller is told of the connection's end.
+    /// Makes the current response the last one of the connection. Called when
+    /// the response announces this to the caller.
     void disable_keep_alive() { keep_alive_ = false; }
 
-    /// Closes the connection if request `number` is not answered yet.
+    /// Closes the connection if the response to request `number` is incomplete.
     void abort(std::uint64_t number);
 
-    /// Answers the present request in its handler's place, or closes the
-    /// connection if some of an answer was sent.
+    /// Sends an empty response with `status` to the current request in place of
+    /// its handler, or closes the connection if a response has already started.
     void fail_open_request(int status);
 
 private:
@@ -82,14 +88,19 @@
 
     void start_idle_timer();
 
+    /// Returns true if the connection has been idle longer than both the limit
+    /// in force when it became idle and the current limit, because the caller
+    /// may know either of them. While lingering, a fixed timeout applies.
     bool is_idle_timeout_over(base::millis now) const;
 
-    /// Whether a closing server need not wait for a request any longer.
+    /// Returns true if the server closes and need not wait any longer for a
+    /// request on this connection.
     bool may_close_idle(base::millis now) const;
 
-    /// Ends the connection unless a request has begun to come. Bytes of one may
-    /// have been read without their handler having run, which only the end of
-    /// the pending read shows.
+    /// Cancels the pending read. The connection is closed when the read ends,
+    /// unless a request has begun to arrive. Only the end of the read shows
+    /// this, because bytes may have been read whose completion handler has not
+    /// run yet.
     void cancel_idle_read();
 
     void on_idle_read_cancelled();
@@ -106,11 +117,11 @@
 
     void on_write(boost::beast::error_code error);
 
-    /// The answer has been sent whole.
+    /// Called when the current response has been sent completely.
     void on_response_sent();
 
-    /// Ends the connection after the last answer; what the caller still sends
-    /// is dropped for a while by the pending read and the sweep.
+    /// Shuts down the sending side after the last response. Input is read and
+    /// dropped until the caller closes the connection or a timeout expires.
     void shutdown_send();
 
     void discard_input();
@@ -131,33 +142,37 @@
     std::uint64_t last_request_number_ = 0;
     /// The number of the request that is being answered, or 0.
     std::uint64_t current_request_number_ = 0;
-    /// Of the present request: its name, its target and when it was read whole.
+    /// The id and the target of the current request, and the time when it was
+    /// read completely.
     std::string request_id_;
     std::string target_;
     base::millis request_read_at_ = 0;
-    /// Whether some of the present answer was handed on to be sent.
+    /// Whether a part of the current response was queued for sending.
     bool response_started_ = false;
-    /// Since when bytes of the caller are waited for, and how long it was then
-    /// allowed to be idle.
+    /// The time since which the session has been waiting for input, and the
+    /// idle timeout in force at that time.
     std::optional<base::millis> idle_since_;
     base::millis idle_timeout_ms_ = 0;
+    /// The deadline of the current write, or 0 if none is in progress.
     base::millis write_deadline_ = 0;
     base::millis opened_at_;
     bool open_ = true;
     bool next_request_ready_ = false;
     bool last_write_queued_ = false;
-    /// False once the caller was told, or has said, that this answer is the
-    /// connection's last.
+    /// False once the server or the caller has announced that the current
+    /// response is the last one of the connection.
     bool keep_alive_ = true;
-    /// The pending read was cancelled to see whether a request has begun.
+    /// Whether the pending read was cancelled to find out whether a request has
+    /// begun to arrive.
     bool idle_read_cancelled_ = false;
-    /// A request had begun when its connection would have been closed.
+    /// Whether a request had begun to arrive when the connection was due to be
+    /// closed. The deadline is extended only once for each request.
     bool read_deadline_extended_ = false;
-    /// What was read is no request.
+    /// Whether the input was not a valid HTTP request.
     bool malformed_ = false;
-    /// What the caller still sends is read and dropped behind the answer.
+    /// Whether further input is read and dropped after the current response.
     bool discard_remaining_input_ = false;
-    /// The connection's last answer was sent.
+    /// Whether the last response of the connection was sent.
     bool lingering_ = false;
 };
 
--- a/packages/transport/src/streaming_http_server.cpp
+++ b/packages/transport/src/streaming_http_server.cpp
@@ -16,24 +16,24 @@
 
 namespace {
 
-/// How often connections are looked through for overdue reads, in ms. A
-/// caller's time-outs are seconds, so a delay of half a second does not matter.
+/// Interval between checks of the timeouts of all connections. Timeouts are
+/// seconds long, so a delay of half a second does not matter.
 constexpr base::millis sweep_interval_ms = 500;
 
-/// The same while the server closes, in ms.
+/// Interval between these checks while the server closes.
 constexpr base::millis closing_sweep_interval_ms = 20;
 
 } // namespace
 
-/// Accepts connections and looks through them for overdue ones.
+/// Accepts connections and checks their timeouts.
 class streaming_http_server::impl : public std::enable_shared_from_this<impl> {
 public:
     impl(asio::io_context& io, http_server_limits limits,
-         request_handler handler, abort_reporting report)
+         request_handler handler, abort_reporting reporting)
         : acceptor_(io), timer_(io), state_(std::make_shared<server_state>()) {
         state_->limits = limits;
         state_->handler = std::move(handler);
-        state_->reporting = std::move(report);
+        state_->reporting = std::move(reporting);
     }
 
     std::optional<base::endpoint> listen(const base::endpoint& address) {
@@ -42,13 +42,13 @@
         if (error) {
             return std::nullopt;
         }
-        const tcp::endpoint at(ip, address.port);
-        acceptor_.open(at.protocol(), error);
+        const tcp::endpoint local_endpoint(ip, address.port);
+        acceptor_.open(local_endpoint.protocol(), error);
         if (!error) {
             acceptor_.set_option(asio::socket_base::reuse_address(true), error);
         }
         if (!error) {
-            acceptor_.bind(at, error);
+            acceptor_.bind(local_endpoint, error);
         }
         if (!error) {
             acceptor_.listen(asio::socket_base::max_listen_connections, error);
@@ -82,14 +82,14 @@
 
     server_state& state() { return *state_; }
 
-    /// Calls `f` with each session that is still there when its turn
-    /// comes: one that closes may end others.
+    /// Calls `function` with each session. Skips sessions that were destroyed
+    /// by an earlier call, because closing one session may end others.
     template <class F>
-    void for_each_session(F f) {
-        const auto copy = state_->sessions;
-        for (auto* s : copy) {
-            if (state_->sessions.count(s) != 0) {
-                f(*s);
+    void for_each_session(F function) {
+        const auto sessions = state_->sessions;
+        for (auto* session : sessions) {
+            if (state_->sessions.count(session) != 0) {
+                function(*session);
             }
         }
     }
@@ -116,8 +116,9 @@
         std::make_shared<server_session>(std::move(socket), state_)->start();
     }
 
-    /// Accepts what the kernel has connected already: to close the listener
-    /// would reset it, and its callers may have sent their requests.
+    /// Accepts the connections in the kernel's accept queue. Closing the
+    /// listener would reset them, and their callers may already have sent
+    /// requests.
     void accept_pending() {
         beast::error_code error;
         acceptor_.non_blocking(true, error);
@@ -154,9 +155,9 @@
 streaming_http_server::streaming_http_server(asio::io_context& io,
                                              http_server_limits limits,
                                              request_handler handler,
-                                             abort_reporting report)
+                                             abort_reporting reporting)
     : impl_(std::make_shared<impl>(io, limits, std::move(handler),
-                                   std::move(report))) {}
+                                   std::move(reporting))) {}
 
 streaming_http_server::~streaming_http_server() {
     impl_->stop();
--- a/packages/transport/src/upstream.cpp
+++ b/packages/transport/src/upstream.cpp
@@ -28,34 +28,38 @@
 
 namespace {
 
-/// The most bytes of one read.
+/// Maximum number of bytes per read.
 constexpr std::size_t read_buffer_bytes = 16 * 1024;
 
-/// How often the bounds of calls are looked at.
+/// Interval between checks of the timeouts of all calls.
 constexpr base::millis sweep_interval_ms = 50;
 
-/// A sweep that comes so long after the one before shows that the thread was
-/// busy with something else, in ms.
+/// A longer gap between two sweeps means that the thread was stalled.
 constexpr base::millis late_sweep_threshold_ms = 100;
 
-/// A kept connection is not used again after so long without a request if its
-/// server does not say how long it keeps it, and never after the longer time:
-/// something on the way may have lost track of it.
+/// How long an idle connection may be reused if the server sends no Keep-Alive
+/// timeout.
 constexpr base::millis default_keep_alive_ms = 4000;
+
+/// How long an idle connection may be reused at most. A middlebox on the
+/// network path may have dropped its state of a connection that was idle for
+/// longer.
 constexpr base::millis max_keep_alive_ms = 30000;
 
-/// How long before the server's own time-out a connection is given up, so
-/// that a request does not cross the close.
+/// How long before the server's Keep-Alive timeout an idle connection is
+/// closed, so that no request is sent while the server closes the connection.
 constexpr base::millis keep_alive_margin_ms = 500;
 
-/// Unacknowledged bytes for so long end a connection whose other side has
-/// gone without a word.
+/// The kernel closes a connection if sent data stays unacknowledged for this
+/// time in milliseconds. This detects peers that disappear without closing
+/// their connections.
 constexpr unsigned tcp_user_timeout_ms = 3000;
 
-/// Answers are events or documents; more than this in one body is no answer.
+/// Maximum size of a response body. Responses are event streams or documents,
+/// so a larger body is treated as malformed.
 constexpr std::uint64_t max_body_bytes = 64 * 1024 * 1024;
 
-/// An open connection that is not in use.
+/// An open connection without a request in flight.
 struct idle_connection {
     std::shared_ptr<tcp::socket> socket;
     base::millis expires_at = 0;
@@ -69,16 +73,16 @@
     upstream_counts counts;
 };
 
-/// True if nothing has come on an idle connection: neither its end nor bytes
-/// that belong to no request.
+/// Returns true if an idle connection is open and has no unread input. Counts
+/// unread input, which belongs to no request.
 bool has_no_unread_input(tcp::socket& socket, upstream_counts& counts) {
     char byte = 0;
-    const auto n =
+    const auto received =
         ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-    if (n > 0) {
+    if (received > 0) {
         ++counts.unsolicited_reads;
     }
-    return n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
+    return received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
 class client_call : public upstream_call,
@@ -86,12 +90,12 @@
 public:
     client_call(asio::io_context& io, std::shared_ptr<client_state> state,
                 base::endpoint target, upstream_request request,
-                upstream_call_options options, upstream_callbacks events,
-                std::string echo)
+                upstream_call_options options, upstream_callbacks callbacks,
+                std::string echo_header)
         : io_(io), state_(std::move(state)), target_(std::move(target)),
-          options_(options), callbacks_(std::move(events)),
-          echo_header_(std::move(echo)), started_at_(state_->clock.now()),
-          last_activity_(started_at_),
+          options_(options), callbacks_(std::move(callbacks)),
+          echo_header_(std::move(echo_header)),
+          started_at_(state_->clock.now()), last_activity_(started_at_),
           is_head_request_(request.method == "HEAD") {
         if (const auto* id = find_header(request.fields, echo_header_)) {
             echo_value_ = *id;
@@ -118,19 +122,19 @@
 
     bool opened_connection() const override { return opened_connection_; }
 
-    bool done() const { return done_; }
+    bool is_done() const { return done_; }
 
     void end_if_started_before(const base::endpoint& target,
-                               base::millis before) {
-        if (target_ == target && started_at_ < before) {
+                               base::millis cutoff) {
+        if (target_ == target && started_at_ < cutoff) {
             finish(connected_ ? call_outcome::total_timeout
                               : call_outcome::not_sent);
         }
     }
 
-    /// Leaves time out of the wait for the connection or the next byte.
-    void exclude_stall(base::millis held_up, base::millis now) {
-        last_activity_ = std::min(now, last_activity_ + held_up);
+    /// Excludes `stall_ms` from the connect timeout and the idle timeout.
+    void exclude_stall(base::millis stall_ms, base::millis now) {
+        last_activity_ = std::min(now, last_activity_ + stall_ms);
     }
 
     void check_timeouts(base::millis now) {
@@ -150,35 +154,36 @@
 
 private:
     std::string serialize(const upstream_request& request) const {
-        std::string out =
+        std::string message =
             request.method + " " + request.target + " HTTP/1.1\r\n";
         if (find_header(request.fields, "host") == nullptr) {
-            out += "Host: " + to_string(target_) + "\r\n";
+            message += "Host: " + to_string(target_) + "\r\n";
         }
-        for (const auto& f : request.fields) {
-            out += f.name;
-            out += ": ";
-            out += f.value;
-            out += "\r\n";
+        for (const auto& field : request.fields) {
+            message += field.name;
+            message += ": ";
+            message += field.value;
+            message += "\r\n";
         }
         if (!request.body.empty() || request.method != "GET") {
-            out += "Content-Length: " + std::to_string(request.body.size()) +
-                   "\r\n";
+            message +=
+                "Content-Length: " + std::to_string(request.body.size()) +
+                "\r\n";
         }
-        out += "\r\n";
-        out += request.body;
-        return out;
+        message += "\r\n";
+        message += request.body;
+        return message;
     }
 
     bool take_idle_connection() {
-        auto& row = state_->idle_connections[target_];
+        auto& connections = state_->idle_connections[target_];
         const auto now = state_->clock.now();
-        while (!row.empty()) {
-            auto k = std::move(row.back());
-            row.pop_back();
-            if (now < k.expires_at &&
-                has_no_unread_input(*k.socket, state_->counts)) {
-                socket_ = std::move(k.socket);
+        while (!connections.empty()) {
+            auto connection = std::move(connections.back());
+            connections.pop_back();
+            if (now < connection.expires_at &&
+                has_no_unread_input(*connection.socket, state_->counts)) {
+                socket_ = std::move(connection.socket);
                 connected_ = true;
                 return true;
             }
@@ -236,23 +241,24 @@
         read();
     }
 
-    /// Reads for itself rather than by the library's read, which keeps a part
-    /// of a chunk until the next one comes: an event would then wait for the
-    /// one behind it.
+    /// Reads from the socket directly. The read operations of Boost.Beast
+    /// buffer a part of a chunk until the next chunk arrives, which would delay
+    /// each event until the next one.
     void read() {
-        socket_->async_read_some(buffer_.prepare(read_buffer_bytes),
-                                 [self = shared_from_this()](
-                                     beast::error_code error, std::size_t n) {
-                                     self->on_read(error, n);
-                                 });
+        socket_->async_read_some(
+            buffer_.prepare(read_buffer_bytes),
+            [self = shared_from_this()](beast::error_code error,
+                                        std::size_t bytes) {
+                self->on_read(error, bytes);
+            });
     }
 
-    void on_read(beast::error_code error, std::size_t n) {
+    void on_read(beast::error_code error, std::size_t bytes) {
         if (done_) {
             return;
         }
         last_activity_ = state_->clock.now();
-        buffer_.commit(n);
+        buffer_.commit(bytes);
         if (error == asio::error::eof) {
             on_eof();
             return;
@@ -278,12 +284,13 @@
         finish(call_outcome::complete);
     }
 
-    /// Parses what was read. Returns false if it is no answer.
+    /// Parses the buffered input. Ends the call and returns false if the input
+    /// is not a valid response.
     bool parse() {
         while (buffer_.size() > 0 && !parser_->is_done()) {
             beast::error_code error;
-            const auto used = parser_->put(buffer_.data(), error);
-            buffer_.consume(used);
+            const auto consumed = parser_->put(buffer_.data(), error);
+            buffer_.consume(consumed);
             if (error == http::error::need_more) {
                 return true;
             }
@@ -291,15 +298,15 @@
                 finish(call_outcome::broken);
                 return false;
             }
-            if (used == 0) {
+            if (consumed == 0) {
                 return true;
             }
         }
         return true;
     }
 
-    /// The connection has ended: a body without a length ends with it, any
-    /// other is cut off.
+    /// Called when the server has closed the connection. This completes a body
+    /// without a declared length and truncates any other.
     void on_eof() {
         beast::error_code error;
         if (parser_->is_header_done() && parser_->need_eof()) {
@@ -312,13 +319,14 @@
                                  : call_outcome::broken);
     }
 
-    /// How a call ends whose connection brought nothing of its answer.
+    /// Returns the outcome of a call that received no part of its response.
     call_outcome lost_connection_outcome() const {
         return opened_connection_ ? call_outcome::broken
                                   : call_outcome::stale_connection;
     }
 
-    /// Hands the head on, once. Returns false if the call has ended.
+    /// Calls `on_head` once the head is complete. Returns false if the call has
+    /// ended.
     bool deliver_head() {
         if (head_delivered_ || !parser_->is_header_done()) {
             return true;
@@ -326,13 +334,13 @@
         head_delivered_ = true;
         response_head head;
         head.status = static_cast<int>(parser_->get().result_int());
-        for (const auto& f : parser_->get()) {
+        for (const auto& field : parser_->get()) {
             head.fields.push_back(
-                {std::string(f.name_string()), std::string(f.value())});
+                {std::string(field.name_string()), std::string(field.value())});
         }
-        // A second answer to an earlier request may stand on the connection
-        // where this one's is due; taken as this one's, a caller would get
-        // what belongs to another.
+        // A server may send a second response to an earlier request where the
+        // response to this one is expected. Without this check, one caller
+        // would receive the response to another.
         const auto* id = find_header(head.fields, echo_header_);
         if (!echo_header_.empty() &&
             (id != nullptr ? *id != echo_value_ : head.status < 400)) {
@@ -350,12 +358,12 @@
         if (value == nullptr) {
             return;
         }
-        const auto at = value->find("timeout=");
-        if (at == std::string::npos) {
+        const auto position = value->find("timeout=");
+        if (position == std::string::npos) {
             return;
         }
         const auto seconds = std::strtol(
-            value->c_str() + at + sizeof "timeout=" - 1, nullptr, 10);
+            value->c_str() + position + sizeof "timeout=" - 1, nullptr, 10);
         keep_alive_ms_ = std::min<base::millis>(
             max_keep_alive_ms, seconds * 1000 - keep_alive_margin_ms);
     }
@@ -365,50 +373,51 @@
         if (body.empty()) {
             return;
         }
-        const std::string piece = std::exchange(body, std::string());
-        invoke_callback(callbacks_.on_data, std::string_view(piece));
+        const std::string data = std::exchange(body, std::string());
+        invoke_callback(callbacks_.on_data, std::string_view(data));
     }
 
-    template <class Handler, class Value>
-    void invoke_callback(const Handler& handler, const Value& value) {
-        if (!handler) {
+    template <class Callback, class Value>
+    void invoke_callback(const Callback& callback, const Value& value) {
+        if (!callback) {
             return;
         }
         in_callback_ = true;
-        handler(value);
+        callback(value);
         in_callback_ = false;
         if (done_) {
             release_callbacks();
         }
     }
 
-    /// A handler that cancels its own call still runs; it must outlive that.
+    /// Destroys the callbacks, unless one of them is running. A callback may
+    /// cancel its own call and must not be destroyed while it runs.
     void release_callbacks() {
         if (!in_callback_) {
             callbacks_ = {};
         }
     }
 
-    /// Keeps the connection for the next call, if it is in a state that says
-    /// nothing about this one any more.
+    /// Makes the connection available to later calls, if the request was sent
+    /// completely and no input of this call remains.
     void return_to_pool() {
-        const bool clean = parser_->keep_alive() && request_written_ &&
-                           buffer_.size() == 0 && !parser_->need_eof();
-        if (clean && keep_alive_ms_ > 0) {
+        const bool is_reusable = parser_->keep_alive() && request_written_ &&
+                                 buffer_.size() == 0 && !parser_->need_eof();
+        if (is_reusable && keep_alive_ms_ > 0) {
             state_->idle_connections[target_].push_back(
                 {std::move(socket_), state_->clock.now() + keep_alive_ms_});
         }
     }
 
-    void finish(call_outcome end) {
+    void finish(call_outcome outcome) {
         if (std::exchange(done_, true)) {
             return;
         }
         close();
-        const auto ended = std::exchange(callbacks_.on_end, nullptr);
+        const auto on_end = std::exchange(callbacks_.on_end, nullptr);
         release_callbacks();
-        if (ended) {
-            ended(end);
+        if (on_end) {
+            on_end(outcome);
         }
     }
 
@@ -431,25 +440,25 @@
     beast::flat_buffer buffer_;
     std::optional<http::response_parser<http::string_body>> parser_;
     base::millis started_at_;
-    /// Since when it waits for its connection or the next byte, without the
-    /// time in which the thread was held up.
+    /// The time of the last progress of the connection, moved forward by the
+    /// time in which the thread was stalled.
     base::millis last_activity_;
     base::millis keep_alive_ms_ = default_keep_alive_ms;
     bool is_head_request_;
     bool opened_connection_ = false;
     bool connected_ = false;
     bool request_written_ = false;
-    /// Nothing has come on the connection yet.
+    /// Whether no part of the response has been received yet.
     bool nothing_received_ = true;
     bool head_delivered_ = false;
     bool done_ = false;
-    /// A handler of this call is running.
+    /// Whether a callback of this call is running.
     bool in_callback_ = false;
 };
 
 } // namespace
 
-/// Holds the kept connections and looks at the bounds of all calls.
+/// Owns the idle connections and checks the timeouts of all calls.
 class upstream_client::impl : public std::enable_shared_from_this<impl> {
 public:
     explicit impl(asio::io_context& io)
@@ -458,29 +467,29 @@
     std::shared_ptr<upstream_call> start(const base::endpoint& target,
                                          upstream_request request,
                                          upstream_call_options options,
-                                         upstream_callbacks events,
-                                         const std::string& echo) {
-        auto c = std::make_shared<client_call>(io_, state_, target,
-                                               std::move(request), options,
-                                               std::move(events), echo);
-        calls_.push_back(c);
-        c->start();
+                                         upstream_callbacks callbacks,
+                                         const std::string& echo_header) {
+        auto call = std::make_shared<client_call>(
+            io_, state_, target, std::move(request), options,
+            std::move(callbacks), echo_header);
+        calls_.push_back(call);
+        call->start();
         if (!sweeping_) {
             sweeping_ = true;
             stall_detector_.start(state_->clock.now());
             schedule_sweep();
         }
-        return c;
+        return call;
     }
 
     void stop() { timer_.cancel(); }
 
     void end_calls_started_before(const base::endpoint& target,
-                                  base::millis before) {
-        // Callers may start new calls when theirs end.
+                                  base::millis cutoff) {
+        // The callbacks may start new calls, which changes `calls_`.
         const auto calls = calls_;
-        for (const auto& c : calls) {
-            c->end_if_started_before(target, before);
+        for (const auto& call : calls) {
+            call->end_if_started_before(target, cutoff);
         }
     }
 
@@ -498,19 +507,20 @@
 
     void sweep() {
         const auto now = state_->clock.now();
-        const auto held_up = stall_detector_.tick(now);
+        const auto stall_ms = stall_detector_.tick(now);
         const auto calls = std::exchange(calls_, {});
-        for (const auto& c : calls) {
-            c->exclude_stall(held_up, now);
-            // What came while the thread was held up is handled first; it may
-            // be the answer of a call whose time is over.
+        for (const auto& call : calls) {
+            call->exclude_stall(stall_ms, now);
+            // Input that arrived during a stall is handled before timeouts are
+            // checked, because it may be the response to a call whose timeout
+            // has expired.
             if (!stall_detector_.is_stalled()) {
-                c->check_timeouts(now);
+                call->check_timeouts(now);
             }
         }
-        for (const auto& c : calls) {
-            if (!c->done()) {
-                calls_.push_back(c);
+        for (const auto& call : calls) {
+            if (!call->is_done()) {
+                calls_.push_back(call);
             }
         }
         close_expired_connections(now);
@@ -522,14 +532,15 @@
     }
 
     void close_expired_connections(base::millis now) {
-        for (auto row = state_->idle_connections.begin();
-             row != state_->idle_connections.end();) {
-            auto& list = row->second;
-            while (!list.empty() && now >= list.front().expires_at) {
-                list.pop_front();
+        for (auto entry = state_->idle_connections.begin();
+             entry != state_->idle_connections.end();) {
+            auto& connections = entry->second;
+            while (!connections.empty() &&
+                   now >= connections.front().expires_at) {
+                connections.pop_front();
             }
-            row = list.empty() ? state_->idle_connections.erase(row)
-                               : std::next(row);
+            entry = connections.empty() ? state_->idle_connections.erase(entry)
+                                        : std::next(entry);
         }
     }
 
@@ -551,15 +562,16 @@
 
 std::shared_ptr<upstream_call>
 upstream_client::start(const base::endpoint& target, upstream_request request,
-                       upstream_call_options options, upstream_callbacks events,
-                       const std::string& echo) {
-    return impl_->start(target, std::move(request), options, std::move(events),
-                        echo);
+                       upstream_call_options options,
+                       upstream_callbacks callbacks,
+                       const std::string& echo_header) {
+    return impl_->start(target, std::move(request), options,
+                        std::move(callbacks), echo_header);
 }
 
 void upstream_client::end_calls_started_before(const base::endpoint& target,
-                                               base::millis before) {
-    impl_->end_calls_started_before(target, before);
+                                               base::millis cutoff) {
+    impl_->end_calls_started_before(target, cutoff);
 }
 
 void upstream_client::close_idle_connections(const base::endpoint& target) {
--- a/packages/transport/test/streaming_http_server_test.cpp
+++ b/packages/transport/test/streaming_http_server_test.cpp
@@ -23,7 +23,7 @@
 const std::string request = "POST /a HTTP/1.1\r\nHost: h\r\nId: r1\r\n"
                             "Content-Length: 2\r\n\r\nhi";
 
-/// A request that is read in several pieces.
+/// A request that needs several reads.
 const std::string long_request = "POST /b HTTP/1.1\r\nHost: h\r\n"
                                  "Content-Length: 4000\r\n\r\n" +
                                  std::string(4000, 'x');
@@ -32,48 +32,48 @@
 protected:
     streaming_http_server_test()
         : server_(io_, {},
-                  [this](auto request, auto answer) {
+                  [this](auto request, auto writer) {
                       requests_.push_back(std::move(request));
-                      responses_.push_back(std::move(answer));
+                      responses_.push_back(std::move(writer));
                       if (handler_) {
                           handler_();
                       }
                   },
-                  {"Id", [this](const auto& cut) {
-                       aborted_requests_.push_back(cut);
+                  {"Id", [this](const auto& aborted) {
+                       aborted_requests_.push_back(aborted);
                    }}) {
-        const auto at = server_.listen({"127.0.0.1", 0});
+        const auto address = server_.listen({"127.0.0.1", 0});
         socket_.connect(
-            tcp::endpoint(asio::ip::address_v4::loopback(), at->port));
+            tcp::endpoint(asio::ip::address_v4::loopback(), address->port));
     }
 
     void send(const std::string& text) {
         asio::write(socket_, asio::buffer(text));
     }
 
-    /// Runs until a condition holds; each round waits for work a little.
+    /// Runs until `condition` is true, for at most 20 s, and expects that it
+    /// is.
     template <class Condition>
-    void run_until(Condition holds) {
-        for (int n = 0; n < 2000 && !holds(); ++n) {
+    void run_until(Condition condition) {
+        for (int n = 0; n < 2000 && !condition(); ++n) {
             io_.restart();
             io_.run_for(std::chrono::milliseconds(10));
         }
-        EXPECT_TRUE(holds());
+        EXPECT_TRUE(condition());
     }
 
-    /// Runs for a while.
-    void run_for(base::millis ms) {
+    void run_for(base::millis duration_ms) {
         io_.restart();
-        io_.run_for(std::chrono::milliseconds(ms));
+        io_.run_for(std::chrono::milliseconds(duration_ms));
     }
 
-    /// Runs what is ready.
+    /// Runs all ready handlers without waiting.
     void poll() {
         io_.restart();
         io_.poll();
     }
 
-    /// Has a first request of the connection answered.
+    /// Sends a request and completes the response to it.
     void complete_first_request() {
         send(request);
         run_until([&] { return !responses_.empty(); });
@@ -82,14 +82,14 @@
         run_until([&] { return server_.requests_in_flight() == 0; });
     }
 
-    /// Lets the time of a sweep, and some more, pass while the thread does
-    /// something else.
-    static void block_for_a_sweep(base::millis more = 0) {
-        std::this_thread::sleep_for(std::chrono::milliseconds(600 + more));
+    /// Blocks the thread for longer than the interval of timeout checks, plus
+    /// `extra_ms`.
+    static void block_for_a_sweep(base::millis extra_ms = 0) {
+        std::this_thread::sleep_for(std::chrono::milliseconds(600 + extra_ms));
     }
 
-    /// Returns whether the server has closed the connection, and why it seems
-    /// closed in `close_error_`. There must be nothing to read.
+    /// Returns true if the server has closed the connection, and stores the
+    /// error in `close_error_`. There must be no unread data.
     bool is_closed() {
         char byte = 0;
         socket_.non_blocking(true);
@@ -97,7 +97,7 @@
         return close_error_ && close_error_ != asio::error::would_block;
     }
 
-    /// Reads what has come until `text` is in it.
+    /// Reads until the received data contains `text`.
     void expect_received(const std::string& text) {
         run_until([&] {
             if (socket_.available() > 0) {
@@ -120,7 +120,7 @@
     boost::system::error_code close_error_;
 };
 
-TEST_F(streaming_http_server_test, reads_a_request_whole_and_answers) {
+TEST_F(streaming_http_server_test, receives_a_request_and_sends_a_response) {
     send(request);
     run_until([&] { return !responses_.empty(); });
     EXPECT_EQ(requests_[0].body, "hi");
@@ -128,7 +128,8 @@
     expect_received("X: y\r\nContent-Length: 2\r\n\r\nok");
 }
 
-TEST_F(streaming_http_server_test, answers_in_pieces_and_keeps_the_connection) {
+TEST_F(streaming_http_server_test,
+       sends_a_chunked_response_and_keeps_the_connection_open) {
     send(request + request);
     run_until([&] { return !responses_.empty(); });
     responses_[0]->send_head(200, {});
@@ -140,21 +141,25 @@
     expect_received("204");
 }
 
-TEST_F(streaming_http_server_test, tells_when_a_caller_leaves) {
-    // A caller gives up and closes its connection. Its request would go on at
-    // a backend server for nobody.
-    bool left = false;
-    handler_ = [&] { responses_.back()->on_disconnect([&] { left = true; }); };
+TEST_F(streaming_http_server_test, reports_a_disconnected_caller) {
+    // A caller closes its connection before the response. The handler must be
+    // notified, or the request would keep running at a backend server although
+    // nobody waits for the response.
+    bool disconnected = false;
+    handler_ = [&] {
+        responses_.back()->on_disconnect([&] { disconnected = true; });
+    };
     send(request);
     run_until([&] { return !responses_.empty(); });
-    EXPECT_FALSE(left);
+    EXPECT_FALSE(disconnected);
     socket_.close();
-    run_until([&] { return left; });
+    run_until([&] { return disconnected; });
     responses_[0]->send({200, {}, "late"});
     EXPECT_EQ(server_.requests_in_flight(), 0U);
 }
 
-TEST_F(streaming_http_server_test, closes_after_the_answer_once_it_drains) {
+TEST_F(streaming_http_server_test,
+       announces_the_close_in_responses_while_draining) {
     send(request);
     run_until([&] { return !responses_.empty(); });
     server_.drain();
@@ -163,9 +168,10 @@
     expect_received("ok");
 }
 
-// A request that came while the thread was busy is not taken for idleness.
+// A request arrives on an idle connection while the thread is busy. Closing
+// must not treat the connection as still idle.
 TEST_F(streaming_http_server_test,
-       what_arrives_on_a_kept_connection_is_answered) {
+       closing_answers_a_request_unread_on_an_idle_connection) {
     complete_first_request();
     send(long_request);
     server_.close();
@@ -176,9 +182,10 @@
     expect_received("second");
 }
 
-// A read that was carried out at once has its handler behind the sweep.
+// A read that completes immediately runs its completion handler only after the
+// timeout check, which must not close the connection.
 TEST_F(streaming_http_server_test,
-       what_arrives_on_a_new_connection_is_answered) {
+       closing_answers_a_request_unread_on_a_new_connection) {
     poll();
     server_.close();
     send(long_request);
@@ -189,17 +196,18 @@
     expect_received("ok");
 }
 
-// The part of a request that was read is not lost with the cancelled read.
+// Closing cancels the pending read to find out whether a request has begun to
+// arrive. The part that was already read must not be lost.
 TEST_F(streaming_http_server_test,
-       a_request_is_read_on_after_a_look_at_its_connection) {
+       a_partly_read_request_survives_the_cancelled_read) {
     const std::string chunked = "POST /c HTTP/1.1\r\nHost: h\r\n"
                                 "Transfer-Encoding: chunked\r\n\r\n"
                                 "5\r\nhello\r\n3\r\nabc\r\n0\r\n\r\n";
     complete_first_request();
-    for (std::size_t at = 0; at < chunked.size(); ++at) {
-        send(chunked.substr(at, 1));
+    for (std::size_t offset = 0; offset < chunked.size(); ++offset) {
+        send(chunked.substr(offset, 1));
         poll();
-        if (at == 0) {
+        if (offset == 0) {
             server_.close();
         }
         std::this_thread::sleep_for(std::chrono::milliseconds(2));
@@ -210,9 +218,10 @@
     EXPECT_EQ(requests_[1].body, "helloabc");
 }
 
-// Guards against a lost request of a caller that was told of no end.
+// The response to the first request was started before draining and did not
+// announce the close, so the caller expects a response to its second request.
 TEST_F(streaming_http_server_test,
-       a_request_behind_an_answer_is_served_while_draining) {
+       draining_answers_a_request_pipelined_behind_a_started_response) {
     send(request + request);
     run_until([&] { return !responses_.empty(); });
     responses_[0]->send_head(200, {});
@@ -227,9 +236,10 @@
     expect_received("Connection: close");
 }
 
-// A request that comes just before its connection's time is over is read.
+// A request arrives just before the idle timeout of its connection expires and
+// must be answered.
 TEST_F(streaming_http_server_test,
-       a_request_that_meets_the_idle_timeout_is_answered) {
+       a_request_received_just_before_the_idle_timeout_is_answered) {
     constexpr base::millis idle_ms = 1000;
     server_.set_limits({16 * 1024, 1024 * 1024, 3000, idle_ms});
     complete_first_request();
@@ -241,8 +251,10 @@
     expect_received("second");
 }
 
-// More time that runs out while the rest of a request waits to be read.
-TEST_F(streaming_http_server_test, a_request_that_comes_late_is_answered) {
+// The idle timeout expires while the rest of a request has arrived but is not
+// yet read.
+TEST_F(streaming_http_server_test,
+       a_request_unread_at_the_idle_timeout_is_answered) {
     constexpr base::millis idle_ms = 2000;
     server_.set_limits({16 * 1024, 1024 * 1024, 3000, idle_ms});
     send(long_request.substr(0, 100));
@@ -254,15 +266,15 @@
     ASSERT_FALSE(responses_.empty()) << close_error_.message();
 }
 
-// A caller that stops in the middle of a request does not hold a connection.
-TEST_F(streaming_http_server_test, half_a_request_ends_with_its_connection) {
+// A caller that stops in the middle of a request must not occupy a connection.
+TEST_F(streaming_http_server_test, an_incomplete_request_times_out) {
     server_.set_limits({16 * 1024, 1024 * 1024, 3000, 100});
     send(long_request.substr(0, 1000));
     run_until([&] { return is_closed(); });
     EXPECT_TRUE(requests_.empty());
 }
 
-TEST_F(streaming_http_server_test, a_closing_server_ends_idle_connections) {
+TEST_F(streaming_http_server_test, closing_closes_idle_connections) {
     send(request);
     run_until([&] { return !responses_.empty(); });
     responses_[0]->send({200, {}, "ok"});
@@ -273,9 +285,10 @@
     run_until([&] { return is_closed() && server_.is_closed(); });
 }
 
-// To close the listener resets connections that wait to be accepted.
+// Closing the listening socket resets connections in the accept queue, whose
+// callers may already have sent requests.
 TEST_F(streaming_http_server_test,
-       a_closing_server_serves_what_waits_to_be_accepted) {
+       closing_serves_connections_in_the_accept_queue) {
     send(request);
     server_.drain();
     server_.close();
@@ -289,7 +302,7 @@
 }
 
 TEST_F(streaming_http_server_test,
-       a_new_connection_may_still_send_its_request) {
+       closing_waits_for_the_first_request_on_a_new_connection) {
     server_.close();
     io_.restart();
     io_.poll();
@@ -300,21 +313,26 @@
     expect_received("ok");
 }
 
-// A stop that has run out of time closes no connection without an answer.
-TEST_F(streaming_http_server_test, what_is_open_at_the_end_is_answered) {
-    bool told = false;
-    handler_ = [&] { responses_.back()->on_disconnect([&] { told = true; }); };
+// A server that must stop before its handlers have responded must not close
+// connections without a response.
+TEST_F(streaming_http_server_test,
+       fail_open_requests_answers_requests_in_flight) {
+    bool notified = false;
+    handler_ = [&] {
+        responses_.back()->on_disconnect([&] { notified = true; });
+    };
     send(request);
     run_until([&] { return !responses_.empty(); });
     server_.fail_open_requests(504);
-    EXPECT_TRUE(told);
+    EXPECT_TRUE(notified);
     EXPECT_EQ(aborted_requests_.size(), 1U);
     responses_[0]->send({200, {}, "late"});
     expect_received("504 Gateway Timeout\r\nConnection: close");
     EXPECT_EQ(received_.find("late"), std::string::npos);
 }
 
-TEST_F(streaming_http_server_test, a_complete_answer_is_not_answered_again) {
+TEST_F(streaming_http_server_test,
+       fail_open_requests_skips_completed_responses) {
     send(request);
     run_until([&] { return !responses_.empty(); });
     responses_[0]->send({200, {}, "complete"});
@@ -324,19 +342,19 @@
     EXPECT_EQ(received_.find("504"), std::string::npos);
 }
 
-// What follows a request does not take its answer along.
-TEST_F(streaming_http_server_test,
-       a_request_before_something_else_is_answered) {
-    for (const auto& behind : {std::string("\r\n"), long_request}) {
+// Invalid or oversized input after a request must not prevent the response to
+// the request.
+TEST_F(streaming_http_server_test, a_request_before_invalid_input_is_answered) {
+    for (const auto& trailing_input : {std::string("\r\n"), long_request}) {
         streaming_http_server server(
-            io_, {1024, 10, 3000, 15000}, [this](auto, auto answer) {
-                responses_.push_back(std::move(answer));
+            io_, {1024, 10, 3000, 15000}, [this](auto, auto writer) {
+                responses_.push_back(std::move(writer));
             });
-        const auto at = server.listen({"127.0.0.1", 0});
+        const auto address = server.listen({"127.0.0.1", 0});
         socket_.close();
         socket_.connect(
-            tcp::endpoint(asio::ip::address_v4::loopback(), at->port));
-        send(request + behind);
+            tcp::endpoint(asio::ip::address_v4::loopback(), address->port));
+        send(request + trailing_input);
         run_until([&] { return !responses_.empty(); });
         run_for(50);
         responses_.back()->send({200, {}, "ok"});
@@ -346,8 +364,8 @@
     }
 }
 
-// What was never a request is not told as one that was cut off.
-TEST_F(streaming_http_server_test, what_is_no_request_is_not_told) {
+// Malformed input is not a request and must not be reported as an aborted one.
+TEST_F(streaming_http_server_test, malformed_input_is_not_reported_as_aborted) {
     poll();
     send("\x01garbage\r\n\r\n" + std::string(4000, 'x'));
     socket_.set_option(asio::socket_base::linger(true, 0));
@@ -358,7 +376,7 @@
 }
 
 TEST_F(streaming_http_server_test,
-       garbage_behind_the_last_answer_is_not_answered) {
+       malformed_input_after_the_last_response_is_dropped) {
     send(request);
     run_until([&] { return !responses_.empty(); });
     server_.drain();
@@ -370,9 +388,9 @@
     EXPECT_TRUE(aborted_requests_.empty());
 }
 
-// A caller that was told of the end and sends on does not hold up a stop.
-TEST_F(streaming_http_server_test,
-       a_closing_server_does_not_wait_for_what_is_dropped) {
+// A caller that keeps sending after a response with `Connection: close` must
+// not delay the shutdown.
+TEST_F(streaming_http_server_test, closing_does_not_wait_for_dropped_input) {
     send(request);
     run_until([&] { return !responses_.empty(); });
     server_.drain();
@@ -388,7 +406,7 @@
 }
 
 TEST_F(streaming_http_server_test,
-       what_ends_without_an_answer_is_told_with_its_cause) {
+       an_aborted_request_is_reported_with_its_cause) {
     send(request);
     run_until([&] { return !responses_.empty(); });
     responses_[0]->send_head(200, {});
@@ -401,7 +419,7 @@
     EXPECT_TRUE(aborted_requests_[0].response_started);
 }
 
-TEST_F(streaming_http_server_test, refuses_a_body_over_the_limit) {
+TEST_F(streaming_http_server_test, rejects_a_body_over_the_limit) {
     server_.set_limits({1024, 10, 3000, 15000});
     send(request);
     run_until([&] { return !responses_.empty(); });
@@ -412,9 +430,9 @@
     EXPECT_EQ(requests_.size(), 1U);
 }
 
-// A 413 for what the limits in force allow is never asked again.
-TEST_F(streaming_http_server_test,
-       limits_that_rise_count_on_an_idle_connection) {
+// Callers do not retry after a 413 response, so it must not be sent for a body
+// that the current limits allow.
+TEST_F(streaming_http_server_test, raised_limits_apply_to_an_idle_connection) {
     server_.set_limits({1024, 10, 3000, 15000});
     complete_first_request();
     server_.set_limits({1024, 4000, 3000, 15000});
@@ -423,9 +441,10 @@
     ASSERT_EQ(responses_.size(), 2U) << close_error_.message();
 }
 
-// Callers go by the newest idle time and would meet a closed connection.
+// Callers rely on the newest idle timeout and would send requests on a closed
+// connection.
 TEST_F(streaming_http_server_test,
-       an_idle_time_that_rises_counts_on_idle_connections) {
+       a_raised_idle_timeout_applies_to_idle_connections) {
     server_.set_limits({1024, 10, 3000, 300});
     complete_first_request();
     server_.set_limits({1024, 10, 3000, 15000});
@@ -436,17 +455,18 @@
 }
 
 TEST_F(streaming_http_server_test,
-       an_answer_that_is_forgotten_ends_the_connection) {
-    // A handler drops its request without an answer. The caller must not wait
-    // until its own time is over.
+       a_handler_that_never_responds_closes_the_connection) {
+    // A handler releases its response_writer without responding. The caller
+    // must not wait until its own timeout.
     send(request);
     run_until([&] { return !responses_.empty(); });
     responses_.clear();
     run_until([&] { return is_closed(); });
 }
 
-// Guards against a refusal of a request that began under larger limits.
-TEST_F(streaming_http_server_test, limits_that_fall_spare_a_request_half_read) {
+// Guards against the rejection of a request that began under larger limits.
+TEST_F(streaming_http_server_test,
+       lowered_limits_do_not_apply_to_a_partly_read_request) {
     send(request.substr(0, request.size() - 1));
     run_until([&] { return socket_.available() == 0; });
     io_.restart();
--- a/packages/transport/test/upstream_test.cpp
+++ b/packages/transport/test/upstream_test.cpp
@@ -24,15 +24,17 @@
 namespace asio = boost::asio;
 using tcp = asio::ip::tcp;
 
-/// Answers each connection's requests with scripted bytes, in order.
+/// A server that sends scripted responses in order, one for each request on any
+/// connection.
 class scripted_server {
 public:
-    struct answer {
+    struct scripted_response {
         std::string bytes;
+        /// Whether to close the connection after the response.
         bool close = false;
     };
 
-    scripted_server(asio::io_context& io, std::deque<answer> script)
+    scripted_server(asio::io_context& io, std::deque<scripted_response> script)
         : acceptor_(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0)),
           script_(std::move(script)) {
         accept();
@@ -46,10 +48,11 @@
     int requests() const { return requests_; }
 
 private:
-    struct connection {
-        explicit connection(tcp::socket s) : socket(std::move(s)) {}
+    struct client_connection {
+        explicit client_connection(tcp::socket socket)
+            : socket(std::move(socket)) {}
         tcp::socket socket;
-        asio::streambuf in;
+        asio::streambuf input;
     };
 
     void accept() {
@@ -58,33 +61,36 @@
                 return;
             }
             ++connections_;
-            serve(std::make_shared<connection>(std::move(socket)));
+            serve(std::make_shared<client_connection>(std::move(socket)));
             accept();
         });
     }
 
-    void serve(const std::shared_ptr<connection>& c) {
+    void serve(const std::shared_ptr<client_connection>& connection) {
         asio::async_read_until(
-            c->socket, c->in, "\r\n\r\n",
-            [this, c](const auto& error, std::size_t n) {
+            connection->socket, connection->input, "\r\n\r\n",
+            [this, connection](const auto& error, std::size_t bytes) {
                 if (error || script_.empty()) {
                     return;
                 }
                 ++requests_;
-                c->in.consume(n);
-                auto a = std::make_shared<answer>(script_.front());
+                connection->input.consume(bytes);
+                auto response =
+                    std::make_shared<scripted_response>(script_.front());
                 script_.pop_front();
-                asio::async_write(c->socket, asio::buffer(a->bytes),
-                                  [this, c, a](const auto& e, std::size_t) {
-                                      if (!e && !a->close) {
-                                          serve(c);
+                asio::async_write(connection->socket,
+                                  asio::buffer(response->bytes),
+                                  [this, connection, response](
+                                      const auto& write_error, std::size_t) {
+                                      if (!write_error && !response->close) {
+                                          serve(connection);
                                       }
                                   });
             });
     }
 
     tcp::acceptor acceptor_;
-    std::deque<answer> script_;
+    std::deque<scripted_response> script_;
     int connections_ = 0;
     int requests_ = 0;
 };
@@ -92,208 +98,219 @@
 struct call_result {
     int status = 0;
     std::string body;
-    int pieces = 0;
+    int chunks = 0;
     std::optional<call_outcome> outcome;
 };
 
 class upstream_test : public testing::Test {
 protected:
-    call_result get(const base::endpoint& to, const std::string& id = "",
+    /// Sends a GET request, with `id` as its `Request-Id` if not empty, and
+    /// runs until the call ends.
+    call_result get(const base::endpoint& target, const std::string& id = "",
                     upstream_call_options options = {}) {
-        auto out = std::make_shared<call_result>();
+        auto result = std::make_shared<call_result>();
         upstream_request request;
         if (!id.empty()) {
             request.fields.push_back({"Request-Id", id});
         }
-        upstream_callbacks events;
-        events.on_head = [out](const auto& h) { out->status = h.status; };
-        events.on_data = [out](std::string_view piece) {
-            out->body += piece;
-            ++out->pieces;
+        upstream_callbacks callbacks;
+        callbacks.on_head = [result](const auto& head) {
+            result->status = head.status;
         };
-        events.on_end = [this, out](call_outcome end) {
-            out->outcome = end;
+        callbacks.on_data = [result](std::string_view data) {
+            result->body += data;
+            ++result->chunks;
+        };
+        callbacks.on_end = [this, result](call_outcome outcome) {
+            result->outcome = outcome;
             io_.stop();
         };
-        const auto call = client_.start(to, request, options, events,
+        const auto call = client_.start(target, request, options, callbacks,
                                         id.empty() ? "" : "Request-Id");
         io_.restart();
         io_.run_for(std::chrono::seconds(20));
-        return *out;
+        return *result;
     }
 
     asio::io_context io_{1};
     upstream_client client_{io_};
 };
 
-std::string encode_chunk(const std::string& piece) {
+std::string encode_chunk(const std::string& data) {
     char size[16];
-    std::snprintf(size, sizeof size, "%zx\r\n", piece.size());
-    return size + piece + "\r\n";
+    std::snprintf(size, sizeof size, "%zx\r\n", data.size());
+    return size + data + "\r\n";
 }
 
 const std::string chunked_head =
     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-TEST_F(upstream_test,
-       hands_on_all_of_a_body_in_chunks_that_comes_with_the_head) {
+TEST_F(upstream_test, delivers_a_whole_chunked_body_received_with_the_head) {
     const std::string event(350, 'x');
     std::string bytes = chunked_head;
     for (int i = 0; i < 20; ++i) {
         bytes += encode_chunk(event);
     }
     scripted_server server(io_, {{bytes + "0\r\n\r\n"}});
-    const auto got = get(server.address());
-    EXPECT_EQ(got.outcome, call_outcome::complete);
-    EXPECT_EQ(got.body.size(), 20 * event.size());
+    const auto result = get(server.address());
+    EXPECT_EQ(result.outcome, call_outcome::complete);
+    EXPECT_EQ(result.body.size(), 20 * event.size());
 }
 
-TEST_F(upstream_test, hands_on_what_came_of_a_body_before_its_end) {
-    // The first piece and its head fill more than one read; the server then
-    // pauses. A reader of events must see the first one at once.
+TEST_F(upstream_test, delivers_data_before_the_body_is_complete) {
+    // The head and the first chunk need more than one read, and the server then
+    // pauses. The first event must be delivered without waiting for the next.
     const std::string event(900, 'x');
     scripted_server server(io_, {{chunked_head + encode_chunk(event)}});
     upstream_call_options options;
     options.idle_timeout_ms = 300;
-    const auto got = get(server.address(), "", options);
-    EXPECT_EQ(got.outcome, call_outcome::idle_timeout);
-    EXPECT_EQ(got.body.size(), event.size());
+    const auto result = get(server.address(), "", options);
+    EXPECT_EQ(result.outcome, call_outcome::idle_timeout);
+    EXPECT_EQ(result.body.size(), event.size());
 }
 
-TEST_F(upstream_test, uses_a_connection_again) {
-    const std::string whole = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
-    scripted_server server(io_, {{whole}, {whole}});
+TEST_F(upstream_test, reuses_an_idle_connection) {
+    const std::string response =
+        "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+    scripted_server server(io_, {{response}, {response}});
     EXPECT_EQ(get(server.address()).body, "ok");
     EXPECT_EQ(get(server.address()).body, "ok");
     EXPECT_EQ(server.connections(), 1);
     EXPECT_EQ(client_.counts().connections_reused, 1U);
 }
 
-TEST_F(upstream_test, an_answer_to_another_request_is_broken) {
-    // A server sends a second answer to an earlier request where the next
-    // one's is due. Its caller would get what belongs to another.
+TEST_F(upstream_test, a_response_to_another_request_is_broken) {
+    // A server sends a second response to an earlier request where the response
+    // to the next request is expected. One caller would receive the response to
+    // another.
     const std::string other = "HTTP/1.1 200 OK\r\nRequest-Id: a\r\n"
                               "Content-Length: 2\r\n\r\nok";
     scripted_server server(io_, {{other}});
-    const auto got = get(server.address(), "b");
-    EXPECT_EQ(got.outcome, call_outcome::broken);
-    EXPECT_EQ(got.status, 0);
+    const auto result = get(server.address(), "b");
+    EXPECT_EQ(result.outcome, call_outcome::broken);
+    EXPECT_EQ(result.status, 0);
 }
 
-TEST_F(upstream_test, bytes_on_an_idle_connection_end_it) {
-    // A server sends more bytes after a whole answer. They belong to no
-    // request; the next one must go out on another connection.
-    const std::string whole = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
-    scripted_server server(io_, {{whole + "HTTP/1.1 200 OK\r\n"}, {whole}});
+TEST_F(upstream_test, does_not_reuse_a_connection_with_unread_input) {
+    // A server sends more bytes after a complete response. They belong to no
+    // request, so the next request must be sent on another connection.
+    const std::string response =
+        "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+    scripted_server server(io_,
+                           {{response + "HTTP/1.1 200 OK\r\n"}, {response}});
     EXPECT_EQ(get(server.address()).outcome, call_outcome::complete);
     EXPECT_EQ(get(server.address()).outcome, call_outcome::complete);
     EXPECT_EQ(server.connections(), 2);
 }
 
-TEST_F(upstream_test, an_answer_without_a_length_is_told_from_a_framed_one) {
+TEST_F(upstream_test, a_response_without_a_length_is_closed_without_length) {
     scripted_server server(io_, {{"HTTP/1.1 200 OK\r\n\r\nabc", true}});
-    const auto got = get(server.address());
-    EXPECT_EQ(got.outcome, call_outcome::closed_without_length);
-    EXPECT_EQ(got.body, "abc");
+    const auto result = get(server.address());
+    EXPECT_EQ(result.outcome, call_outcome::closed_without_length);
+    EXPECT_EQ(result.body, "abc");
 }
 
-TEST_F(upstream_test, a_chunked_body_that_breaks_off_is_broken) {
+TEST_F(upstream_test, a_truncated_chunked_body_is_broken) {
     scripted_server server(io_, {{chunked_head + encode_chunk("abc"), true}});
     EXPECT_EQ(get(server.address()).outcome, call_outcome::broken);
 }
 
-TEST_F(upstream_test, says_not_sent_if_nobody_listens) {
-    base::endpoint nobody;
+TEST_F(upstream_test, a_refused_connection_is_not_sent) {
+    base::endpoint unused_address;
     {
         scripted_server server(io_, {});
-        nobody = server.address();
+        unused_address = server.address();
     }
-    EXPECT_EQ(get(nobody).outcome, call_outcome::not_sent);
+    EXPECT_EQ(get(unused_address).outcome, call_outcome::not_sent);
 }
 
-TEST_F(upstream_test, calls_from_before_a_silence_are_abandoned) {
-    // A server takes requests and answers nothing for some seconds. It answers
-    // new ones then, but never those of before; who waits for these waits in
-    // vain until its bound.
+TEST_F(upstream_test, ends_calls_started_before_a_period_of_silence) {
+    // A server accepts requests but sends no responses for some seconds. It
+    // then responds to new requests but never to the earlier ones, whose
+    // callers would wait until their timeouts.
     scripted_server silent(io_, {{"HTTP/1.1 "}, {"HTTP/1.1 "}, {"HTTP/1.1 "}});
     const auto now = base::clock().now();
-    std::map<std::string, call_outcome> ends;
-    const auto begin = [&](const std::string& name) {
-        upstream_callbacks events;
-        events.on_end = [&ends, name](call_outcome end) { ends[name] = end; };
-        return client_.start(silent.address(), {}, {}, std::move(events));
+    std::map<std::string, call_outcome> outcomes;
+    const auto start_call = [&](const std::string& name) {
+        upstream_callbacks callbacks;
+        callbacks.on_end = [&outcomes, name](call_outcome outcome) {
+            outcomes[name] = outcome;
+        };
+        return client_.start(silent.address(), {}, {}, std::move(callbacks));
     };
-    const auto kept = begin("other server");
+    const auto first_call = start_call("first call");
     client_.end_calls_started_before({"127.0.0.1", 1}, now + 60000);
     client_.end_calls_started_before(silent.address(), now);
-    EXPECT_TRUE(ends.empty());
-    const auto unconnected = begin("without a connection");
+    EXPECT_TRUE(outcomes.empty());
+    const auto unconnected_call = start_call("without a connection");
     client_.end_calls_started_before(silent.address(), now + 60000);
-    EXPECT_EQ(ends.at("other server"), call_outcome::not_sent);
-    EXPECT_EQ(ends.at("without a connection"), call_outcome::not_sent);
-    const auto asked = begin("asked");
+    EXPECT_EQ(outcomes.at("first call"), call_outcome::not_sent);
+    EXPECT_EQ(outcomes.at("without a connection"), call_outcome::not_sent);
+    const auto sent_call = start_call("request sent");
     while (silent.requests() < 1) {
         io_.run_one_for(std::chrono::seconds(20));
     }
     client_.end_calls_started_before(silent.address(), now + 60000);
-    EXPECT_EQ(ends.at("asked"), call_outcome::total_timeout);
+    EXPECT_EQ(outcomes.at("request sent"), call_outcome::total_timeout);
 }
 
-// Guards against a crash when an event of a call makes its owner cancel it.
-TEST_F(upstream_test, a_call_is_cancelled_from_its_own_events) {
-    struct owner {
+// Guards against a crash when a callback of a call cancels the call.
+TEST_F(upstream_test, a_call_can_be_cancelled_from_its_own_callbacks) {
+    struct call_owner {
         std::shared_ptr<upstream_call> call;
-        int cancelled = 0;
+        /// 1 for `on_head`, 2 for `on_data`.
+        int cancelled_by = 0;
     };
     const std::string bytes = chunked_head + encode_chunk("abc");
     scripted_server server(io_, {{bytes}, {bytes}});
-    for (const bool at_head : {true, false}) {
-        owner state;
-        const auto cancel = [at = &state](int number) {
-            at->call->cancel();
-            at->cancelled = number;
+    for (const bool in_on_head : {true, false}) {
+        call_owner state;
+        const auto cancel = [owner = &state](int callback_number) {
+            owner->call->cancel();
+            owner->cancelled_by = callback_number;
         };
-        upstream_callbacks events;
-        if (at_head) {
-            events.on_head = [cancel](const auto&) { cancel(1); };
+        upstream_callbacks callbacks;
+        if (in_on_head) {
+            callbacks.on_head = [cancel](const auto&) { cancel(1); };
         } else {
-            events.on_data = [cancel](std::string_view) { cancel(2); };
+            callbacks.on_data = [cancel](std::string_view) { cancel(2); };
         }
-        state.call = client_.start(server.address(), {}, {}, std::move(events));
+        state.call =
+            client_.start(server.address(), {}, {}, std::move(callbacks));
         io_.restart();
-        for (int n = 0; n < 2000 && state.cancelled == 0; ++n) {
+        for (int n = 0; n < 2000 && state.cancelled_by == 0; ++n) {
             io_.run_one_for(std::chrono::milliseconds(10));
         }
-        EXPECT_EQ(state.cancelled, at_head ? 1 : 2);
+        EXPECT_EQ(state.cancelled_by, in_on_head ? 1 : 2);
     }
 }
 
-/// A client whose thread is held up for longer than the bounds of its call,
-/// with a sweep due as soon as the thread goes on.
+/// Stalls the thread of a client for longer than the timeouts of its call, so
+/// that the timeout check is due as soon as the thread continues.
 class stalled_thread_test : public upstream_test {
 protected:
     stalled_thread_test() {
-        // Keeps the client sweeping.
+        // A call in flight keeps the periodic timeout checks running.
         background_call_ =
             client_.start(address_of(silent_acceptor_), {}, {}, {});
         run_until([] { return false; }, 4);
     }
 
-    static base::endpoint address_of(const tcp::acceptor& at) {
-        return {"127.0.0.1", at.local_endpoint().port()};
+    static base::endpoint address_of(const tcp::acceptor& acceptor) {
+        return {"127.0.0.1", acceptor.local_endpoint().port()};
     }
 
     void start(upstream_call_options options) {
-        upstream_callbacks events;
-        events.on_data = [this](std::string_view piece) {
-            received_bytes_ += piece.size();
+        upstream_callbacks callbacks;
+        callbacks.on_data = [this](std::string_view data) {
+            received_bytes_ += data.size();
         };
-        events.on_end = [this](call_outcome end) { outcome_ = end; };
+        callbacks.on_end = [this](call_outcome outcome) { outcome_ = outcome; };
         call_ = client_.start(address_of(responding_acceptor_), {}, options,
-                              events);
+                              callbacks);
     }
 
-    /// Starts a call and runs until its server has the request.
+    /// Starts a call and runs until the server has received the request.
     void start_and_send(upstream_call_options options) {
         start(options);
         server_.emplace(responding_acceptor_.accept());
@@ -305,27 +322,28 @@
     }
 
     template <class Condition>
-    void run_until(Condition done, int most = 2000) {
-        for (int n = 0; n < most && !done(); ++n) {
+    void run_until(Condition condition, int max_rounds = 2000) {
+        for (int n = 0; n < max_rounds && !condition(); ++n) {
             io_.restart();
             io_.run_for(std::chrono::milliseconds(10));
         }
     }
 
-    /// Runs `before` on the client's thread and holds the thread up then.
-    void stall_thread(const std::function<void()>& before) {
+    /// Runs `function` on the client's thread and then blocks the thread for
+    /// longer than `timeout_ms`.
+    void stall_thread(const std::function<void()>& function) {
         std::this_thread::sleep_for(sweep_interval);
-        bool over = false;
+        bool stall_ended = false;
         asio::post(io_, [&] {
-            before();
+            function();
             std::this_thread::sleep_for(
                 std::chrono::milliseconds(timeout_ms + 300));
-            over = true;
+            stall_ended = true;
         });
-        run_until([&] { return over; });
+        run_until([&] { return stall_ended; });
     }
 
-    void run_to_end() {
+    void run_until_call_ends() {
         run_until([this] { return outcome_.has_value(); });
     }
 
@@ -342,20 +360,21 @@
     std::size_t received_bytes_ = 0;
 };
 
-// Guards against a sound server that counts as unreachable.
-TEST_F(stalled_thread_test, a_connection_that_has_opened_is_used) {
+// Guards against a connect timeout for a connection that opened during a stall.
+TEST_F(stalled_thread_test, uses_a_connection_that_opened_during_a_stall) {
     upstream_call_options options;
     options.connect_timeout_ms = timeout_ms;
     stall_thread([&] { start(options); });
     server_.emplace(responding_acceptor_.accept());
     write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi");
-    run_to_end();
+    run_until_call_ends();
     ASSERT_TRUE(outcome_);
     EXPECT_EQ(*outcome_, call_outcome::complete);
 }
 
-// Guards against a stream that is cut although its bytes have come.
-TEST_F(stalled_thread_test, a_stream_that_moves_is_not_silent) {
+// Guards against an idle timeout of a stream whose data arrived during a stall.
+TEST_F(stalled_thread_test,
+       data_received_during_a_stall_prevents_an_idle_timeout) {
     upstream_call_options options;
     options.idle_timeout_ms = timeout_ms;
     start_and_send(options);
@@ -363,14 +382,14 @@
     run_until([this] { return outcome_ || received_bytes_ > 0; });
     EXPECT_FALSE(outcome_);
     write("0\r\n\r\n");
-    run_to_end();
+    run_until_call_ends();
     ASSERT_TRUE(outcome_);
     EXPECT_EQ(*outcome_, call_outcome::complete);
 }
 
-// Guards against a time-out of a call whose answer is there.
+// Guards against a timeout of a call whose response arrived during a stall.
 TEST_F(stalled_thread_test,
-       an_answer_that_has_come_counts_behind_the_deadline) {
+       accepts_a_response_received_during_a_stall_after_the_timeout) {
     upstream_call_options options;
     options.total_timeout_ms = timeout_ms;
     start_and_send(options);
@@ -378,18 +397,19 @@
         write("HTTP/1.1 200 OK\r\nContent-Length: 40000\r\n\r\n" +
               std::string(40000, 'x'));
     });
-    run_to_end();
+    run_until_call_ends();
     ASSERT_TRUE(outcome_);
     EXPECT_EQ(*outcome_, call_outcome::complete);
 }
 
-// Guards against a call without an end in a thread that is always late.
-TEST_F(stalled_thread_test, bounds_hold_in_a_thread_that_is_always_late) {
-    for (const auto end :
+// Guards against a call that never times out in a thread that is always late.
+TEST_F(stalled_thread_test, timeouts_expire_in_a_thread_that_is_always_late) {
+    for (const auto expected :
          {call_outcome::idle_timeout, call_outcome::total_timeout}) {
         upstream_call_options options;
-        (end == call_outcome::idle_timeout ? options.idle_timeout_ms
-                                           : options.total_timeout_ms) = 100;
+        (expected == call_outcome::idle_timeout ? options.idle_timeout_ms
+                                                : options.total_timeout_ms) =
+            100;
         outcome_.reset();
         start_and_send(options);
         for (int n = 0; n < 100 && !outcome_; ++n) {
@@ -398,20 +418,20 @@
             io_.poll();
         }
         ASSERT_TRUE(outcome_);
-        EXPECT_EQ(*outcome_, end);
+        EXPECT_EQ(*outcome_, expected);
     }
 }
 
-TEST(event_stream_parser_test, splits_events_wherever_the_bytes_are_cut) {
+TEST(event_stream_parser_test, parses_events_for_any_split_of_the_bytes) {
     const std::string text = "id: 1\ndata: a\n\nweight-versions: 3\nid: 2\n"
                              "data: b\ndata: c\n\nid: 3\ndata: cut";
-    for (std::size_t cut = 0; cut <= text.size(); ++cut) {
+    for (std::size_t split = 0; split <= text.size(); ++split) {
         event_stream_parser parser;
-        auto events = parser.feed(text.substr(0, cut));
-        for (auto& e : parser.feed(text.substr(cut))) {
-            events.push_back(std::move(e));
+        auto events = parser.feed(text.substr(0, split));
+        for (auto& event : parser.feed(text.substr(split))) {
+            events.push_back(std::move(event));
         }
-        ASSERT_EQ(events.size(), 2U) << cut;
+        ASSERT_EQ(events.size(), 2U) << split;
         EXPECT_EQ(events[0].id, "1");
         EXPECT_EQ(events[1].data, "b\nc");
         ASSERT_EQ(events[1].other_fields.size(), 1U);
