--- a/packages/base/include/hibiscus/base/endpoint.hpp
+++ b/packages/base/include/hibiscus/base/endpoint.hpp
@@ -20,8 +20,9 @@
     }
 };
 
-/// Parses an endpoint such as "127.0.0.1:80". Returns nothing if `text` has no
-/// IP address or no port between 0 and 65535. Does not validate the IP address.
+/// Parses an endpoint such as "127.0.0.1:80". Returns nothing if the text
+/// before the last colon is empty or the text after it is not a port from 0 to
+/// 65535. Does not validate the IP address.
 std::optional<endpoint> parse_endpoint(std::string_view text);
 
 /// Formats `address` so that parse_endpoint() can read it back.
--- a/packages/base/include/hibiscus/base/features.hpp
+++ b/packages/base/include/hibiscus/base/features.hpp
@@ -6,32 +6,51 @@
 #include <bitset>
 #include <cstddef>
 
-/// Feature switches.
 namespace hibiscus::base {
 
 /// An optimization that can be switched off in the settings, which lets
 /// operators measure its effect on a deployment.
 enum class feature {
-    move_silent_runs,    ///< Moves runs away from servers that went silent.
-    move_slow_runs,      ///< Moves runs away from servers that became slow.
-    move_to_faster,      ///< Moves long runs to faster servers.
-    remember_paces,      ///< Still uses event intervals that are seconds old.
-    spread_runs,         ///< Treats a server as slower the more runs it has.
-    memory_cost,         ///< Treats a server short of memory as slower.
-    spare_newer_weights, ///< Avoids servers with newer weights than needed.
-    load_one_model,      ///< A loading server still runs its other models.
-    load_by_need,        ///< Loads the model with the least supply first.
-    load_where_needed,   ///< Loads only on as many servers as steps need.
-    longest_first,       ///< Starts the longest pending items first.
-    priorities,          ///< Sends servers the priority of each run.
-    run_ahead,           ///< Runs items speculatively, before their job exists.
-    reuse_texts,         ///< Resumes items from texts of an earlier job.
-    save_progress,       ///< Stores partial texts for the next job owner.
-    owner_by_size,       ///< Prefers larger nodes as job owners.
-    call_through_nodes,  ///< Relays calls to the store through other nodes.
-    give_up_silent_store, ///< Ends calls to a store that stopped responding.
-    known_servers_first,  ///< Prefers servers with open connections.
-    roomy_nodes_first,    ///< Directs callers to the larger nodes.
+    /// Moves runs away from servers that stopped sending events.
+    move_silent_runs,
+    /// Moves runs away from servers that became slow.
+    move_slow_runs,
+    /// Moves long runs to faster servers.
+    move_to_faster,
+    /// Estimates speed from event intervals that are seconds old.
+    remember_paces,
+    /// Treats a server as slower the more of its slots are in use.
+    spread_runs,
+    /// Treats a server short of memory as slower.
+    memory_cost,
+    /// Avoids servers with newer weights than needed.
+    spare_newer_weights,
+    /// Keeps using the other models of a loading server.
+    load_one_model,
+    /// First loads the model with the least capacity for its demand.
+    load_by_need,
+    /// Loads a model on no more servers than the steps need.
+    load_where_needed,
+    /// Starts items with the longest expected output first.
+    longest_first,
+    /// Sends servers the priority of each run.
+    priorities,
+    /// Runs items speculatively, before their job exists.
+    run_ahead,
+    /// Resumes items from cached texts of an earlier job.
+    reuse_texts,
+    /// Stores partial texts for the next job owner.
+    save_progress,
+    /// Prefers larger nodes as job owners.
+    owner_by_size,
+    /// Relays calls to the store through other nodes.
+    call_through_nodes,
+    /// Ends calls to a store that stopped responding.
+    give_up_silent_store,
+    /// Prefers servers with open connections.
+    known_servers_first,
+    /// Directs callers to the larger nodes.
+    roomy_nodes_first,
 };
 
 template <>
--- a/packages/base/include/hibiscus/base/ids.hpp
+++ b/packages/base/include/hibiscus/base/ids.hpp
@@ -20,7 +20,6 @@
 
     const std::string& str() const { return text_; }
 
-    /// Returns true if the id identifies nothing.
     bool empty() const { return text_.empty(); }
 
     friend bool operator==(const id& a, const id& b) {
@@ -32,15 +31,15 @@
     friend bool operator<(const id& a, const id& b) {
         return a.text_ < b.text_;
     }
-    friend std::ostream& operator<<(std::ostream& out, const id& i) {
-        return out << i.text_;
+    friend std::ostream& operator<<(std::ostream& out, const id& value) {
+        return out << value.text_;
     }
 
 private:
     std::string text_;
 };
 
-/// Identifies a running entry instance.
+/// Identifies a node, that is, one running instance of the entry program.
 using node_id = id<struct node_tag>;
 /// Identifies a model engine.
 using engine_id = id<struct engine_tag>;
@@ -50,11 +49,13 @@
 using service_id = id<struct service_tag>;
 /// Identifies a pool of engines.
 using pool_id = id<struct pool_tag>;
-/// Identifies an owner, who pays for engines.
+/// Identifies an owner of engines, the party that pays for them. Not related to
+/// the job owner, which is a node.
 using owner_id = id<struct owner_tag>;
 /// Identifies a caller's request. Retries use the same id.
 using request_id = id<struct request_tag>;
-/// Identifies one generation of one sample slot at an engine.
+/// Identifies a stream, that is, one run at an engine that generates the text
+/// of one sample slot.
 using stream_id = id<struct stream_tag>;
 /// Identifies an availability zone.
 using zone_id = id<struct zone_tag>;
@@ -67,8 +68,8 @@
 
 template <class Tag>
 struct hash<hibiscus::base::id<Tag>> {
-    size_t operator()(const hibiscus::base::id<Tag>& i) const {
-        return hash<string>()(i.str());
+    size_t operator()(const hibiscus::base::id<Tag>& value) const {
+        return hash<string>()(value.str());
     }
 };
 
--- a/packages/base/include/hibiscus/base/stall_detector.hpp
+++ b/packages/base/include/hibiscus/base/stall_detector.hpp
@@ -21,11 +21,12 @@
         stalled_ = false;
     }
 
-    /// Returns how many milliseconds since the last tick must not count toward
-    /// timeouts: 0 if the tick is on time, the whole gap if it is late. The
-    /// second of two late ticks in a row counts one tick interval of the gap:
-    /// the thread has handled its input between them, and timeouts must still
-    /// expire in a thread that is always late.
+    /// Returns the part of the time since the last tick, in milliseconds, that
+    /// must not count toward timeouts: 0 if the tick is on time, the whole gap
+    /// if it is late. For the second of two late ticks in a row, returns the
+    /// gap minus one tick interval: the thread has handled its input between
+    /// the two ticks, and timeouts must still expire in a thread that is always
+    /// late.
     millis tick(millis now) {
         const auto gap = now - last_tick_;
         last_tick_ = now;
@@ -37,8 +38,10 @@
         return stalled_ ? gap : gap - tick_interval_;
     }
 
-    /// Returns true if the thread stalled before the last tick and has not yet
-    /// handled the input that arrived during the stall.
+    /// Returns true if the timeout check of the last tick must be skipped, so
+    /// that input that arrived during the stall is handled first. Returns false
+    /// after the second of two late ticks in a row, so that timeouts still
+    /// expire.
     bool is_stalled() const { return stalled_; }
 
 private:
--- a/packages/settings/include/hibiscus/settings/errors.hpp
+++ b/packages/settings/include/hibiscus/settings/errors.hpp
@@ -14,7 +14,7 @@
     not_yaml,    ///< The file is not valid YAML.
     missing,     ///< A required key is missing.
     unknown_key, ///< The key is not a known setting.
-    wrong_type,  ///< The value has the wrong type.
+    wrong_type,  ///< The value has the wrong type or is not allowed.
     out_of_range ///< The number is too small or too large.
 };
 
@@ -26,7 +26,7 @@
     int line = 0;
     /// The full path of the key, such as "listen.callers".
     std::string key;
-    /// A description of the expected value.
+    /// What was expected, such as "a mapping" or "one of a b".
     std::string expected;
 };
 
--- a/packages/settings/include/hibiscus/settings/mapping_reader.hpp
+++ b/packages/settings/include/hibiscus/settings/mapping_reader.hpp
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Reads a required id.
+    /// Reads a required id. Ignores a value that is not a scalar.
     template <class Id>
     void name(const char* key, Id& target) {
         const auto value = find_required_value(key, "a name");
@@ -98,16 +98,16 @@
         target = text == "true";
     }
 
-    /// Reads an optional value that must be one of `words`.
+    /// Reads an optional value that must be one of `choices`.
     void word(const char* key, std::string& target,
-              const std::set<std::string>& words) {
+              const std::set<std::string>& choices) {
         const auto value = find_value(key);
         if (!value.IsDefined()) {
             return;
         }
-        if (!value.IsScalar() || words.count(value.Scalar()) == 0) {
+        if (!value.IsScalar() || choices.count(value.Scalar()) == 0) {
             add_error(setting_fault::wrong_type, value, key,
-                      describe_choices(words));
+                      describe_choices(choices));
             return;
         }
         target = value.Scalar();
@@ -158,9 +158,9 @@
         return value;
     }
 
-    static std::string describe_choices(const std::set<std::string>& words) {
+    static std::string describe_choices(const std::set<std::string>& choices) {
         std::string description = "one of";
-        for (const auto& choice : words) {
+        for (const auto& choice : choices) {
             description += " " + choice;
         }
         return description;
@@ -173,9 +173,9 @@
         return path_ + "." + key;
     }
 
-    void add_error(setting_fault fault, const YAML::Node& position,
+    void add_error(setting_fault fault, const YAML::Node& node,
                    const std::string& key, std::string expected) {
-        const int line = position.IsDefined() ? position.Mark().line + 1 : 0;
+        const int line = node.IsDefined() ? node.Mark().line + 1 : 0;
         errors_.push_back(
             {fault, file_, line, full_key(key), std::move(expected)});
     }
--- a/packages/telemetry/include/hibiscus/telemetry/event_log.hpp
+++ b/packages/telemetry/include/hibiscus/telemetry/event_log.hpp
@@ -36,8 +36,8 @@
 /// Limits on the rate and the buffer of an event log.
 struct event_log_limits {
     /// Maximum number of lines per second. Further lines are dropped and
-    /// counted. Allows two lines for each run of a step of 200 items that all
-    /// start within one second.
+    /// counted. Enough for two lines per run when all 200 items of a step start
+    /// within one second.
     int max_lines_per_s = 400;
     /// Maximum number of bytes that are buffered until they can be written.
     std::size_t max_buffered_bytes = 512 * 1024;
@@ -67,8 +67,8 @@
     std::uint64_t dropped_lines() const { return dropped_lines_; }
 
 private:
-    /// Counts one line; returns false if the rate limit is exceeded.
-    bool acquire_rate_limit();
+    /// Counts one line. Returns false if the rate limit is exceeded.
+    bool count_line_against_limit();
 
     std::string node_;
     int descriptor_;
--- a/packages/telemetry/include/hibiscus/telemetry/metrics.hpp
+++ b/packages/telemetry/include/hibiscus/telemetry/metrics.hpp
@@ -17,13 +17,13 @@
     metrics(const metrics&) = delete;
     metrics& operator=(const metrics&) = delete;
 
-    /// Counts a response to a caller. `kind` is "service", "pull", "step",
-    /// "version" or "entries".
+    /// Counts a response or the end of a call by its kind, such as "job" or
+    /// "run", its outcome, and the reason, which may be empty.
     void count_response(const std::string& kind, const std::string& outcome,
                         const std::string& reason);
 
-    /// Increments the counter of an event: "peer_malformed", "log_failure",
-    /// "stale_dropped", ...
+    /// Increments the counter of an event: "peer_malformed",
+    /// "log_append_failed", "log_read_failed", ...
     void count_event(const std::string& name);
 
     /// Sets a gauge: "members", "revision", "pending_claims", ...
--- a/packages/telemetry/src/event_log.cpp
+++ b/packages/telemetry/src/event_log.cpp
@@ -33,7 +33,7 @@
     flush();
 }
 
-bool event_log::acquire_rate_limit() {
+bool event_log::count_line_against_limit() {
     const auto now = clock_.now();
     if (now - rate_window_start_ >= rate_window_ms) {
         rate_window_start_ = now;
@@ -44,7 +44,8 @@
 
 void event_log::write(const char* event,
                       std::initializer_list<log_field> fields) {
-    if (!acquire_rate_limit() || buffer_.size() > limits_.max_buffered_bytes) {
+    if (!count_line_against_limit() ||
+        buffer_.size() > limits_.max_buffered_bytes) {
         ++dropped_lines_;
         return;
     }
--- a/packages/transport/include/hibiscus/transport/streaming_http_server.hpp
+++ b/packages/transport/include/hibiscus/transport/streaming_http_server.hpp
@@ -56,17 +56,19 @@
     /// Closes the connection without completing the response, so that the
     /// caller can detect that the response is incomplete.
     virtual void abort() = 0;
-    /// Sets a callback that is called once if the request ends before its
-    /// handler has completed the response, for instance because the caller
-    /// disconnects. Calls it immediately if the request has already ended.
+    /// Sets a callback that is called once if the request ends before the
+    /// response has been sent completely, for instance because the caller
+    /// disconnects. Calls it immediately if the request has already ended, even
+    /// if its response was sent completely.
     virtual void on_disconnect(std::function<void()> callback) = 0;
 };
 
-/// Handles one request.
+/// Called for each request once it has been read completely. The handler
+/// responds through the response_writer, either before it returns or later.
 using request_handler =
     std::function<void(inbound_request, std::shared_ptr<response_writer>)>;
 
-/// Why a request ended without a complete response from its handler.
+/// Why a request ended before its handler's response was sent completely.
 enum class abort_cause {
     /// The caller closed or reset its connection.
     caller_disconnected,
@@ -80,7 +82,8 @@
     server_shutdown,
 };
 
-/// A complete request whose handler did not complete the response.
+/// A request that was read completely but whose response was not sent
+/// completely.
 struct aborted_request {
     /// The value of the request id header, or empty.
     std::string request_id;
@@ -140,7 +143,8 @@
     /// connection instead.
     void fail_open_requests(int status);
 
-    /// Returns the number of requests without a complete response.
+    /// Returns the number of requests whose response has not been sent
+    /// completely.
     std::size_t requests_in_flight() const;
 
 private:
--- a/packages/transport/include/hibiscus/transport/upstream.hpp
+++ b/packages/transport/include/hibiscus/transport/upstream.hpp
@@ -63,8 +63,8 @@
     std::function<void(call_outcome)> on_end;
 };
 
-/// The options of a call. A timeout of 0 means no timeout, except for
-/// `connect_timeout_ms`. Time in which the thread was stalled counts only
+/// The options of a call. The connect timeout always applies; for the
+/// others, 0 means no timeout. Time in which the thread was stalled counts only
 /// toward `total_timeout_ms`. A response that arrived during a stall is still
 /// accepted.
 struct upstream_call_options {
@@ -83,7 +83,7 @@
 public:
     virtual ~upstream_call() = default;
 
-    /// Closes the connection of the call, from which the server can detect the
+    /// Closes the call's connection, so that the server can detect the
     /// cancellation. No callback is called after this.
     virtual void cancel() = 0;
 
@@ -115,21 +115,22 @@
     /// value, or a successful one without the field, is taken for the response
     /// to another request; the call then fails as `broken` or
     /// `stale_connection`.
-    std::shared_ptr<upstream_call> start(const base::endpoint& target,
+    std::shared_ptr<upstream_call> start(const base::endpoint& address,
                                          upstream_request request,
                                          upstream_call_options options,
                                          upstream_callbacks callbacks,
                                          const std::string& echo_header = "");
 
-    /// Ends all calls to `target` that started before `cutoff` as timed out, or
-    /// as not sent if they had no connection. Intended for a target that
-    /// responds again after a period of silence: it will never respond to
-    /// requests from before, which would otherwise wait until their timeouts.
-    void end_calls_started_before(const base::endpoint& target,
+    /// Ends all calls to `address` that started before `cutoff` as timed out,
+    /// or as not sent if they had no connection. Intended for a server that
+    /// responds again after a period of silence: it will
+    /// never respond to requests that it received before or during the silence,
+    /// and these calls would otherwise wait until their timeouts.
+    void end_calls_started_before(const base::endpoint& address,
                                   base::millis cutoff);
 
-    /// Closes the idle connections to `target`.
-    void close_idle_connections(const base::endpoint& target);
+    /// Closes the idle connections to `address`.
+    void close_idle_connections(const base::endpoint& address);
 
     upstream_counts counts() const;
 
--- a/packages/transport/src/server_session.cpp
+++ b/packages/transport/src/server_session.cpp
@@ -152,7 +152,8 @@
         if (timed_out) {
             close();
         }
-    } else if (timed_out || (!read_deadline_extended_ && may_close_idle(now))) {
+    } else if (timed_out ||
+               (!idle_timeout_restarted_ && may_close_idle_connection(now))) {
         cancel_idle_read();
     }
 }
@@ -208,7 +209,7 @@
 void server_session::read_next_request() {
     parser_.emplace();
     apply_limits();
-    read_deadline_extended_ = false;
+    idle_timeout_restarted_ = false;
     continue_read();
 }
 
@@ -242,7 +243,7 @@
         });
 }
 
-bool server_session::may_close_idle(base::millis now) const {
+bool server_session::may_close_idle_connection(base::millis now) const {
     return state_->phase == server_phase::closing &&
            (last_request_number_ > 0 ||
             now - opened_at_ > first_request_timeout_ms);
@@ -258,11 +259,11 @@
     beast::error_code ignored;
     const bool request_began = parser_->got_some() || buffer_.size() > 0 ||
                                socket_.available(ignored) > 0;
-    if (!request_began || read_deadline_extended_) {
+    if (!request_began || idle_timeout_restarted_) {
         close();
         return;
     }
-    read_deadline_extended_ = true;
+    idle_timeout_restarted_ = true;
     continue_read();
 }
 
@@ -317,7 +318,7 @@
     }
     current_request_number_ = ++last_request_number_;
     ++state_->requests_in_flight;
-    malformed_ = true;
+    request_rejected_ = true;
     keep_alive_ = false;
     discard_remaining_input_ = true;
     send(current_request_number_, serialize_empty_response(status), true);
@@ -421,7 +422,7 @@
 }
 
 void server_session::report_abort(abort_cause cause) const {
-    if (state_->reporting.on_abort && !malformed_) {
+    if (state_->reporting.on_abort && !request_rejected_) {
         state_->reporting.on_abort({request_id_, target_, cause,
                                     state_->clock.now() - request_read_at_,
                                     response_started_});
--- a/packages/transport/src/server_session.hpp
+++ b/packages/transport/src/server_session.hpp
@@ -17,7 +17,8 @@
 
 class server_session;
 
-/// The stage of a server's shutdown.
+/// Whether a server serves normally, announces its shutdown in responses, or
+/// closes its connections.
 enum class server_phase { serving, draining, closing };
 
 /// The state that a server and its sessions share.
@@ -27,7 +28,7 @@
     abort_reporting reporting;
     base::clock clock;
     std::set<server_session*> sessions;
-    /// The number of requests without a complete response.
+    /// The number of requests whose response has not been sent completely.
     std::size_t requests_in_flight = 0;
     /// The number of open connections.
     std::size_t open_connections = 0;
@@ -49,15 +50,15 @@
     void start() { read_next_request(); }
 
     /// Closes the connection if a timeout has expired, or if the connection is
-    /// idle while the server closes.
+    /// idle while the server is closing.
     void check_timeouts(base::millis now);
 
     /// Applies the current limits, unless a request has been partly read.
     void apply_limits();
 
-    /// Sets the callback for the end of request `number` before its handler has
-    /// completed the response. Calls it immediately if the request has already
-    /// ended.
+    /// Sets the callback for the end of request `number` before its response
+    /// has been sent completely. Calls it immediately if the request has
+    /// already ended.
     void set_on_disconnect(std::uint64_t number,
                            std::function<void()> callback);
 
@@ -93,9 +94,9 @@
     /// may know either of them. While lingering, a fixed timeout applies.
     bool is_idle_timeout_over(base::millis now) const;
 
-    /// Returns true if the server closes and need not wait any longer for a
+    /// Returns true if the server is closing and need not wait any longer for a
     /// request on this connection.
-    bool may_close_idle(base::millis now) const;
+    bool may_close_idle_connection(base::millis now) const;
 
     /// Cancels the pending read. The connection is closed when the read ends,
     /// unless a request has begun to arrive. Only the end of the read shows
@@ -165,14 +166,17 @@
     /// Whether the pending read was cancelled to find out whether a request has
     /// begun to arrive.
     bool idle_read_cancelled_ = false;
-    /// Whether a request had begun to arrive when the connection was due to be
-    /// closed. The deadline is extended only once for each request.
-    bool read_deadline_extended_ = false;
-    /// Whether the input was not a valid HTTP request.
-    bool malformed_ = false;
+    /// Whether the idle timeout was restarted because a request had begun to
+    /// arrive when the connection was due to be closed. This happens at most
+    /// once for each request.
+    bool idle_timeout_restarted_ = false;
+    /// Whether the session itself rejected the input as malformed or too large.
+    /// Such a request is not reported as aborted.
+    bool request_rejected_ = false;
     /// Whether further input is read and dropped after the current response.
     bool discard_remaining_input_ = false;
-    /// Whether the last response of the connection was sent.
+    /// Whether the last response was sent and the connection stays open only to
+    /// read and drop the remaining input.
     bool lingering_ = false;
 };
 
--- a/packages/transport/src/streaming_http_server.cpp
+++ b/packages/transport/src/streaming_http_server.cpp
@@ -18,10 +18,10 @@
 
 /// Interval between checks of the timeouts of all connections. Timeouts are
 /// seconds long, so a delay of half a second does not matter.
-constexpr base::millis sweep_interval_ms = 500;
+constexpr base::millis timeout_check_interval_ms = 500;
 
-/// Interval between these checks while the server closes.
-constexpr base::millis closing_sweep_interval_ms = 20;
+/// Interval between these checks while the server is closing.
+constexpr base::millis closing_timeout_check_interval_ms = 20;
 
 } // namespace
 
@@ -57,7 +57,7 @@
             return std::nullopt;
         }
         accept();
-        schedule_sweep();
+        schedule_timeout_check();
         return base::endpoint{address.ip, acceptor_.local_endpoint().port()};
     }
 
@@ -72,7 +72,7 @@
         accept_pending();
         beast::error_code ignored;
         acceptor_.close(ignored);
-        schedule_sweep();
+        schedule_timeout_check();
     }
 
     bool is_closed() const {
@@ -131,10 +131,11 @@
         }
     }
 
-    void schedule_sweep() {
+    void schedule_timeout_check() {
         const bool closing = state_->phase == server_phase::closing;
         timer_.expires_after(std::chrono::milliseconds(
-            closing ? closing_sweep_interval_ms : sweep_interval_ms));
+            closing ? closing_timeout_check_interval_ms
+                    : timeout_check_interval_ms));
         timer_.async_wait([self = shared_from_this()](beast::error_code error) {
             if (error) {
                 return;
@@ -142,7 +143,7 @@
             const auto now = self->state_->clock.now();
             self->for_each_session(
                 [now](server_session& s) { s.check_timeouts(now); });
-            self->schedule_sweep();
+            self->schedule_timeout_check();
         });
     }
 
--- a/packages/transport/src/upstream.cpp
+++ b/packages/transport/src/upstream.cpp
@@ -32,10 +32,10 @@
 constexpr std::size_t read_buffer_bytes = 16 * 1024;
 
 /// Interval between checks of the timeouts of all calls.
-constexpr base::millis sweep_interval_ms = 50;
+constexpr base::millis timeout_check_interval_ms = 50;
 
-/// A longer gap between two sweeps means that the thread was stalled.
-constexpr base::millis late_sweep_threshold_ms = 100;
+/// A longer gap between two of these checks means that the thread was stalled.
+constexpr base::millis stall_threshold_ms = 100;
 
 /// How long an idle connection may be reused if the server sends no Keep-Alive
 /// timeout.
@@ -46,8 +46,9 @@
 /// longer.
 constexpr base::millis max_keep_alive_ms = 30000;
 
-/// How long before the server's Keep-Alive timeout an idle connection is
-/// closed, so that no request is sent while the server closes the connection.
+/// Safety margin before the server's Keep-Alive timeout. An idle connection is
+/// closed this long before it, so that no request is sent while the server
+/// closes the connection.
 constexpr base::millis keep_alive_margin_ms = 500;
 
 /// The kernel closes a connection if sent data stays unacknowledged for this
@@ -89,10 +90,10 @@
                     public std::enable_shared_from_this<client_call> {
 public:
     client_call(asio::io_context& io, std::shared_ptr<client_state> state,
-                base::endpoint target, upstream_request request,
+                base::endpoint address, upstream_request request,
                 upstream_call_options options, upstream_callbacks callbacks,
                 std::string echo_header)
-        : io_(io), state_(std::move(state)), target_(std::move(target)),
+        : io_(io), state_(std::move(state)), address_(std::move(address)),
           options_(options), callbacks_(std::move(callbacks)),
           echo_header_(std::move(echo_header)),
           started_at_(state_->clock.now()), last_activity_(started_at_),
@@ -124,9 +125,9 @@
 
     bool is_done() const { return done_; }
 
-    void end_if_started_before(const base::endpoint& target,
+    void end_if_started_before(const base::endpoint& address,
                                base::millis cutoff) {
-        if (target_ == target && started_at_ < cutoff) {
+        if (address_ == address && started_at_ < cutoff) {
             finish(connected_ ? call_outcome::total_timeout
                               : call_outcome::not_sent);
         }
@@ -157,7 +158,7 @@
         std::string message =
             request.method + " " + request.target + " HTTP/1.1\r\n";
         if (find_header(request.fields, "host") == nullptr) {
-            message += "Host: " + to_string(target_) + "\r\n";
+            message += "Host: " + to_string(address_) + "\r\n";
         }
         for (const auto& field : request.fields) {
             message += field.name;
@@ -176,7 +177,7 @@
     }
 
     bool take_idle_connection() {
-        auto& connections = state_->idle_connections[target_];
+        auto& connections = state_->idle_connections[address_];
         const auto now = state_->clock.now();
         while (!connections.empty()) {
             auto connection = std::move(connections.back());
@@ -193,7 +194,7 @@
 
     void connect() {
         beast::error_code error;
-        const auto ip = asio::ip::make_address(target_.ip, error);
+        const auto ip = asio::ip::make_address(address_.ip, error);
         if (error) {
             asio::post(io_, [self = shared_from_this()] {
                 self->finish(call_outcome::not_sent);
@@ -204,7 +205,7 @@
         ++state_->counts.connections_opened;
         opened_connection_ = true;
         socket_->async_connect(
-            tcp::endpoint(ip, target_.port),
+            tcp::endpoint(ip, address_.port),
             [self = shared_from_this()](beast::error_code e) {
                 self->on_connect(e);
             });
@@ -264,7 +265,7 @@
             return;
         }
         if (error) {
-            finish(nothing_received_ ? lost_connection_outcome()
+            finish(nothing_received_ ? no_response_outcome()
                                      : call_outcome::broken);
             return;
         }
@@ -315,12 +316,12 @@
                          : call_outcome::closed_without_length);
             return;
         }
-        finish(nothing_received_ ? lost_connection_outcome()
+        finish(nothing_received_ ? no_response_outcome()
                                  : call_outcome::broken);
     }
 
     /// Returns the outcome of a call that received no part of its response.
-    call_outcome lost_connection_outcome() const {
+    call_outcome no_response_outcome() const {
         return opened_connection_ ? call_outcome::broken
                                   : call_outcome::stale_connection;
     }
@@ -345,7 +346,7 @@
         if (!echo_header_.empty() &&
             (id != nullptr ? *id != echo_value_ : head.status < 400)) {
             ++state_->counts.unsolicited_reads;
-            finish(lost_connection_outcome());
+            finish(no_response_outcome());
             return false;
         }
         read_keep_alive_timeout(head.fields);
@@ -404,7 +405,7 @@
         const bool is_reusable = parser_->keep_alive() && request_written_ &&
                                  buffer_.size() == 0 && !parser_->need_eof();
         if (is_reusable && keep_alive_ms_ > 0) {
-            state_->idle_connections[target_].push_back(
+            state_->idle_connections[address_].push_back(
                 {std::move(socket_), state_->clock.now() + keep_alive_ms_});
         }
     }
@@ -430,7 +431,7 @@
 
     asio::io_context& io_;
     std::shared_ptr<client_state> state_;
-    base::endpoint target_;
+    base::endpoint address_;
     upstream_call_options options_;
     upstream_callbacks callbacks_;
     std::string echo_header_;
@@ -464,48 +465,49 @@
     explicit impl(asio::io_context& io)
         : io_(io), timer_(io), state_(std::make_shared<client_state>()) {}
 
-    std::shared_ptr<upstream_call> start(const base::endpoint& target,
+    std::shared_ptr<upstream_call> start(const base::endpoint& address,
                                          upstream_request request,
                                          upstream_call_options options,
                                          upstream_callbacks callbacks,
                                          const std::string& echo_header) {
         auto call = std::make_shared<client_call>(
-            io_, state_, target, std::move(request), options,
+            io_, state_, address, std::move(request), options,
             std::move(callbacks), echo_header);
         calls_.push_back(call);
         call->start();
-        if (!sweeping_) {
-            sweeping_ = true;
+        if (!timeout_check_scheduled_) {
+            timeout_check_scheduled_ = true;
             stall_detector_.start(state_->clock.now());
-            schedule_sweep();
+            schedule_timeout_check();
         }
         return call;
     }
 
     void stop() { timer_.cancel(); }
 
-    void end_calls_started_before(const base::endpoint& target,
+    void end_calls_started_before(const base::endpoint& address,
                                   base::millis cutoff) {
         // The callbacks may start new calls, which changes `calls_`.
         const auto calls = calls_;
         for (const auto& call : calls) {
-            call->end_if_started_before(target, cutoff);
+            call->end_if_started_before(address, cutoff);
         }
     }
 
     client_state& state() { return *state_; }
 
 private:
-    void schedule_sweep() {
-        timer_.expires_after(std::chrono::milliseconds(sweep_interval_ms));
+    void schedule_timeout_check() {
+        timer_.expires_after(
+            std::chrono::milliseconds(timeout_check_interval_ms));
         timer_.async_wait([self = shared_from_this()](beast::error_code error) {
             if (!error) {
-                self->sweep();
+                self->check_all_timeouts();
             }
         });
     }
 
-    void sweep() {
+    void check_all_timeouts() {
         const auto now = state_->clock.now();
         const auto stall_ms = stall_detector_.tick(now);
         const auto calls = std::exchange(calls_, {});
@@ -525,10 +527,10 @@
         }
         close_expired_connections(now);
         if (calls_.empty() && state_->idle_connections.empty()) {
-            sweeping_ = false;
+            timeout_check_scheduled_ = false;
             return;
         }
-        schedule_sweep();
+        schedule_timeout_check();
     }
 
     void close_expired_connections(base::millis now) {
@@ -548,9 +550,9 @@
     asio::steady_timer timer_;
     std::shared_ptr<client_state> state_;
     std::vector<std::shared_ptr<client_call>> calls_;
-    base::stall_detector stall_detector_{sweep_interval_ms,
-                                         late_sweep_threshold_ms};
-    bool sweeping_ = false;
+    base::stall_detector stall_detector_{timeout_check_interval_ms,
+                                         stall_threshold_ms};
+    bool timeout_check_scheduled_ = false;
 };
 
 upstream_client::upstream_client(asio::io_context& io)
@@ -561,21 +563,21 @@
 }
 
 std::shared_ptr<upstream_call>
-upstream_client::start(const base::endpoint& target, upstream_request request,
+upstream_client::start(const base::endpoint& address, upstream_request request,
                        upstream_call_options options,
                        upstream_callbacks callbacks,
                        const std::string& echo_header) {
-    return impl_->start(target, std::move(request), options,
+    return impl_->start(address, std::move(request), options,
                         std::move(callbacks), echo_header);
 }
 
-void upstream_client::end_calls_started_before(const base::endpoint& target,
+void upstream_client::end_calls_started_before(const base::endpoint& address,
                                                base::millis cutoff) {
-    impl_->end_calls_started_before(target, cutoff);
+    impl_->end_calls_started_before(address, cutoff);
 }
 
-void upstream_client::close_idle_connections(const base::endpoint& target) {
-    impl_->state().idle_connections.erase(target);
+void upstream_client::close_idle_connections(const base::endpoint& address) {
+    impl_->state().idle_connections.erase(address);
 }
 
 upstream_counts upstream_client::counts() const {
--- a/packages/transport/test/streaming_http_server_test.cpp
+++ b/packages/transport/test/streaming_http_server_test.cpp
@@ -51,8 +51,8 @@
         asio::write(socket_, asio::buffer(text));
     }
 
-    /// Runs until `condition` is true, for at most 20 s, and expects that it
-    /// is.
+    /// Runs the I/O context until `condition` is true. Fails the test if it is
+    /// still false after 20 s.
     template <class Condition>
     void run_until(Condition condition) {
         for (int n = 0; n < 2000 && !condition(); ++n) {
@@ -84,7 +84,7 @@
 
     /// Blocks the thread for longer than the interval of timeout checks, plus
     /// `extra_ms`.
-    static void block_for_a_sweep(base::millis extra_ms = 0) {
+    static void block_past_timeout_check(base::millis extra_ms = 0) {
         std::this_thread::sleep_for(std::chrono::milliseconds(600 + extra_ms));
     }
 
@@ -175,7 +175,7 @@
     complete_first_request();
     send(long_request);
     server_.close();
-    block_for_a_sweep();
+    block_past_timeout_check();
     run_until([&] { return responses_.size() == 2 || is_closed(); });
     ASSERT_EQ(responses_.size(), 2U) << close_error_.message();
     responses_[1]->send({200, {}, "second"});
@@ -189,7 +189,7 @@
     poll();
     server_.close();
     send(long_request);
-    block_for_a_sweep();
+    block_past_timeout_check();
     run_until([&] { return !responses_.empty() || is_closed(); });
     ASSERT_FALSE(responses_.empty()) << close_error_.message();
     responses_[0]->send({200, {}, "ok"});
@@ -244,7 +244,7 @@
     server_.set_limits({16 * 1024, 1024 * 1024, 3000, idle_ms});
     complete_first_request();
     send(long_request);
-    block_for_a_sweep(idle_ms);
+    block_past_timeout_check(idle_ms);
     run_until([&] { return responses_.size() == 2 || is_closed(); });
     ASSERT_EQ(responses_.size(), 2U) << close_error_.message();
     responses_[1]->send({200, {}, "second"});
@@ -261,7 +261,7 @@
     run_for(idle_ms + 1000);
     ASSERT_FALSE(is_closed());
     send(long_request.substr(100));
-    block_for_a_sweep(idle_ms);
+    block_past_timeout_check(idle_ms);
     run_until([&] { return !responses_.empty() || is_closed(); });
     ASSERT_FALSE(responses_.empty()) << close_error_.message();
 }
--- a/packages/transport/test/upstream_test.cpp
+++ b/packages/transport/test/upstream_test.cpp
@@ -224,7 +224,8 @@
     EXPECT_EQ(get(unused_address).outcome, call_outcome::not_sent);
 }
 
-TEST_F(upstream_test, ends_calls_started_before_a_period_of_silence) {
+TEST_F(upstream_test,
+       ends_calls_started_before_a_silent_server_responds_again) {
     // A server accepts requests but sends no responses for some seconds. It
     // then responds to new requests but never to the earlier ones, whose
     // callers would wait until their timeouts.
@@ -306,14 +307,14 @@
             received_bytes_ += data.size();
         };
         callbacks.on_end = [this](call_outcome outcome) { outcome_ = outcome; };
-        call_ = client_.start(address_of(responding_acceptor_), {}, options,
-                              callbacks);
+        call_ =
+            client_.start(address_of(server_acceptor_), {}, options, callbacks);
     }
 
     /// Starts a call and runs until the server has received the request.
     void start_and_send(upstream_call_options options) {
         start(options);
-        server_.emplace(responding_acceptor_.accept());
+        server_.emplace(server_acceptor_.accept());
         run_until([this] { return server_->available() > 0; });
     }
 
@@ -332,7 +333,7 @@
     /// Runs `function` on the client's thread and then blocks the thread for
     /// longer than `timeout_ms`.
     void stall_thread(const std::function<void()>& function) {
-        std::this_thread::sleep_for(sweep_interval);
+        std::this_thread::sleep_for(past_timeout_check_interval);
         bool stall_ended = false;
         asio::post(io_, [&] {
             function();
@@ -348,8 +349,8 @@
     }
 
     static constexpr base::millis timeout_ms = 1000;
-    static constexpr std::chrono::milliseconds sweep_interval{60};
-    tcp::acceptor responding_acceptor_{
+    static constexpr std::chrono::milliseconds past_timeout_check_interval{60};
+    tcp::acceptor server_acceptor_{
         io_, tcp::endpoint(asio::ip::address_v4::loopback(), 0)};
     tcp::acceptor silent_acceptor_{
         io_, tcp::endpoint(asio::ip::address_v4::loopback(), 0)};
@@ -365,7 +366,7 @@
     upstream_call_options options;
     options.connect_timeout_ms = timeout_ms;
     stall_thread([&] { start(options); });
-    server_.emplace(responding_acceptor_.accept());
+    server_.emplace(server_acceptor_.accept());
     write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi");
     run_until_call_ends();
     ASSERT_TRUE(outcome_);
