--- a/packages/base/include/hibiscus/base/features.hpp
+++ b/packages/base/include/hibiscus/base/features.hpp
@@ -6,32 +6,51 @@
 #include <bitset>
 #include <cstddef>
 
-/// The decisions that operators may switch off one by one.
 namespace hibiscus::base {
 
-/// A decision that is meant to serve callers better. Each can be switched off
-/// in the settings, so that operators see what it is worth on a deployment.
+/// An optimization that can be switched off in the settings, which lets
+/// operators measure its effect on a deployment.
 enum class feature {
-    move_silent_runs,     ///< Runs leave servers that have fallen silent.
-    move_slow_runs,       ///< Runs leave servers that have become slow.
-    move_to_faster,       ///< Long runs go on at a faster server.
-    remember_paces,       ///< Paces seen some seconds ago still count.
-    spread_runs,          ///< A fuller server counts as slower.
-    memory_cost,          ///< A server that lacks memory counts as slower.
-    spare_newer_weights,  ///< Weights newer than needed count as dearer.
-    load_one_model,       ///< A load keeps only its own model's runs away.
-    load_by_need,         ///< Loads go to the model supplied worst.
-    load_where_needed,    ///< Only so many servers load as steps need.
-    longest_first,        ///< Of waiting items the longest start first.
-    priorities,           ///< Servers are told which runs are urgent.
-    run_ahead,            ///< Items run before the job that carries them.
-    reuse_texts,          ///< Texts of an earlier job are gone on with.
-    save_progress,        ///< Texts under way are stored for the next owner.
-    owner_by_size,        ///< Small nodes leave the jobs to larger ones.
-    call_through_nodes,   ///< Other nodes pass calls to the store on.
-    give_up_silent_store, ///< Calls to a store that fell silent are ended.
-    known_servers_first,  ///< Requests go to servers with open connections.
-    roomy_nodes_first,    ///< Callers are sent to the larger nodes.
+    /// Moves runs away from servers that stopped sending events.
+    move_silent_runs,
+    /// Moves runs away from servers that became slow.
+    move_slow_runs,
+    /// Moves long runs to faster servers.
+    move_to_faster,
+    /// Estimates speed from event intervals that are seconds old.
+    remember_paces,
+    /// Treats a server as slower the more of its slots are in use.
+    spread_runs,
+    /// Treats a server short of memory as slower.
+    memory_cost,
+    /// Avoids servers with newer weights than needed.
+    spare_newer_weights,
+    /// Keeps using the other models of a loading server.
+    load_one_model,
+    /// First loads the model with the least capacity for its demand.
+    load_by_need,
+    /// Loads a model on no more servers than the steps need.
+    load_where_needed,
+    /// Starts items with the longest expected output first.
+    longest_first,
+    /// Sends servers the priority of each run.
+    priorities,
+    /// Runs items speculatively, before their job exists.
+    run_ahead,
+    /// Resumes items from cached texts of an earlier job.
+    reuse_texts,
+    /// Stores partial texts for the next job owner.
+    save_progress,
+    /// Prefers larger nodes as job owners.
+    owner_by_size,
+    /// Relays calls to the store through other nodes.
+    call_through_nodes,
+    /// Ends calls to a store that stopped responding.
+    give_up_silent_store,
+    /// Prefers servers with open connections.
+    known_servers_first,
+    /// Directs callers to the larger nodes.
+    roomy_nodes_first,
 };
 
 template <>
@@ -60,15 +79,17 @@
     }};
 };
 
-/// Which mechanisms are on; all of them unless switched off.
+/// The set of enabled features. All features are enabled by default.
 class feature_set {
 public:
-    bool is_enabled(feature m) const { return !disabled_.test(index(m)); }
+    bool is_enabled(feature f) const { return !disabled_.test(index(f)); }
 
-    void set_enabled(feature m, bool on) { disabled_.set(index(m), !on); }
+    void set_enabled(feature f, bool enabled) {
+        disabled_.set(index(f), !enabled);
+    }
 
 private:
-    static std::size_t index(feature m) { return static_cast<std::size_t>(m); }
+    static std::size_t index(feature f) { return static_cast<std::size_t>(f); }
 
     std::bitset<enum_names<feature>::table.size()> disabled_;
 };
