--- a/packages/net/include/hibiscus/net/http.hpp
+++ b/packages/net/include/hibiscus/net/http.hpp
@@ -12,7 +12,7 @@
 
 namespace hibiscus::net {
 
-/// A request, read whole.
+/// An HTTP request with its complete body.
 struct http_request {
     std::string method = "GET";
     std::string target = "/";
@@ -20,47 +20,48 @@
     std::string content_type = "application/json";
 };
 
-/// An answer, sent whole.
+/// An HTTP response with its complete body.
 struct http_response {
     int status = 200;
     std::string body;
     std::string content_type = "application/json";
-    /// Set by a client: an earlier send of the request, of which nothing more
-    /// is known, came before the one that was answered.
+    /// Set by http_client: the request was sent before on another connection,
+    /// and it is unknown whether the server handled that first copy.
     bool resent = false;
 };
 
-/// How far a request got that has no answer.
+/// Whether a request that got no response may have reached the server.
 enum class delivery_status {
-    not_sent, ///< No byte of it can have left.
-    lost      ///< Some of it may have left; what became of it is not known.
+    not_sent, ///< No byte of the request was sent.
+    lost      ///< It may have been sent; the server may have handled it.
 };
 
-/// Says that a request has no answer.
+/// The result of a request that got no response.
 struct http_failure {
     delivery_status status = delivery_status::lost;
 };
 
-/// What a request came to.
+/// The result of a request.
 using http_result = std::variant<http_response, http_failure>;
 
-/// Sends the answer to one request. It may be called once, by any thread.
+/// Sends the response to one request. Call it once, from any thread.
 using http_responder = std::function<void(http_response)>;
 
-/// Handles one request. It must not block.
+/// Handles one request. Must not block.
 using http_handler = std::function<void(http_request, http_responder)>;
 
-/// Bounds on what a server takes from a stranger.
+/// Limits that protect a server from untrusted callers.
 struct http_limits {
     std::size_t max_header_bytes = 16 * 1024;
     std::size_t max_body_bytes = 4 * 1024 * 1024;
-    /// The longest time for one request to arrive, or between two, in ms.
+    /// The maximum time to receive a request, including the idle time before
+    /// it, in ms.
     base::millis read_timeout_ms = 15000;
-    /// The longest time to take the answer, in ms.
+    /// The maximum time to send a response, in ms.
     base::millis write_timeout_ms = 15000;
     std::size_t max_connections = 4096;
-    /// The bytes of all bodies that are being read or handled. A request that
-    /// would go over it is refused.
+    /// The total size of all request bodies that are being read or handled. A
+    /// request that would exceed it is rejected with status 429.
     std::size_t max_buffered_bytes = 128 * 1024 * 1024;
 };
 
--- a/packages/net/include/hibiscus/net/http_client.hpp
+++ b/packages/net/include/hibiscus/net/http_client.hpp
@@ -8,30 +8,30 @@
 
 namespace hibiscus::net {
 
-/// Whether a request may go out on a connection that has been used before.
+/// Whether a request may be sent over a pooled connection.
 enum class connection_reuse {
-    /// Yes; if the connection turns out to be closed, the request is sent
-    /// again on a new one. Only for requests that may run twice.
+    /// Yes. If the pooled connection fails before any response byte arrives,
+    /// the request is sent again over a new one. Only for idempotent requests.
     allowed,
-    /// No, so that `not_sent` can be told from `lost` without doubt.
+    /// No. The request is sent at most once, over a new connection.
     never
 };
 
-/// Sends HTTP/1.1 requests. Safe for use by several threads.
+/// Sends HTTP/1.1 requests. Thread-safe.
 class http_client {
 public:
     /// Constructs a client whose connections must open within `connect_ms`
-    /// and are not used again after `idle_ms` without a request. Something on
-    /// the way may lose track of an idle connection without a word; a short
-    /// limit keeps such ones few, and keeps below the time after which servers
-    /// close them.
+    /// and are dropped from the pool after `idle_ms` without a request. This
+    /// must be less than the idle timeout of the servers. A short limit also
+    /// makes it less likely that a middlebox has silently dropped a pooled
+    /// connection.
     http_client(boost::asio::io_context& io, base::millis connect_ms,
                 base::millis idle_ms = 8000);
 
-    /// Sends `request` to `target` and calls `done` once, on a thread of the
-    /// context, with the answer or with how far it got within `timeout` ms.
-    /// The function that it returns gives the request up: `done` is then
-    /// called soon, if it was not yet.
+    /// Sends `request` to `target`. Calls `done` once, on a thread of the
+    /// context, with the response, or with an http_failure if there is none
+    /// within `timeout` ms. The returned function cancels the request: if
+    /// `done` has not been called yet, it is called soon.
     std::function<void()> send(const base::endpoint& target,
                                http_request request, base::millis timeout,
                                connection_reuse mode,
--- a/packages/net/include/hibiscus/net/http_server.hpp
+++ b/packages/net/include/hibiscus/net/http_server.hpp
@@ -9,38 +9,39 @@
 
 namespace hibiscus::net {
 
-/// Answers HTTP/1.1 on one address. A request that breaks a limit or is not
-/// HTTP is answered with a 4xx by the server itself; the handler sees only
-/// whole requests. A handler that throws leads to a 500.
+/// Serves HTTP/1.1 on one address. The server itself responds with a 4xx
+/// status to a request that exceeds a limit or is malformed; the handler is
+/// called only for complete requests. If the handler throws, the response is a
+/// 500.
 class http_server {
 public:
     /// Constructs a server that is not listening yet.
     http_server(boost::asio::io_context& io, http_limits limits,
                 http_handler handler);
 
-    /// Stops listening. Connections go on until they end.
+    /// Stops listening. Open connections are served until they end.
     ~http_server();
 
     http_server(const http_server&) = delete;
     http_server& operator=(const http_server&) = delete;
 
     /// Listens on `address`; port 0 lets the kernel choose. Returns the
-    /// address in use, or nothing if it cannot be had.
+    /// address in use, or nullopt if it cannot be bound.
     std::optional<base::endpoint> listen(const base::endpoint& address);
 
-    /// Goes on as before, but ends each connection after its next answer, so
-    /// that callers look for another address.
+    /// Closes each connection after its next response, so that callers connect
+    /// to another instance. New connections are still accepted.
     void drain();
 
-    /// Accepts no further connections.
+    /// Stops accepting connections. Open connections are still served.
     void stop_accepting();
 
-    /// Returns for how long no request has been in flight, in ms; 0 while one
-    /// is.
+    /// Returns how long no request has been in flight, in ms; 0 while one is
+    /// in flight.
     base::millis idle_ms() const;
 
-    /// Returns the number of requests that were handed to the handler and
-    /// have no answer yet.
+    /// Returns the number of requests that were passed to the handler and
+    /// whose response is not sent yet.
     std::size_t in_flight() const;
 
 private:
--- a/packages/net/src/http_client.cpp
+++ b/packages/net/src/http_client.cpp
@@ -23,47 +23,49 @@
 
 namespace detail {
 
-constexpr std::size_t idle_per_target = 16;
-constexpr std::size_t largest_answer = 64 * 1024 * 1024;
+constexpr std::size_t max_idle_per_target = 16;
+constexpr std::size_t max_response_bytes = 64 * 1024 * 1024;
 
 using stream_ptr = std::unique_ptr<beast::tcp_stream>;
 
-/// Open connections that wait for their next request.
+/// Holds the idle connections to all targets.
 class connection_pool {
 public:
-    /// Constructs a pool that drops connections after `idle_ms`.
+    /// Constructs a pool that drops connections idle for `idle_ms`.
     explicit connection_pool(base::millis idle_ms) : idle_ms_(idle_ms) {}
 
-    /// Returns a connection to `target`, or null if none waits.
+    /// Returns an idle connection to `target`, or null if there is none.
     stream_ptr acquire(const base::endpoint& target) {
         const std::lock_guard<std::mutex> lock(mutex_);
-        const auto at = idle_.find(target);
-        if (at == idle_.end()) {
+        const auto it = idle_.find(target);
+        if (it == idle_.end()) {
             return nullptr;
         }
-        auto stream = std::move(at->second.back().stream);
-        const bool fresh = !is_expired(at->second.back());
-        at->second.pop_back();
-        // The last one that came is the youngest: the others are old too.
-        if (!fresh || at->second.empty()) {
-            idle_.erase(at);
+        auto stream = std::move(it->second.back().stream);
+        const bool fresh = !is_expired(it->second.back());
+        it->second.pop_back();
+        // The last one was released most recently: if it has expired, so have
+        // the others.
+        if (!fresh || it->second.empty()) {
+            idle_.erase(it);
         }
         return fresh ? std::move(stream) : nullptr;
     }
 
-    /// Keeps a connection for the next request, unless enough wait.
+    /// Keeps a connection for the next request, unless the pool already has
+    /// max_idle_per_target connections to `target`.
     void release(const base::endpoint& target, stream_ptr stream) {
         const std::lock_guard<std::mutex> lock(mutex_);
         remove_expired();
-        auto& waiting = idle_[target];
-        if (waiting.size() < idle_per_target) {
-            waiting.push_back({std::move(stream), clock_.now()});
+        auto& connections = idle_[target];
+        if (connections.size() < max_idle_per_target) {
+            connections.push_back({std::move(stream), clock_.now()});
         }
     }
 
-    /// Drops the connections to `target`. When one has gone silent the others
-    /// that waited beside it probably have too, and each would cost a request
-    /// its whole patience.
+    /// Drops the idle connections to `target`. If one of them is dead, the
+    /// others probably are too, and each would cost a request its whole
+    /// timeout.
     void remove_all(const base::endpoint& target) {
         const std::lock_guard<std::mutex> lock(mutex_);
         idle_.erase(target);
@@ -72,28 +74,28 @@
 private:
     struct idle_connection {
         stream_ptr stream;
-        base::millis since = 0;
+        base::millis idle_since = 0;
     };
 
-    bool is_expired(const idle_connection& row) const {
-        return clock_.now() - row.since >= idle_ms_;
+    bool is_expired(const idle_connection& connection) const {
+        return clock_.now() - connection.idle_since >= idle_ms_;
     }
 
-    /// Drops old connections to all targets, also to those that are never
-    /// called again.
+    /// Drops expired connections to all targets, including targets that get
+    /// no further requests.
     void remove_expired() {
         const auto now = clock_.now();
         if (now - last_sweep_at_ < idle_ms_) {
             return;
         }
         last_sweep_at_ = now;
-        for (auto at = idle_.begin(); at != idle_.end();) {
-            auto& rows = at->second;
-            rows.erase(
-                std::remove_if(rows.begin(), rows.end(),
-                               [this](const auto& r) { return is_expired(r); }),
-                rows.end());
-            at = rows.empty() ? idle_.erase(at) : std::next(at);
+        for (auto it = idle_.begin(); it != idle_.end();) {
+            auto& connections = it->second;
+            connections.erase(
+                std::remove_if(connections.begin(), connections.end(),
+                               [this](const auto& c) { return is_expired(c); }),
+                connections.end());
+            it = connections.empty() ? idle_.erase(it) : std::next(it);
         }
     }
 
@@ -104,7 +106,7 @@
     base::millis last_sweep_at_ = 0;
 };
 
-/// One request on its way. Its handlers run in the connection's strand.
+/// One request in flight. Its handlers run in the connection's strand.
 class http_exchange : public std::enable_shared_from_this<http_exchange> {
 public:
     http_exchange(asio::io_context& io, std::shared_ptr<connection_pool> pool,
@@ -113,7 +115,7 @@
         : io_(io), pool_(std::move(pool)), target_(std::move(target)),
           connect_ms_(connect_ms), done_(std::move(done)) {}
 
-    /// Gives the request up. May be called by any thread, at any time.
+    /// Cancels the request. Thread-safe.
     void cancel() {
         cancelled_ = true;
         asio::any_io_executor executor;
@@ -126,23 +128,23 @@
         });
     }
 
-    /// Sends `request`, which has `timeout` ms in all.
+    /// Sends `request`. All steps together may take `timeout` ms.
     void start(const http_request& request, base::millis timeout,
                connection_reuse mode) {
-        message_.version(11);
-        message_.method_string(request.method);
-        message_.target(request.target);
-        message_.set(http::field::host, base::to_string(target_));
-        message_.set(http::field::content_type, request.content_type);
-        message_.keep_alive(true);
-        message_.body() = request.body;
-        message_.prepare_payload();
+        request_.version(11);
+        request_.method_string(request.method);
+        request_.target(request.target);
+        request_.set(http::field::host, base::to_string(target_));
+        request_.set(http::field::content_type, request.content_type);
+        request_.keep_alive(true);
+        request_.body() = request.body;
+        request_.prepare_payload();
         deadline_ = std::chrono::steady_clock::now() +
                     std::chrono::milliseconds(timeout);
         stream_ = mode == connection_reuse::allowed ? pool_->acquire(target_)
                                                     : nullptr;
-        reused_ = stream_ != nullptr;
-        if (reused_) {
+        is_reused_ = stream_ != nullptr;
+        if (is_reused_) {
             store_executor();
             asio::dispatch(stream_->get_executor(),
                            [self = shared_from_this()] { self->write(); });
@@ -157,8 +159,9 @@
         executor_ = stream_->get_executor();
     }
 
-    /// Runs in the strand `executor`. If that is no longer the present
-    /// connection's, the next one has not begun yet and sees cancelled_.
+    /// Runs in the strand `executor`. If that is no longer the strand of the
+    /// current connection, the request is about to start on a new connection
+    /// and will check cancelled_ there.
     void cancel_in_strand(const asio::any_io_executor& executor) {
         {
             const std::lock_guard<std::mutex> lock(mutex_);
@@ -167,15 +170,16 @@
             }
         }
         if (stream_ && done_) {
-            // A step that has ended, but whose handler has not run yet, can't
-            // be cancelled: it would begin the next one, which waits for the
-            // request's whole time. On a closed connection that one fails.
+            // An operation that has completed, but whose handler has not run
+            // yet, can't be cancelled: the handler would start the next
+            // operation, which could wait until the deadline. On a closed
+            // connection the next operation fails at once.
             stream_->close();
         }
     }
 
     void connect() {
-        reused_ = false;
+        is_reused_ = false;
         buffer_.clear();
         stream_ = std::make_unique<beast::tcp_stream>(asio::make_strand(io_));
         store_executor();
@@ -191,9 +195,9 @@
             finish_unreachable();
             return;
         }
-        const auto limit = std::chrono::steady_clock::now() +
-                           std::chrono::milliseconds(connect_ms_);
-        stream_->expires_at(std::min(limit, deadline_));
+        const auto connect_deadline = std::chrono::steady_clock::now() +
+                                      std::chrono::milliseconds(connect_ms_);
+        stream_->expires_at(std::min(connect_deadline, deadline_));
         stream_->async_connect(
             tcp::endpoint(ip, target_.port),
             [self = shared_from_this()](beast::error_code e) {
@@ -205,9 +209,9 @@
             });
     }
 
-    /// No connection can be had. The request may still have arrived by an
-    /// earlier, used one that then broke; to call it not sent would make the
-    /// caller run it a second time.
+    /// Called when no connection could be opened. The request may still have
+    /// been sent over a pooled connection that then broke; reporting not_sent
+    /// would make the caller run it a second time.
     void finish_unreachable() {
         finish(http_failure{send_count_ > 0 ? delivery_status::lost
                                             : delivery_status::not_sent});
@@ -221,7 +225,7 @@
         ++send_count_;
         stream_->expires_at(deadline_);
         http::async_write(
-            *stream_, message_,
+            *stream_, request_,
             [self = shared_from_this()](beast::error_code e, std::size_t) {
                 if (e) {
                     self->on_connection_error();
@@ -233,7 +237,7 @@
 
     void read() {
         parser_.emplace();
-        parser_->body_limit(largest_answer);
+        parser_->body_limit(max_response_bytes);
         http::async_read(
             *stream_, buffer_, *parser_,
             [self = shared_from_this()](beast::error_code e, std::size_t) {
@@ -245,15 +249,15 @@
             });
     }
 
-    /// A connection that waited may have been closed by the other side at any
-    /// time; the request then gets a new one. Only requests that may run
-    /// twice come here with a used connection.
+    /// The server may close an idle connection at any time, so a request that
+    /// fails on a pooled connection is sent again over a new one. Only
+    /// idempotent requests use pooled connections.
     void on_connection_error() {
-        const bool untouched = !parser_ || !parser_->got_some();
-        if (reused_) {
+        const bool no_response_bytes = !parser_ || !parser_->got_some();
+        if (is_reused_) {
             pool_->remove_all(target_);
         }
-        if (reused_ && untouched && !cancelled_ &&
+        if (is_reused_ && no_response_bytes && !cancelled_ &&
             std::chrono::steady_clock::now() < deadline_) {
             connect();
             return;
@@ -263,8 +267,8 @@
 
     void on_response() {
         auto message = parser_->release();
-        // An answer without a length ends where its connection does, so a cut
-        // looks like its end; the caller would take a prefix for the whole.
+        // A response without a length ends when the connection closes, so the
+        // caller would take a truncated response for a complete one.
         constexpr unsigned no_content = 204;
         if (!message.has_content_length() && !message.chunked() &&
             message.result_int() != no_content) {
@@ -301,17 +305,17 @@
     asio::any_io_executor executor_;
     std::atomic<bool> cancelled_{false};
     stream_ptr stream_;
-    bool reused_ = false;
-    /// How often the request began to leave.
+    bool is_reused_ = false;
+    /// How many times the request was written, counting failed writes.
     int send_count_ = 0;
     beast::flat_buffer buffer_;
-    http::request<http::string_body> message_;
+    http::request<http::string_body> request_;
     std::optional<http::response_parser<http::string_body>> parser_;
 };
 
 } // namespace detail
 
-/// What all requests of a client share.
+/// The state that all requests of a client share.
 class http_client::impl {
 public:
     impl(asio::io_context& io, base::millis connect_ms, base::millis idle_ms)
@@ -332,10 +336,10 @@
                                         base::millis timeout,
                                         connection_reuse mode,
                                         std::function<void(http_result)> done) {
-    auto e = std::make_shared<detail::http_exchange>(
+    auto exchange = std::make_shared<detail::http_exchange>(
         impl_->io_, impl_->pool_, target, impl_->connect_ms_, std::move(done));
-    e->start(request, timeout, mode);
-    return [weak = std::weak_ptr<detail::http_exchange>(e)] {
+    exchange->start(request, timeout, mode);
+    return [weak = std::weak_ptr<detail::http_exchange>(exchange)] {
         if (auto strong = weak.lock()) {
             strong->cancel();
         }
--- a/packages/net/src/http_server.cpp
+++ b/packages/net/src/http_server.cpp
@@ -20,7 +20,7 @@
 
 namespace detail {
 
-/// What the sessions of one server share.
+/// The state that the connections of one server share.
 struct server_state {
     http_limits limits;
     http_handler handler;
@@ -32,7 +32,7 @@
     std::atomic<base::millis> last_response_at{0};
 };
 
-/// Takes its share of the bytes that a server may buffer, and gives it back.
+/// Reserves part of the server's max_buffered_bytes for one connection.
 class buffer_reservation {
 public:
     explicit buffer_reservation(server_state& state) : state_(state) {}
@@ -42,7 +42,8 @@
     buffer_reservation(const buffer_reservation&) = delete;
     buffer_reservation& operator=(const buffer_reservation&) = delete;
 
-    /// Returns true, and takes `bytes`, if the limit allows it.
+    /// Replaces the reservation by one of `bytes`. Returns false, and holds
+    /// none, if the server's limit would be exceeded.
     bool reserve(std::size_t bytes) {
         release();
         if (state_.buffered_bytes.fetch_add(bytes) + bytes >
@@ -54,7 +55,7 @@
         return true;
     }
 
-    /// Gives back what was taken.
+    /// Releases the reserved bytes.
     void release() {
         state_.buffered_bytes -= std::exchange(reserved_bytes_, 0);
     }
@@ -64,19 +65,20 @@
     std::size_t reserved_bytes_ = 0;
 };
 
-/// Returns the body of an answer that the server itself gives.
-std::string problem_body(const std::string& where,
-                         const std::string& expected) {
+/// Returns the body of an error response that the server itself sends.
+std::string make_problem_body(const std::string& where,
+                              const std::string& expected) {
     return R"({"why":"invalid_request","where":")" + where +
            R"(","expected":")" + expected + R"("})";
 }
 
-/// How long, and how much, is read after a connection's last answer.
+/// Limits on the time spent and the bytes read and discarded after the last
+/// response of a connection.
 constexpr base::millis linger_timeout_ms = 2000;
 constexpr std::size_t max_linger_bytes = 64 * 1024 * 1024;
 constexpr std::size_t discard_buffer_bytes = 16 * 1024;
 
-/// Serves one connection, one request after the other.
+/// Serves the requests of one connection in sequence.
 class server_connection
     : public std::enable_shared_from_this<server_connection> {
 public:
@@ -91,7 +93,7 @@
     server_connection(const server_connection&) = delete;
     server_connection& operator=(const server_connection&) = delete;
 
-    /// Starts to read the first request.
+    /// Starts reading the first request.
     void run() {
         asio::dispatch(stream_.get_executor(),
                        [self = shared_from_this()] { self->read(); });
@@ -112,18 +114,19 @@
             });
     }
 
-    /// Strangers who announce long bodies on many connections would fill the
-    /// memory although each keeps to the limit; so all share one.
+    /// Reserves memory for the body before reading it. Many connections with
+    /// large bodies would otherwise exhaust the memory, although each body is
+    /// within max_body_bytes.
     void on_header(beast::error_code error) {
         if (error) {
             on_read(error);
             return;
         }
         const auto length = parser_->content_length();
-        const std::size_t most =
+        const std::size_t max_unknown_length =
             parser_->chunked() ? state_->limits.max_body_bytes : 0;
         if (!reservation_.reserve(length ? static_cast<std::size_t>(*length)
-                                         : most)) {
+                                         : max_unknown_length)) {
             keep_alive_ = false;
             write({429, R"({"why":"overloaded","result":"not_run",)"
                         R"("retry_after_ms":1000})"});
@@ -171,8 +174,8 @@
         stream_.expires_never();
         ++state_->in_flight;
         const auto respond = responder();
-        // An exception would end the thread, and with it the process: one
-        // request that nobody thought of would take all others with it.
+        // An uncaught exception would terminate the process and abort all
+        // other requests in flight.
         try {
             state_->handler(std::move(request), respond);
         } catch (const std::exception&) {
@@ -180,7 +183,8 @@
         }
     }
 
-    /// Returns a function that sends the answer, at its first call.
+    /// Returns a function that sends the response. Only its first call has an
+    /// effect.
     http_responder responder() {
         return [self = shared_from_this(),
                 called = std::make_shared<std::atomic<bool>>(false)](
@@ -196,41 +200,42 @@
     }
 
     void send_response(http_response response) {
-        handled_ = true;
+        sending_handler_response_ = true;
         write(std::move(response));
     }
 
-    /// Answers what cannot be read further; the rest of the bytes may be of
-    /// any kind, so the connection ends.
+    /// Responds to a request that can't be parsed, and closes the connection,
+    /// because the start of the next request is unknown.
     void reject(int status, const std::string& where,
                 const std::string& expected) {
         keep_alive_ = false;
-        write({status, problem_body(where, expected), "application/json"});
+        write({status, make_problem_body(where, expected), "application/json"});
     }
 
     void write(http_response response) {
-        message_ = {};
-        message_.version(11);
-        message_.result(static_cast<unsigned>(response.status));
-        message_.set(http::field::content_type, response.content_type);
+        response_ = {};
+        response_.version(11);
+        response_.result(static_cast<unsigned>(response.status));
+        response_.set(http::field::content_type, response.content_type);
         keep_alive_ = keep_alive_ && !state_->draining;
-        message_.keep_alive(keep_alive_);
-        message_.body() = std::move(response.body);
-        message_.prepare_payload();
+        response_.keep_alive(keep_alive_);
+        response_.body() = std::move(response.body);
+        response_.prepare_payload();
         stream_.expires_after(
             std::chrono::milliseconds(state_->limits.write_timeout_ms));
         http::async_write(
-            stream_, message_,
+            stream_, response_,
             [self = shared_from_this()](beast::error_code error, std::size_t) {
                 self->on_write(error);
             });
     }
 
     void on_write(beast::error_code error) {
-        // Counted down only now: a planned stop waits for this count, and an
-        // answer that is not sent yet would be cut off.
+        // The request counts as in flight until its response is sent. A
+        // shutdown waits for this count and would otherwise truncate the
+        // response.
         reservation_.release();
-        if (std::exchange(handled_, false)) {
+        if (std::exchange(sending_handler_response_, false)) {
             state_->last_response_at = state_->clock.now();
             --state_->in_flight;
         }
@@ -244,9 +249,9 @@
         }
     }
 
-    /// Ends the connection. What the other side still sends is read and
-    /// thrown away for a while: to close with unread bytes resets the
-    /// connection, and a refused sender would lose the answer that says why.
+    /// Closes the connection. Reads and discards bytes from the caller for
+    /// linger_timeout_ms before that: closing a socket with unread bytes resets
+    /// the connection, and a rejected caller would lose the error response.
     void close() {
         beast::error_code ignored;
         stream_.socket().shutdown(tcp::socket::shutdown_send, ignored);
@@ -256,16 +261,16 @@
         discard(0);
     }
 
-    void discard(std::size_t so_far) {
-        if (so_far > max_linger_bytes) {
+    void discard(std::size_t discarded_bytes) {
+        if (discarded_bytes > max_linger_bytes) {
             return;
         }
-        discarded_.resize(discard_buffer_bytes);
-        stream_.async_read_some(asio::buffer(discarded_),
-                                [self = shared_from_this(), so_far](
+        discard_buffer_.resize(discard_buffer_bytes);
+        stream_.async_read_some(asio::buffer(discard_buffer_),
+                                [self = shared_from_this(), discarded_bytes](
                                     beast::error_code error, std::size_t n) {
                                     if (!error) {
-                                        self->discard(so_far + n);
+                                        self->discard(discarded_bytes + n);
                                     }
                                 });
     }
@@ -274,17 +279,17 @@
     std::shared_ptr<server_state> state_;
     buffer_reservation reservation_;
     beast::flat_buffer buffer_;
-    std::vector<char> discarded_;
+    std::vector<char> discard_buffer_;
     std::optional<http::request_parser<http::string_body>> parser_;
-    http::response<http::string_body> message_;
+    http::response<http::string_body> response_;
     bool keep_alive_ = false;
-    /// True while the answer of the handler is on its way.
-    bool handled_ = false;
+    /// True while the handler's response is being sent.
+    bool sending_handler_response_ = false;
 };
 
 } // namespace detail
 
-/// Accepts connections until it is stopped.
+/// Accepts connections and starts a server_connection for each.
 class http_server::impl : public std::enable_shared_from_this<impl> {
 public:
     impl(asio::io_context& io, http_limits limits, http_handler handler)
@@ -346,9 +351,9 @@
             });
     }
 
-    /// Takes what the kernel has connected already. Its callers have sent their
-    /// requests perhaps; were it closed with the listener, they would not know
-    /// whether these were carried out.
+    /// Accepts the connections in the kernel's backlog. Their callers may have
+    /// sent requests already. If these connections were closed with the
+    /// listener, the callers would not know whether the requests ran.
     void accept_backlog() {
         beast::error_code error;
         acceptor_.non_blocking(true, error);
@@ -370,8 +375,8 @@
         }
     }
 
-    /// A stranger who opens connections without end would use up the process's
-    /// descriptors; what is over the limit is closed at once.
+    /// Closes a connection over max_connections at once, so that callers can't
+    /// exhaust the file descriptors of the process.
     void serve(tcp::socket socket) {
         if (state_->connections < state_->limits.max_connections) {
             std::make_shared<detail::server_connection>(std::move(socket),
--- a/packages/net/src/peer_mesh.cpp
+++ b/packages/net/src/peer_mesh.cpp
@@ -18,13 +18,13 @@
 using ws_client = websocketpp::client<websocketpp::config::asio_client>;
 using websocketpp::connection_hdl;
 
-/// The link by which this node sends to a peer.
+/// The link over which this node sends to a peer.
 struct outgoing_link {
     base::endpoint target;
     connection_hdl handle;
     bool connecting = false;
     bool open = false;
-    /// When it last answered a ping or opened.
+    /// The time of the last pong, or of the opening if there was none.
     std::chrono::steady_clock::time_point last_pong_at;
     std::chrono::steady_clock::time_point last_ping_at;
     std::chrono::steady_clock::time_point connect_not_before;
@@ -32,39 +32,40 @@
 
 } // namespace detail
 
-/// Runs in one thread, so its members need no lock.
+/// Runs on one thread, so its members need no lock.
 class peer_mesh::impl : public std::enable_shared_from_this<impl> {
 public:
-    impl(asio::io_context& io, peer_options limits, peer_callbacks events)
-        : io_(io), limits_(limits), events_(std::move(events)), timer_(io) {
+    impl(asio::io_context& io, peer_options options, peer_callbacks callbacks)
+        : io_(io), options_(options), callbacks_(std::move(callbacks)),
+          timer_(io) {
         disable_library_logging(server_);
         disable_library_logging(client_);
         server_.init_asio(&io_);
         client_.init_asio(&io_);
         server_.set_reuse_addr(true);
-        server_.set_max_message_size(limits_.max_message_bytes);
-        client_.set_open_handshake_timeout(limits_.connect_timeout_ms);
-        server_.set_open_handshake_timeout(limits_.connect_timeout_ms);
+        server_.set_max_message_size(options_.max_message_bytes);
+        client_.set_open_handshake_timeout(options_.connect_timeout_ms);
+        server_.set_open_handshake_timeout(options_.connect_timeout_ms);
     }
 
     void start() {
         server_.set_message_handler(
-            [self = weak_from_this()](detail::connection_hdl from,
+            [self = weak_from_this()](detail::connection_hdl handle,
                                       detail::ws_server::message_ptr m) {
                 if (auto strong = self.lock()) {
-                    strong->on_message(from, m->get_payload());
+                    strong->on_message(handle, m->get_payload());
                 }
             });
-        set_incoming_handlers();
+        set_incoming_link_handlers();
         asio::post(io_, [self = shared_from_this()] { self->tick(); });
     }
 
     std::optional<base::endpoint> listen(const base::endpoint& address) {
         websocketpp::lib::error_code error;
         asio::ip::address ip;
-        boost::system::error_code bad;
-        ip = asio::ip::make_address(address.ip, bad);
-        if (bad) {
+        boost::system::error_code address_error;
+        ip = asio::ip::make_address(address.ip, address_error);
+        if (address_error) {
             return std::nullopt;
         }
         server_.listen(asio::ip::tcp::endpoint(ip, address.port), error);
@@ -81,15 +82,15 @@
     }
 
     void set_peers(const std::map<base::node_id, base::endpoint>& peers) {
-        for (auto at = links_.begin(); at != links_.end();) {
-            const auto wanted = peers.find(at->first);
+        for (auto it = links_.begin(); it != links_.end();) {
+            const auto peer = peers.find(it->first);
             const bool keep =
-                wanted != peers.end() && wanted->second == at->second.target;
+                peer != peers.end() && peer->second == it->second.target;
             if (keep) {
-                ++at;
+                ++it;
             } else {
-                close(at->second);
-                at = links_.erase(at);
+                close(it->second);
+                it = links_.erase(it);
             }
         }
         for (const auto& [node, target] : peers) {
@@ -97,13 +98,13 @@
         }
     }
 
-    void send(const base::node_id& to, const wire::peer_message& message,
-              const std::function<void()>& unsent) {
-        const auto at = links_.find(to);
-        if (at == links_.end() || !at->second.open ||
-            !write(at->second, message)) {
-            if (unsent) {
-                unsent();
+    void send(const base::node_id& peer, const wire::peer_message& message,
+              const std::function<void()>& on_unsent) {
+        const auto it = links_.find(peer);
+        if (it == links_.end() || !it->second.open ||
+            !write(it->second, message)) {
+            if (on_unsent) {
+                on_unsent();
             }
         }
     }
@@ -129,44 +130,49 @@
         endpoint.clear_error_channels(websocketpp::log::elevel::all);
     }
 
-    /// Links of peers that died, or that the network lost track of, would stay
-    /// open for good and use up descriptors.
-    void set_incoming_handlers() {
+    /// Limits the number of incoming links and records their last pings, so
+    /// that idle links can be closed. Links of crashed or partitioned peers
+    /// would otherwise stay open forever and exhaust the file descriptors.
+    void set_incoming_link_handlers() {
         const auto self = weak_from_this();
         server_.set_validate_handler([self](const detail::connection_hdl&) {
             auto strong = self.lock();
-            return strong && strong->incoming_.size() <
-                                 strong->limits_.max_incoming_links;
+            return strong && strong->incoming_last_ping_.size() <
+                                 strong->options_.max_incoming_links;
         });
-        const auto heard = [self](const detail::connection_hdl& from) {
-            if (auto strong = self.lock()) {
-                strong->incoming_[from] = std::chrono::steady_clock::now();
-            }
-        };
-        server_.set_open_handler(heard);
+        const auto record_activity =
+            [self](const detail::connection_hdl& handle) {
+                if (auto strong = self.lock()) {
+                    strong->incoming_last_ping_[handle] =
+                        std::chrono::steady_clock::now();
+                }
+            };
+        server_.set_open_handler(record_activity);
         server_.set_ping_handler(
-            [heard](const detail::connection_hdl& from, const std::string&) {
-                heard(from);
+            [record_activity](const detail::connection_hdl& handle,
+                              const std::string&) {
+                record_activity(handle);
                 return true;
             });
-        server_.set_close_handler([self](const detail::connection_hdl& from) {
+        server_.set_close_handler([self](const detail::connection_hdl& handle) {
             if (auto strong = self.lock()) {
-                strong->incoming_.erase(from);
+                strong->incoming_last_ping_.erase(handle);
             }
         });
     }
 
-    void close_idle_incoming(std::chrono::steady_clock::time_point now) {
-        const auto limit =
-            std::chrono::milliseconds(limits_.incoming_idle_timeout_ms);
-        for (auto at = incoming_.begin(); at != incoming_.end();) {
-            if (now - at->second <= limit) {
-                ++at;
+    void close_idle_incoming_links(std::chrono::steady_clock::time_point now) {
+        const auto timeout =
+            std::chrono::milliseconds(options_.incoming_idle_timeout_ms);
+        for (auto it = incoming_last_ping_.begin();
+             it != incoming_last_ping_.end();) {
+            if (now - it->second <= timeout) {
+                ++it;
                 continue;
             }
             websocketpp::lib::error_code error;
-            const auto connection = server_.get_con_from_hdl(at->first, error);
-            at = incoming_.erase(at);
+            const auto connection = server_.get_con_from_hdl(it->first, error);
+            it = incoming_last_ping_.erase(it);
             if (!error) {
                 connection->terminate(websocketpp::lib::error_code());
             }
@@ -177,7 +183,7 @@
         websocketpp::lib::error_code error;
         const auto connection = client_.get_con_from_hdl(link.handle, error);
         if (error ||
-            connection->get_buffered_amount() > limits_.max_unsent_bytes) {
+            connection->get_buffered_amount() > options_.max_unsent_bytes) {
             return false;
         }
         error = connection->send(wire::to_cbor(message),
@@ -185,17 +191,18 @@
         return !error;
     }
 
-    void on_message(const detail::connection_hdl& from,
+    void on_message(const detail::connection_hdl& handle,
                     const std::string& bytes) {
-        auto read = wire::from_cbor(bytes);
-        if (auto* message = std::get_if<wire::peer_message>(&read)) {
-            events_.on_message(std::move(*message));
+        auto decoded = wire::from_cbor(bytes);
+        if (auto* message = std::get_if<wire::peer_message>(&decoded)) {
+            callbacks_.on_message(std::move(*message));
             return;
         }
         websocketpp::lib::error_code ignored;
-        server_.close(from, websocketpp::close::status::protocol_error, "",
+        server_.close(handle, websocketpp::close::status::protocol_error, "",
                       ignored);
-        events_.on_malformed(std::get<wire::decode_error>(std::move(read)));
+        callbacks_.on_malformed(
+            std::get<wire::decode_error>(std::move(decoded)));
     }
 
     void tick() {
@@ -203,7 +210,7 @@
             return;
         }
         const auto now = std::chrono::steady_clock::now();
-        close_idle_incoming(now);
+        close_idle_incoming_links(now);
         for (auto& [node, link] : links_) {
             if (link.open) {
                 check_link(node, link, now);
@@ -212,7 +219,7 @@
             }
         }
         timer_.expires_after(
-            std::chrono::milliseconds(limits_.ping_interval_ms / 4));
+            std::chrono::milliseconds(options_.ping_interval_ms / 4));
         timer_.async_wait(
             [self = weak_from_this()](const boost::system::error_code& error) {
                 auto strong = self.lock();
@@ -222,18 +229,19 @@
             });
     }
 
-    /// Pings a link. One that something in between has lost track of takes
-    /// bytes without a word; only the missing answer shows it.
+    /// Pings a link, and closes it if pongs are missing. A link that a
+    /// middlebox has dropped still accepts bytes without an error; only the
+    /// missing pong reveals it.
     void check_link(const base::node_id& node, detail::outgoing_link& link,
                     std::chrono::steady_clock::time_point now) {
         if (now - link.last_pong_at >
-            std::chrono::milliseconds(limits_.pong_timeout_ms)) {
+            std::chrono::milliseconds(options_.pong_timeout_ms)) {
             close(link);
             on_link_closed(node);
             return;
         }
         if (now - link.last_ping_at >=
-            std::chrono::milliseconds(limits_.ping_interval_ms)) {
+            std::chrono::milliseconds(options_.ping_interval_ms)) {
             link.last_ping_at = now;
             websocketpp::lib::error_code ignored;
             client_.ping(link.handle, "", ignored);
@@ -249,26 +257,28 @@
         }
         link.connecting = true;
         link.handle = connection->get_handle();
-        // A link that was replaced may still report; only the present one
-        // changes the row.
+        // The handlers of a replaced connection may still be called; only the
+        // current connection changes the link.
         const auto self = weak_from_this();
-        connection->set_open_handler([self, node](detail::connection_hdl h) {
-            if (auto strong = self.lock()) {
-                strong->on_link_opened(node, h);
-            }
-        });
-        const auto on_end = [self, node](const detail::connection_hdl& h) {
+        connection->set_open_handler(
+            [self, node](detail::connection_hdl handle) {
+                if (auto strong = self.lock()) {
+                    strong->on_link_opened(node, handle);
+                }
+            });
+        const auto on_end = [self, node](const detail::connection_hdl& handle) {
             auto strong = self.lock();
-            if (strong && strong->is_current_connection(node, h)) {
+            if (strong && strong->is_current_connection(node, handle)) {
                 strong->on_link_closed(node);
             }
         };
         connection->set_close_handler(on_end);
         connection->set_fail_handler(on_end);
         connection->set_pong_handler(
-            [self, node](const detail::connection_hdl& h, const std::string&) {
+            [self, node](const detail::connection_hdl& handle,
+                         const std::string&) {
                 auto strong = self.lock();
-                if (strong && strong->is_current_connection(node, h)) {
+                if (strong && strong->is_current_connection(node, handle)) {
                     strong->links_[node].last_pong_at =
                         std::chrono::steady_clock::now();
                 }
@@ -278,9 +288,9 @@
 
     bool is_current_connection(const base::node_id& node,
                                const detail::connection_hdl& handle) const {
-        const auto at = links_.find(node);
-        return at != links_.end() && !at->second.handle.owner_before(handle) &&
-               !handle.owner_before(at->second.handle);
+        const auto it = links_.find(node);
+        return it != links_.end() && !it->second.handle.owner_before(handle) &&
+               !handle.owner_before(it->second.handle);
     }
 
     void on_link_opened(const base::node_id& node,
@@ -292,24 +302,24 @@
         link.connecting = false;
         link.open = true;
         link.last_pong_at = std::chrono::steady_clock::now();
-        events_.on_link_change(node, true);
+        callbacks_.on_link_change(node, true);
     }
 
     void on_link_closed(const base::node_id& node) {
-        const auto at = links_.find(node);
-        if (at == links_.end()) {
+        const auto it = links_.find(node);
+        if (it == links_.end()) {
             return;
         }
-        auto& link = at->second;
+        auto& link = it->second;
         const bool was_open = link.open;
         link.connecting = false;
         link.open = false;
         link.handle.reset();
         link.connect_not_before =
             std::chrono::steady_clock::now() +
-            std::chrono::milliseconds(limits_.reconnect_delay_ms);
+            std::chrono::milliseconds(options_.reconnect_delay_ms);
         if (was_open) {
-            events_.on_link_change(node, false);
+            callbacks_.on_link_change(node, false);
         }
     }
 
@@ -317,29 +327,29 @@
         websocketpp::lib::error_code error;
         const auto connection = client_.get_con_from_hdl(link.handle, error);
         if (!error) {
-            // The polite end waits for the other side's answer, which a
-            // silent link never gives.
+            // A WebSocket close handshake waits for the peer, which may never
+            // respond.
             connection->terminate(websocketpp::lib::error_code());
         }
     }
 
     asio::io_context& io_;
-    peer_options limits_;
-    peer_callbacks events_;
+    peer_options options_;
+    peer_callbacks callbacks_;
     asio::steady_timer timer_;
     detail::ws_server server_;
     detail::ws_client client_;
     std::map<base::node_id, detail::outgoing_link> links_;
-    /// When something last came over a link that a peer holds to this node.
+    /// The time of the last ping, or of the opening, of each incoming link.
     std::map<detail::connection_hdl, std::chrono::steady_clock::time_point,
              std::owner_less<detail::connection_hdl>>
-        incoming_;
+        incoming_last_ping_;
     bool stopped_ = false;
 };
 
-peer_mesh::peer_mesh(asio::io_context& io, peer_options limits,
-                     peer_callbacks events)
-    : impl_(std::make_shared<impl>(io, limits, std::move(events))) {
+peer_mesh::peer_mesh(asio::io_context& io, peer_options options,
+                     peer_callbacks callbacks)
+    : impl_(std::make_shared<impl>(io, options, std::move(callbacks))) {
     impl_->start();
 }
 
@@ -356,10 +366,11 @@
                [impl = impl_, p = std::move(peers)] { impl->set_peers(p); });
 }
 
-void peer_mesh::send(const base::node_id& to, wire::peer_message message,
-                     std::function<void()> unsent) {
-    asio::post(impl_->io(), [impl = impl_, to, m = std::move(message),
-                             u = std::move(unsent)] { impl->send(to, m, u); });
+void peer_mesh::send(const base::node_id& peer, wire::peer_message message,
+                     std::function<void()> on_unsent) {
+    asio::post(impl_->io(),
+               [impl = impl_, peer, m = std::move(message),
+                f = std::move(on_unsent)] { impl->send(peer, m, f); });
 }
 
 } // namespace hibiscus::net
--- a/packages/net/test/http_client_test.cpp
+++ b/packages/net/test/http_client_test.cpp
@@ -21,10 +21,10 @@
 namespace asio = boost::asio;
 using tcp = asio::ip::tcp;
 
-constexpr const char* whole =
+constexpr const char* complete_response =
     "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfour";
 
-/// A client, and a server that does to each connection what a test says.
+/// A client, and a server that runs one script of the test per connection.
 class http_client_test : public ::testing::Test {
 protected:
     using script = std::function<void(tcp::socket)>;
@@ -37,18 +37,20 @@
     ~http_client_test() override {
         io_.stop();
         thread_.join();
-        if (server_.joinable()) {
-            server_.join();
+        if (server_thread_.joinable()) {
+            server_thread_.join();
         }
     }
 
-    /// Accepts one connection for each script; then nothing listens any more.
+    /// Accepts one connection for each script, in order, and no more after
+    /// that.
     void serve(std::vector<script> scripts) {
-        server_ = std::thread([this, all = std::move(scripts)] {
-            for (const auto& one : all) {
-                one(acceptor_.accept());
-            }
-        });
+        server_thread_ =
+            std::thread([this, scripts_to_run = std::move(scripts)] {
+                for (const auto& run : scripts_to_run) {
+                    run(acceptor_.accept());
+                }
+            });
     }
 
     /// Reads one request without a body.
@@ -70,9 +72,9 @@
         return promise.get_future().get();
     }
 
-    static delivery_status how_of(const http_result& result) {
+    static delivery_status status_of_failure(const http_result& result) {
         const auto* failure = std::get_if<http_failure>(&result);
-        EXPECT_NE(failure, nullptr) << "an answer came";
+        EXPECT_NE(failure, nullptr) << "a response arrived";
         return failure != nullptr ? failure->status : delivery_status::not_sent;
     }
 
@@ -80,38 +82,39 @@
     tcp::acceptor acceptor_;
     base::endpoint address_;
     asio::io_context io_;
-    asio::executor_work_guard<asio::io_context::executor_type> work_{
+    asio::executor_work_guard<asio::io_context::executor_type> work_guard_{
         io_.get_executor()};
     http_client client_;
     std::thread thread_;
-    std::thread server_;
+    std::thread server_thread_;
 };
 
-// The server reads a request that came over a used connection, runs it and
-// dies. The client may not say that the request was not sent only because the
-// server cannot be reached any more: the caller would run it a second time.
+// The server reads a request from a reused connection, runs it and crashes.
+// The client must not report not_sent because the server can't be reached any
+// more: the caller would run the request a second time.
 TEST_F(http_client_test, a_request_lost_on_a_used_connection_stays_lost) {
     serve({[this](tcp::socket socket) {
         read_request(socket);
-        write(socket, whole);
+        write(socket, complete_response);
         read_request(socket);
         acceptor_.close();
     }});
     ASSERT_TRUE(std::holds_alternative<http_response>(get()));
-    EXPECT_EQ(how_of(get()), delivery_status::lost);
+    EXPECT_EQ(status_of_failure(get()), delivery_status::lost);
 }
 
-// As above, but the server is back at once and refuses. The refusal is true
-// of the second send only, so the answer says that there was a first.
-TEST_F(http_client_test, an_answer_says_that_the_request_was_sent_twice) {
+// As above, but the server restarts at once and responds to the second copy of
+// the request. A rejection would hold for the second copy only, so the response
+// says that there was a first.
+TEST_F(http_client_test, a_response_says_that_the_request_was_sent_twice) {
     serve({[](tcp::socket socket) {
                read_request(socket);
-               write(socket, whole);
+               write(socket, complete_response);
                read_request(socket);
            },
            [](tcp::socket socket) {
                read_request(socket);
-               write(socket, whole);
+               write(socket, complete_response);
            }});
     auto first = get();
     ASSERT_TRUE(std::holds_alternative<http_response>(first));
@@ -121,10 +124,10 @@
     EXPECT_TRUE(std::get<http_response>(second).resent);
 }
 
-// The connection is cut within the answer. The caller would take the first
-// bytes for the whole answer.
+// The connection is closed in the middle of the response. The caller must not
+// take the first bytes for the complete response.
 TEST_F(http_client_test, an_answer_that_is_cut_is_no_answer) {
-    const std::string text = whole;
+    const std::string text = complete_response;
     std::vector<script> scripts;
     for (std::size_t n = 0; n < text.size(); ++n) {
         scripts.emplace_back([text, n](tcp::socket socket) {
@@ -134,47 +137,47 @@
     }
     serve(scripts);
     for (std::size_t n = 0; n < text.size(); ++n) {
-        EXPECT_EQ(how_of(get(20000, connection_reuse::never)),
+        EXPECT_EQ(status_of_failure(get(20000, connection_reuse::never)),
                   delivery_status::lost)
             << n;
     }
 }
 
-// An answer without a length ends with its connection. Whether it is whole
-// cannot be told: a cut looks the same.
+// A response without a length ends when the connection closes, so a truncated
+// response looks like a complete one.
 TEST_F(http_client_test, an_answer_without_a_length_is_no_answer) {
     serve({[](tcp::socket socket) {
         read_request(socket);
         write(socket, "HTTP/1.1 200 OK\r\n\r\nfou");
     }});
-    EXPECT_EQ(how_of(get()), delivery_status::lost);
+    EXPECT_EQ(status_of_failure(get()), delivery_status::lost);
 }
 
-// Several connections wait in the pool when the network loses track of all of
-// them. The first request to find out may pay for it; the next one must not.
+// All pooled connections to a server die silently. The first request over one
+// of them runs into its timeout; the next request must not.
 TEST_F(http_client_test, one_silent_connection_takes_the_others_with_it) {
-    std::promise<void> over;
-    const auto end = over.get_future().share();
-    const script silent_after_one = [end](tcp::socket socket) {
+    std::promise<void> test_done;
+    const auto done = test_done.get_future().share();
+    const script respond_once_then_hang = [done](tcp::socket socket) {
         read_request(socket);
-        write(socket, whole);
-        end.wait();
+        write(socket, complete_response);
+        done.wait();
     };
-    // The two sockets must be served at the same time, so that both wait in
-    // the pool.
-    std::thread other;
+    // The two sockets must be served at the same time, so that both enter the
+    // pool.
+    std::thread first_server;
     serve({[&](tcp::socket socket) {
-               other = std::thread([&, s = std::move(socket)]() mutable {
-                   silent_after_one(std::move(s));
+               first_server = std::thread([&, s = std::move(socket)]() mutable {
+                   respond_once_then_hang(std::move(s));
                });
            },
            [&](tcp::socket socket) {
                read_request(socket);
-               write(socket, whole);
+               write(socket, complete_response);
                tcp::socket next = acceptor_.accept();
                read_request(next);
-               write(next, whole);
-               end.wait();
+               write(next, complete_response);
+               done.wait();
            }});
     std::promise<http_result> first;
     client_.send(address_, {}, 20000, connection_reuse::never,
@@ -183,25 +186,25 @@
         get(20000, connection_reuse::never)));
     ASSERT_TRUE(
         std::holds_alternative<http_response>(first.get_future().get()));
-    EXPECT_EQ(how_of(get(200)), delivery_status::lost);
+    EXPECT_EQ(status_of_failure(get(200)), delivery_status::lost);
     EXPECT_TRUE(std::holds_alternative<http_response>(get()));
-    over.set_value();
-    server_.join();
-    other.join();
+    test_done.set_value();
+    server_thread_.join();
+    first_server.join();
 }
 
-// A caller gives a request up. It must hear so at once, not after the
-// request's whole time.
+// A caller cancels a request. Its callback must run at once, not when the
+// request times out.
 TEST_F(http_client_test, a_cancelled_request_ends_at_once) {
-    // The server's thread may go on when the test is over: what it uses is its
-    // own.
+    // The server thread may outlive the test body, so it owns what it uses.
     const auto arrived = std::make_shared<std::promise<void>>();
-    std::promise<void> over;
-    serve({[arrived, ended = over.get_future().share()](tcp::socket socket) {
-        read_request(socket);
-        arrived->set_value();
-        ended.wait();
-    }});
+    std::promise<void> test_done;
+    serve(
+        {[arrived, done = test_done.get_future().share()](tcp::socket socket) {
+            read_request(socket);
+            arrived->set_value();
+            done.wait();
+        }});
     std::promise<http_result> promise;
     const auto cancel =
         client_.send(address_, {}, 600000, connection_reuse::never,
@@ -210,41 +213,42 @@
     cancel();
     EXPECT_TRUE(
         std::holds_alternative<http_failure>(promise.get_future().get()));
-    over.set_value();
+    test_done.set_value();
 }
 
-// A caller gives a request up while a step of it has ended and its handler
-// waits for the thread, as on a busy machine. The next step must not begin: the
-// caller would wait for the request's whole time.
+// A caller cancels a request after one of its operations has completed but
+// before the handler has run, as happens on a busy machine. The handler must
+// not start the next operation: the caller would wait until the request times
+// out.
 TEST_F(http_client_test, a_request_is_cancelled_between_any_two_of_its_steps) {
-    constexpr int most_steps = 100;
-    constexpr auto patience = std::chrono::seconds(10);
+    constexpr int max_steps = 100;
+    constexpr auto wait_timeout = std::chrono::seconds(10);
     asio::io_context io;
     http_client client(io, 1000);
     int steps = 0;
-    for (bool waiting = false; !waiting && steps < most_steps; ++steps) {
-        bool ended = false;
+    for (bool waiting = false; !waiting && steps < max_steps; ++steps) {
+        bool is_done = false;
         const auto cancel =
             client.send(address_, {}, 600000, connection_reuse::never,
-                        [&](const http_result&) { ended = true; });
+                        [&](const http_result&) { is_done = true; });
         io.restart();
-        int run = 0;
-        while (run < steps && io.poll_one() > 0) {
-            ++run;
+        int steps_run = 0;
+        while (steps_run < steps && io.poll_one() > 0) {
+            ++steps_run;
         }
-        // The connection opens by itself, and nobody answers: once no handler
-        // is left, the request waits for its answer.
-        waiting = run < steps;
+        // The kernel accepts the connection and nothing responds. Once no
+        // handler is ready, the request is waiting for its response.
+        waiting = steps_run < steps;
         cancel();
         io.restart();
-        const auto until = std::chrono::steady_clock::now() + patience;
-        while (!ended && std::chrono::steady_clock::now() < until) {
-            io.run_one_until(until);
+        const auto deadline = std::chrono::steady_clock::now() + wait_timeout;
+        while (!is_done && std::chrono::steady_clock::now() < deadline) {
+            io.run_one_until(deadline);
         }
-        EXPECT_TRUE(ended) << "cancelled after " << run << " steps";
+        EXPECT_TRUE(is_done) << "cancelled after " << steps_run << " steps";
     }
     EXPECT_GT(steps, 3);
-    EXPECT_LT(steps, most_steps);
+    EXPECT_LT(steps, max_steps);
 }
 
 } // namespace
--- a/packages/net/test/peer_mesh_test.cpp
+++ b/packages/net/test/peer_mesh_test.cpp
@@ -9,7 +9,7 @@
 namespace hibiscus::net {
 namespace {
 
-/// Two nodes on one thread; b waits for a message of a.
+/// Two nodes on one thread; node a has a link to node b.
 class peer_mesh_test : public ::testing::Test {
 protected:
     peer_mesh_test()
@@ -27,8 +27,8 @@
               },
               [](const wire::decode_error&) {},
               [](const base::node_id&, bool) {}}) {
-        const auto at = b_.listen({"127.0.0.1", 0});
-        a_.set_peers({{base::node_id("b"), *at}});
+        const auto address = b_.listen({"127.0.0.1", 0});
+        a_.set_peers({{base::node_id("b"), *address}});
         thread_ = std::thread([this] { io_.run(); });
     }
 
@@ -41,7 +41,7 @@
     std::promise<wire::peer_message> received_;
     boost::asio::io_context io_;
     boost::asio::executor_work_guard<boost::asio::io_context::executor_type>
-        work_{io_.get_executor()};
+        work_guard_{io_.get_executor()};
     peer_mesh a_;
     peer_mesh b_;
     std::thread thread_;
@@ -51,9 +51,9 @@
     opened_.get_future().get();
     a_.send(base::node_id("b"), wire::document_request{base::node_id("a"), 7});
     const auto message = received_.get_future().get();
-    const auto* want = std::get_if<wire::document_request>(&message);
-    ASSERT_NE(want, nullptr) << "alternative " << message.index();
-    EXPECT_EQ(want->revision, 7);
+    const auto* request = std::get_if<wire::document_request>(&message);
+    ASSERT_NE(request, nullptr) << "alternative " << message.index();
+    EXPECT_EQ(request->revision, 7);
 }
 
 TEST_F(peer_mesh_test, a_message_without_a_link_is_unsent) {
