--- a/packages/wire/include/hibiscus/wire/claims.hpp
+++ b/packages/wire/include/hibiscus/wire/claims.hpp
@@ -7,59 +7,60 @@
 
 namespace hibiscus::wire {
 
-/// What a claim record says about a key.
+/// The kind of an entry in a claim record.
 enum class claim_kind {
-    claim,   ///< The holder of the epoch may dispatch the request.
-    outcome, ///< The request ran; the body is its answer.
-    release  ///< The holder did not dispatch and never will.
+    claim,   ///< The holder of the epoch has the right to dispatch the request.
+    outcome, ///< The request ran; `body` is its response.
+    release  ///< The holder did not dispatch the request and never will.
 };
 
-/// One entry of a claim record.
+/// An entry of a claim record, about the request `key`.
 struct claim_item {
     claim_kind kind = claim_kind::claim;
     base::request_id key;
     /// The offset of the epoch record under which the claim was made.
     log_offset epoch = 0;
-    /// When the caller first made the request, by the time of day.
+    /// The wall-clock time at which the caller created the request.
     base::millis created_ms = 0;
     std::string body;
 };
 
-/// The last record of one writer of a shard's stream.
+/// The last record that one writer appended to a shard's stream.
 struct claim_writer {
     base::node_id node;
     std::uint64_t incarnation = 0;
     std::uint64_t sequence = 0;
-    /// The offset of that record.
+    /// The offset of the record.
     log_offset at = 0;
 };
 
-/// A part of what the records before `covers` say, so that they are not
-/// needed any more.
+/// One part of a snapshot of the state after all records before `covers`. A
+/// reader that has all parts does not need these records.
 struct claim_snapshot {
     log_offset covers = 0;
-    /// Which part this is, from 0, and how many there are.
+    /// The number of this part, from 0, and the number of all parts.
     std::uint32_t part = 0;
     std::uint32_t parts = 1;
-    /// The epoch in force; -1 if none.
+    /// The current epoch; -1 if there is none.
     log_offset epoch = -1;
     base::node_id holder;
     std::uint64_t incarnation = 0;
-    /// Claims of requests made before this time of day may be missing.
+    /// Claims of requests created before this wall-clock time may be missing.
     base::millis forgotten_before = 0;
     std::vector<claim_writer> writers;
-    /// Claims that stand; as an outcome if the answer is known.
+    /// The claims in force. One whose response is known is stored as an
+    /// outcome.
     std::vector<claim_item> claims;
 };
 
-/// A record of a shard's stream.
+/// A record of the claim stream of a shard.
 struct claim_record {
     base::node_id node;
     std::uint64_t incarnation = 0;
-    /// Grows with each record of this node and incarnation. An append that
-    /// was tried twice leaves two records of the same number.
+    /// Increases with each record of this node and incarnation. A retried
+    /// append can leave two records with the same number.
     std::uint64_t sequence = 0;
-    /// True if the record makes its writer the shard's holder.
+    /// True if the record starts an epoch in which its writer holds the shard.
     bool starts_epoch = false;
     std::vector<claim_item> items;
     std::optional<claim_snapshot> snapshot;
--- a/packages/wire/include/hibiscus/wire/codec.hpp
+++ b/packages/wire/include/hibiscus/wire/codec.hpp
@@ -9,27 +9,27 @@
 
 namespace hibiscus::wire {
 
-/// Says that bytes are not the message that was expected.
+/// The error for bytes that are not a valid message of the expected type.
 struct decode_error {
-    /// What is wrong, for the log and for the sender.
+    /// A description of the error, for the log and for the sender.
     std::string message;
 };
 
-/// Returns `message` as JSON text. Instantiated for the messages of this
-/// package.
+/// Returns `message` as JSON text. codec.cpp instantiates it for each message
+/// type that is sent as JSON.
 template <class T>
 std::string to_json(const T& message);
 
-/// Returns the message that `text` holds. Unknown keys are ignored, missing
-/// and mistyped ones are an error.
+/// Parses the JSON `text`. Unknown keys are ignored. Returns an error if a
+/// required key is missing or a value has the wrong type.
 template <class T>
 base::result<T, decode_error> from_json(std::string_view text);
 
-/// Returns `message` in CBOR, in an envelope with the protocol's version.
+/// Returns `message` as CBOR, with the version of the peer protocol.
 std::string to_cbor(const peer_message& message);
 
-/// Returns the message that `bytes` holds. Nesting deeper than 32 levels is
-/// an error, so that a hostile message cannot exhaust the stack.
+/// Parses the CBOR `bytes`. Returns an error if they are nested deeper than 32
+/// levels, because a malicious message could otherwise exhaust the stack.
 base::result<peer_message, decode_error> from_cbor(std::string_view bytes);
 
 } // namespace hibiscus::wire
--- a/packages/wire/include/hibiscus/wire/engine.hpp
+++ b/packages/wire/include/hibiscus/wire/engine.hpp
@@ -4,46 +4,48 @@
 
 namespace hibiscus::wire {
 
-/// Starts a stream at an engine, or finds the one of that id.
+/// Starts a stream at an engine. Does nothing if a stream with this id exists.
 struct stream_start {
     base::stream_id stream;
     base::trainer_id trainer;
     std::string prompt;
     std::uint32_t max_tokens = 0;
-    /// Higher goes first.
+    /// Engines run streams of a higher priority first.
     int priority = 0;
     std::uint64_t seed = 0;
 };
 
-/// Asks for the chunks of one stream from `from` on.
+/// Asks for the chunks of one stream with sequence numbers `from` and above.
 struct stream_cursor {
     base::stream_id stream;
     std::uint32_t from = 0;
 };
 
-/// Asks for news of streams; waits up to `wait_ms` for the first.
+/// Asks an engine for updates of streams. Waits up to `wait_ms` for the first
+/// update.
 struct engine_poll {
     std::vector<stream_cursor> streams;
     base::millis wait_ms = 0;
 };
 
-/// What became of a stream.
+/// The state of a stream at an engine; `missing` if the engine has no stream
+/// with the id.
 enum class stream_state { queued, running, done, missing };
 
-/// News of one stream.
+/// The state and the new chunks of one stream.
 struct stream_update {
     base::stream_id stream;
     stream_state state = stream_state::missing;
     std::vector<chunk> chunks;
 };
 
-/// The version that an engine serves for a trainer.
+/// The weight version that an engine serves for a trainer.
 struct served_version {
     base::trainer_id trainer;
     weight_version version = 0;
 };
 
-/// An engine's answer to engine_poll. The load may lag behind.
+/// The response to engine_poll. The load figures may be stale.
 struct engine_poll_response {
     std::vector<stream_update> streams;
     int running = 0;
@@ -52,23 +54,25 @@
     std::vector<served_version> serving;
 };
 
-/// The number that orders the homes of an engine and their orders.
+/// Orders the version orders of an engine: first by the epoch of the home node
+/// that sent them, then by its sequence number.
 struct fencing_token {
     std::int64_t epoch = 0;
     std::int64_t sequence = 0;
 };
 
-/// Orders an engine to serve a version from now on.
+/// Commands an engine to serve a weight version.
 struct version_order {
     base::trainer_id trainer;
     weight_version version = 0;
     fencing_token number;
 };
 
-/// What an engine makes of an order.
+/// The result of a version_order; `fenced` if the engine rejected the order
+/// because of an old fencing token.
 enum class order_result { done, fenced, failed };
 
-/// The answer to a version_order.
+/// The response to a version_order.
 struct order_response {
     order_result verdict = order_result::failed;
 };
--- a/packages/wire/include/hibiscus/wire/peer.hpp
+++ b/packages/wire/include/hibiscus/wire/peer.hpp
@@ -8,119 +8,119 @@
 
 namespace hibiscus::wire {
 
-/// What an entry instance takes on.
+/// The state of an entry instance, which decides what work it accepts.
 enum class node_state {
-    starting, ///< It lacks the configuration and takes no requests.
-    ready,    ///< It takes requests and is home for its share.
-    isolated, ///< It sees neither the log nor most peers.
-    draining  ///< It finishes what it has and is home for nothing.
+    starting, ///< It has no configuration yet and accepts no requests.
+    ready, ///< It accepts requests and is the home node of its share of keys.
+    isolated, ///< It reaches neither the log nor most of its peers.
+    draining  ///< It finishes its requests and is the home node of no key.
 };
 
-/// The newest version of a trainer that a node knows.
+/// The newest weight version of a trainer that a node knows.
 struct trainer_version {
     base::trainer_id trainer;
     weight_version version = 0;
 };
 
-/// The streams of one trainer.
+/// The number of admitted streams of one trainer.
 struct trainer_streams {
     base::trainer_id trainer;
     int admitted = 0;
 };
 
-/// The load of an engine as its home knows it.
+/// The load of an engine as its home node knows it.
 struct engine_status {
     base::engine_id engine;
-    /// Streams that its home has admitted and not seen end.
+    /// Streams that the home node has admitted and that have not ended.
     int admitted = 0;
     int slots = 0;
     bool healthy = false;
     std::vector<served_version> serving;
-    /// False if its home cannot speak to it; another node may.
+    /// False if the home node can't reach it. Another node may reach it.
     bool reachable = true;
-    /// The admitted streams by trainer; one without any is left out.
+    /// The admitted streams by trainer. Trainers without any are omitted.
     std::vector<trainer_streams> streams;
 };
 
-/// Says that a node is alive and what it knows. Sent to each peer.
+/// Sent to each peer at regular intervals, with the state of the sender.
 struct heartbeat {
     base::node_id node;
-    /// Grows with each start of the node.
+    /// Increases with each start of the node.
     std::uint64_t incarnation = 0;
     base::zone_id zone;
     std::string address;
     std::string peer_address;
     node_state state = node_state::starting;
-    /// The revision of the document that the node has in force.
+    /// The revision of the document in force at the node.
     log_offset revision = 0;
     std::vector<trainer_version> versions;
     std::vector<engine_status> engines;
 };
 
-/// Asks a peer for the document that it has in force.
+/// Asks a peer for its document in force.
 struct document_request {
     base::node_id from;
     log_offset revision = 0;
 };
 
-/// Hands an accepted document to a peer.
+/// Sends an accepted document to a peer.
 struct document_offer {
     log_offset revision = 0;
     std::string document;
 };
 
-/// Opens a step at the trainer's home.
+/// Opens a step at the trainer's home node.
 struct open_step {
     base::trainer_id trainer;
     step_number step = 0;
     step_request request;
 };
 
-/// Pulls at the trainer's home.
+/// Pulls finished samples from the trainer's home node.
 struct pull_step {
     base::trainer_id trainer;
     step_number step = 0;
     pull_request request;
 };
 
-/// Tells a node the newest version of a trainer.
+/// Announces the newest weight version of a trainer to a node.
 struct learn_version {
     base::trainer_id trainer;
     weight_version version = 0;
 };
 
-/// Asks the home of a request's key to run it.
+/// Asks the home node of a request's key to run the request.
 struct run_request {
     service_request request;
 };
 
-/// Asks an engine's home to generate a slot.
+/// Asks an engine's home node to generate a sample.
 struct place_sample {
     base::engine_id engine;
-    /// The trainer's home, which gets the reports.
+    /// The trainer's home node, which receives the reports.
     base::node_id home;
     stream_start start;
 };
 
-/// The answer to place_sample.
+/// The response to place_sample.
 struct place_response {
     outcome result = outcome::unknown;
     reason why = reason::none;
     base::millis retry_after_ms = 0;
 };
 
-/// What a call asks for.
+/// The request that a call carries.
 using call_body = std::variant<open_step, pull_step, learn_version, run_request,
                                place_sample>;
 
-/// What a reply says.
+/// The response that a reply carries.
 using reply_body = std::variant<step_response, pull_response, version_response,
                                 service_response, place_response>;
 
-/// A call from one node to another; it has one reply.
+/// A call from one node to another, which sends one reply.
 struct call {
     std::uint64_t id = 0;
-    /// The node that gets the reply.
+    /// The node that receives the reply.
     base::node_id from;
     base::millis deadline_ms = 0;
     call_body body;
@@ -132,45 +132,47 @@
     reply_body body;
 };
 
-/// The state of one stream, from the engine's home to the trainer's.
+/// The state of one stream. The engine's home node sends it to the trainer's
+/// home node.
 struct stream_report {
     base::engine_id engine;
     base::stream_id stream;
     stream_state state = stream_state::missing;
-    /// The chunks of a stream that is done; else empty.
+    /// The chunks of the stream if it is done, otherwise empty.
     std::vector<chunk> chunks;
-    /// The oldest version among the chunks so far, if there are any.
+    /// The oldest weight version among the chunks so far, if there are any.
     std::optional<weight_version> oldest;
     std::uint32_t produced = 0;
 };
 
-/// States of streams. Repeated until acknowledged or cancelled.
+/// Reports the states of streams. Resent until the streams are acknowledged or
+/// cancelled.
 struct sample_report {
     base::node_id from;
     std::vector<stream_report> streams;
-    /// True if the trainer's former home passes it on.
+    /// True if a former home node of the trainer forwarded the report.
     bool forwarded = false;
 };
 
-/// Acknowledges that reports of finished streams arrived.
+/// Acknowledges reports of finished streams.
 struct sample_ack {
     std::vector<base::stream_id> streams;
 };
 
-/// Tells an engine's home that streams are no longer wanted.
+/// Asks an engine's home node to cancel streams.
 struct cancel_streams {
     base::engine_id engine;
     std::vector<base::stream_id> streams;
-    /// The trainer's home that no longer wants them.
+    /// The trainer's home node, which cancels them.
     base::node_id home;
 };
 
-/// Everything that nodes say to each other.
+/// Any message between two nodes.
 using peer_message =
     std::variant<heartbeat, document_request, document_offer, call, reply,
                  sample_report, sample_ack, cancel_streams>;
 
-/// The version of the peer protocol; a message of another one is refused.
+/// The version of the peer protocol. Messages of other versions are rejected.
 constexpr int peer_protocol_version = 1;
 
 } // namespace hibiscus::wire
--- a/packages/wire/include/hibiscus/wire/platform.hpp
+++ b/packages/wire/include/hibiscus/wire/platform.hpp
@@ -4,40 +4,40 @@
 
 namespace hibiscus::wire {
 
-/// A place in a log stream.
+/// The offset of a record in a log stream.
 using log_offset = std::int64_t;
 
-/// A record as the log service keeps it.
+/// A record of a log stream.
 struct log_record {
     log_offset offset = 0;
     base::append_id id;
     std::string data;
 };
 
-/// What a read of a stream returns.
+/// The response to a read of a stream.
 struct log_page {
-    /// The lowest offset that retention has left.
+    /// The offset of the first record that retention has not dropped.
     log_offset first = 0;
     /// The offset after the last record of the stream.
     log_offset end = 0;
     std::vector<log_record> records;
 };
 
-/// What an append sends.
+/// The body of an append to a stream.
 struct append_request {
     base::append_id id;
     std::string data;
 };
 
-/// Where an append ended up.
+/// The response to an append, with the offset of the record.
 struct append_response {
     log_offset offset = 0;
 };
 
-/// What an instance of the list is there for.
+/// The role of an instance of the list.
 enum class instance_role { entry, engine, service };
 
-/// Whether an instance stays.
+/// Whether an instance is in service or about to be removed.
 enum class instance_state { live, leaving };
 
 /// One row of the platform's list of instances.
@@ -48,13 +48,13 @@
     /// The pool of an engine or the name of a service; empty for an entry.
     std::string group;
     base::zone_id zone;
-    /// Where it answers HTTP.
+    /// The address of its HTTP server.
     std::string address;
-    /// Where an entry accepts its peers' links.
+    /// The address at which an entry accepts links from its peers.
     std::string peer_address;
 };
 
-/// The platform's list of instances, some seconds old.
+/// The platform's list of instances, which may be some seconds old.
 struct instance_list {
     std::vector<instance> instances;
 };
@@ -63,13 +63,13 @@
 struct config_record {
     int schema = 1;
     std::string publish_id;
-    /// The revision that the publisher saw in force; 0 before the first.
+    /// The revision in force that the document replaces; 0 if there is none.
     log_offset base = 0;
     std::string document;
-    /// Set when a home repeats an accepted record before retention drops it:
-    /// the revision that the document already has.
+    /// Set in a snapshot, which a home node appends before retention drops the
+    /// accepted record: the revision of the document.
     log_offset revision = 0;
-    /// Set with it: the revision was in force after the records before this
+    /// Set in a snapshot: it holds the state after all records before this
     /// offset.
     log_offset covers = 0;
 };
--- a/packages/wire/include/hibiscus/wire/samples.hpp
+++ b/packages/wire/include/hibiscus/wire/samples.hpp
@@ -7,27 +7,27 @@
 
 namespace hibiscus::wire {
 
-/// The number of a trainer's weights; a later one is greater.
+/// The version number of a trainer's weights. Newer versions are greater.
 using weight_version = std::int64_t;
 /// The number of a trainer's step.
 using step_number = std::int64_t;
-/// The place of a sample in its step, counted over all groups from 0.
+/// The index of a sample in its step, counted over all groups from 0.
 using slot_index = std::uint32_t;
 
-/// A prompt from which several samples are drawn.
+/// A prompt for which several samples are generated.
 struct prompt_group {
     std::string prompt;
     std::uint32_t samples = 0;
     std::uint32_t max_tokens = 0;
 };
 
-/// Opens a step. Opening the same step again changes nothing.
+/// Opens a step. Idempotent: opening the same step again has no effect.
 struct step_request {
     weight_version version = 0;
     std::vector<prompt_group> groups;
 };
 
-/// The answer to a step_request.
+/// The response to a step_request.
 struct step_response {
     outcome result = outcome::unknown;
     reason why = reason::none;
@@ -35,8 +35,7 @@
     std::uint32_t slots = 0;
 };
 
-/// A part of a sample that one weight version produced, as the engine
-/// reported it.
+/// A part of a sample that was generated with one weight version.
 struct chunk {
     std::uint32_t seq = 0;
     weight_version version = 0;
@@ -51,17 +50,18 @@
     std::vector<chunk> chunks;
 };
 
-/// The slots from `first` to `last`, both included.
+/// The sample slots from `first` to `last`, inclusive.
 struct slot_range {
     slot_index first = 0;
     slot_index last = 0;
 };
 
-/// Asks for finished samples of a step. The trainer names its newest version
-/// and what it has; only other slots are answered.
+/// Asks for finished samples of a step. The trainer sends its newest weight
+/// version and the sample slots that it has received; the response contains
+/// other slots only.
 struct pull_request {
-    /// Grows with each pull of the trainer; the trainer takes only the answer
-    /// to its latest one.
+    /// Increases with each pull of the trainer. The trainer ignores responses
+    /// to all but its latest pull.
     std::int64_t pull = 0;
     weight_version version = 0;
     std::vector<slot_range> received;
@@ -69,25 +69,26 @@
     base::millis wait_ms = 0;
 };
 
-/// The answer to a pull_request.
+/// The response to a pull_request.
 struct pull_response {
     std::int64_t pull = 0;
     outcome result = outcome::unknown;
     reason why = reason::none;
     base::millis retry_after_ms = 0;
     base::node_id node;
-    /// The step's slots that are neither received nor in this answer.
+    /// The number of the step's slots that are neither received nor in this
+    /// response.
     std::uint32_t missing = 0;
     std::vector<sample> samples;
 };
 
-/// Tells the system that a trainer's weights are in the weight store.
+/// Announces that a version of a trainer's weights is in the weight store.
 struct version_request {
     weight_version version = 0;
 };
 
-/// The answer to a version_request. `completed` means that no sample older
-/// than the bound leaves any entry from now on.
+/// The response to a version_request. `completed` means that from now on no
+/// entry delivers a sample older than the staleness bound allows.
 struct version_response {
     outcome result = outcome::unknown;
     reason why = reason::none;
@@ -95,23 +96,24 @@
     weight_version newest = 0;
 };
 
-/// An address that callers may use.
+/// The address of an entry that callers may use.
 struct entry_address {
     base::node_id node;
     base::zone_id zone;
     std::string address;
 };
 
-/// The addresses that callers may use, best first, and for how long.
+/// The entries that callers may use, best first, and how long the list is
+/// valid.
 struct entries_response {
     base::millis ttl_ms = 0;
     std::vector<entry_address> entries;
 };
 
-/// The answer to a request that was malformed.
+/// The body of the response to a malformed request.
 struct problem {
     reason why = reason::invalid_request;
-    /// The part of the request that is wrong, for instance "/groups/0/samples".
+    /// The invalid part of the request, for example "/groups/0/samples".
     std::string where;
     std::string expected;
 };
--- a/packages/wire/include/hibiscus/wire/service.hpp
+++ b/packages/wire/include/hibiscus/wire/service.hpp
@@ -9,11 +9,11 @@
 
 namespace hibiscus::wire {
 
-/// What is known about the effect of a request.
+/// Whether a request ran.
 enum class outcome {
-    completed, ///< It ran and the answer is whole.
-    not_run,   ///< It did not run and will not; it may be sent again.
-    unknown    ///< It may have run; nobody can tell.
+    completed, ///< It ran, and the response is complete.
+    not_run,   ///< It did not run and will not; it is safe to retry.
+    unknown    ///< It may have run.
 };
 
 /// Why a request was not completed.
@@ -40,34 +40,36 @@
     config_unknown
 };
 
-/// A caller's request to a service behind the entries.
+/// A caller's request to a service.
 struct service_request {
     base::request_id id;
     base::service_id service;
     bool idempotent = true;
-    /// Milliseconds that the caller still waits.
+    /// The time that the caller will still wait, in ms.
     base::millis deadline_ms = 0;
-    /// When the caller first made the request, by the time of day. A
-    /// non-idempotent request that is older than the claim window is refused.
+    /// The wall-clock time at which the caller created the request. A
+    /// non-idempotent request older than the claim window is rejected.
     base::millis created_ms = 0;
     std::string body;
 };
 
-/// The one answer to a service_request.
+/// The response to a service_request.
 struct service_response {
     base::request_id id;
     outcome result = outcome::unknown;
     reason why = reason::none;
-    /// When not_run: how long to wait before the next try.
+    /// If `result` is not_run, the time to wait before a retry.
     base::millis retry_after_ms = 0;
     std::string body;
-    /// The entry instance that spoke to the backend server, or refused.
+    /// The entry instance that called the backend server or rejected the
+    /// request.
     base::node_id node;
-    /// The number of the attempt that produced the answer, from 1.
+    /// The number of the attempt that produced the response, from 1; 0 if no
+    /// attempt did.
     int attempt = 0;
 };
 
-/// Returns the answer that says that the request `id` was not run.
+/// Returns the response for a request that did not run.
 inline service_response make_not_run_response(const base::request_id& id,
                                               reason why,
                                               base::millis retry_after_ms,
@@ -75,7 +77,7 @@
     return {id, outcome::not_run, why, retry_after_ms, {}, node, 0};
 }
 
-/// Returns the answer that says that the request `id` may have run.
+/// Returns the response for a request that may have run.
 inline service_response make_unknown_response(const base::request_id& id,
                                               reason why,
                                               const base::node_id& node) {
--- a/packages/wire/src/codec.cpp
+++ b/packages/wire/src/codec.cpp
@@ -13,10 +13,10 @@
 
 constexpr int max_depth = 32;
 
-/// Returns false as soon as a parse event nests deeper than max_depth.
+/// A callback of json::parse that rejects input nested deeper than max_depth.
 class json_depth_filter {
 public:
-    /// Returns true if `depth` is allowed.
+    /// Called for each parse event. Returns false to discard the value.
     bool operator()(int depth, json::parse_event_t event, json& parsed) {
         (void)event;
         (void)parsed;
@@ -31,7 +31,7 @@
     bool too_deep_ = false;
 };
 
-/// Counts the nesting of CBOR without building anything, and stops early.
+/// A SAX handler that stops parsing at input nested deeper than max_depth.
 class json_depth_checker : public json::json_sax_t {
 public:
     bool null() override { return true; }
@@ -60,8 +60,7 @@
     int depth_ = 0;
 };
 
-/// Runs `decode`, which throws the json library's errors, and returns what it
-/// returns or a decode_error. Here the library's exceptions end.
+/// Runs `decode` and converts exceptions of the JSON library to a decode_error.
 template <class T, class F>
 base::result<T, decode_error> decode_guarded(F decode) {
     try {
@@ -71,7 +70,7 @@
     }
 }
 
-/// The names of the alternatives of a variant of messages, in their order.
+/// The names on the wire of the alternatives of a message variant, in order.
 template <class V>
 struct variant_names;
 
@@ -104,7 +103,7 @@
 
 } // namespace
 
-// The json library finds these by the namespace of their arguments.
+// The JSON library finds these functions by argument-dependent lookup.
 
 void to_json(json& j, const open_step& m) {
     j = {{"trainer", m.trainer}, {"step", m.step}, {"request", m.request}};
@@ -169,7 +168,8 @@
 template <class V, std::size_t I = 0>
 V alternative_from_json(const std::string& kind, const json& value) {
     if constexpr (I == std::variant_size_v<V>) {
-        throw json::other_error::create(501, "unknown kind " + kind, &value);
+        throw json::other_error::create(501, "unknown message kind " + kind,
+                                        &value);
     } else {
         if (kind == variant_names<V>::names[I]) {
             return value.template get<std::variant_alternative_t<I, V>>();
@@ -188,17 +188,17 @@
 
 template <class T>
 std::string to_json(const T& message) {
-    // Bytes that are not UTF-8 are replaced: they are never ours, and an
-    // exception here would end the process.
+    // Invalid UTF-8 can come from callers and backend servers. It is replaced,
+    // because an uncaught exception would terminate the process.
     return json(message).dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
 template <class T>
 base::result<T, decode_error> from_json(std::string_view text) {
     return decode_guarded<T>([&]() -> base::result<T, decode_error> {
-        json_depth_filter limit;
-        const json j = json::parse(text, std::ref(limit));
-        if (limit.too_deep()) {
+        json_depth_filter depth_filter;
+        const json j = json::parse(text, std::ref(depth_filter));
+        if (depth_filter.too_deep()) {
             return decode_error{"nested too deeply"};
         }
         return j.get<T>();
@@ -216,14 +216,14 @@
 base::result<peer_message, decode_error> from_cbor(std::string_view bytes) {
     using result = base::result<peer_message, decode_error>;
     return decode_guarded<peer_message>([&]() -> result {
-        json_depth_checker counter;
-        if (!json::sax_parse(bytes.begin(), bytes.end(), &counter,
+        json_depth_checker depth_checker;
+        if (!json::sax_parse(bytes.begin(), bytes.end(), &depth_checker,
                              json::input_format_t::cbor)) {
-            return decode_error{"not CBOR, or nested too deeply"};
+            return decode_error{"invalid CBOR, or nested too deeply"};
         }
         const json j = json::from_cbor(bytes.begin(), bytes.end());
         if (j.at("v").get<int>() != peer_protocol_version) {
-            return decode_error{"another version of the protocol"};
+            return decode_error{"unsupported version of the peer protocol"};
         }
         return variant_from_json<peer_message>(j);
     });
--- a/packages/wire/src/mapping.hpp
+++ b/packages/wire/src/mapping.hpp
@@ -20,7 +20,7 @@
     }
 };
 
-/// Maps enumerations that have a table of names to their names.
+/// Maps enumerators to their names in the enum_names table.
 template <class E>
 struct adl_serializer<
     E, std::enable_if_t<hibiscus::base::has_enum_names<E>::value>> {
@@ -52,7 +52,8 @@
 
 namespace hibiscus::wire {
 
-// The json library's macros write the pair of functions for each message.
+// These macros of the JSON library define to_json() and from_json() for each
+// message. The arguments are the keys on the wire.
 // NOLINTBEGIN
 #define HIBISCUS_WIRE(...) NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(__VA_ARGS__)
 
@@ -119,15 +120,15 @@
 #undef HIBISCUS_WIRE
 // NOLINTEND
 
-/// Maps a caller's request; only the body may be left out.
+/// Maps a caller's request. `created_ms` and `body` may be omitted.
 void to_json(nlohmann::json& j, const service_request& r);
 void from_json(const nlohmann::json& j, service_request& r);
 
-/// Maps a range to a pair of numbers, which keeps pulls short.
+/// Maps a range to a pair of numbers, which keeps pull requests small.
 void to_json(nlohmann::json& j, const slot_range& r);
 void from_json(const nlohmann::json& j, slot_range& r);
 
-/// Maps a pull; only the trainer's numbers are needed.
+/// Maps a pull request. `max_samples` and `wait_ms` may be omitted.
 void to_json(nlohmann::json& j, const pull_request& r);
 void from_json(const nlohmann::json& j, pull_request& r);
 
