--- a/packages/document/include/hibiscus/document/config_state_machine.hpp
+++ b/packages/document/include/hibiscus/document/config_state_machine.hpp
@@ -13,64 +13,66 @@
 
 namespace hibiscus::document {
 
-/// What the fold made of a publish.
+/// The verdict on a publish.
 enum class publish_verdict {
-    accepted,   ///< It is or was in force.
+    accepted,   ///< Its document is or was in force.
     superseded, ///< Its base was not the revision in force.
     invalid,    ///< Its document has errors.
-    unknown     ///< No record of it has been read.
+    unknown     ///< No record of it has been applied.
 };
 
-/// The document in force.
+/// A document that was accepted.
 struct revision {
-    /// The offset of the record that first carried the document.
+    /// One more than the offset of the record that published the document.
     wire::log_offset number = 0;
     std::string text;
     document content;
 };
 
-/// Folds the `config` stream. All nodes that fold the same records have the
-/// same document in force, so no other agreement is needed. What a peer hands
-/// over is kept apart from the fold; the higher revision of the two counts.
+/// Determines the document in force from the records of the `config` stream.
+/// All nodes that apply the same records accept the same documents, so they
+/// need no other consensus. A document adopted from a peer is kept separately
+/// and does not affect verdicts; of the two, the higher revision is in force.
 class config_state_machine {
 public:
-    /// Applies one record. Records are applied in the order of their offsets;
-    /// a record at or before the last one is skipped.
+    /// Applies one record. Call it in the order of the offsets. A record below
+    /// next_offset() is ignored.
     void apply(wire::log_offset offset, const wire::config_record& record);
 
-    /// Notes that retention dropped the records before `first`. If some of
-    /// them were not applied, what follows is judged only once a repeated
-    /// record tells which revision it builds on.
+    /// Called with the first offset that retention has kept. If some dropped
+    /// records were not applied, later publishes are evaluated only after a
+    /// snapshot provides the accepted revision.
     void handle_truncation(wire::log_offset first);
 
-    /// Passes over the record at `offset`, which no node can read.
+    /// Skips the record at `offset`, which no node can decode.
     void skip_invalid_record(wire::log_offset offset) {
         next_offset_ = std::max(next_offset_, offset + 1);
     }
 
-    /// Takes over a document that a peer has accepted. Returns true if it is
-    /// newer than the one in force; an older one changes nothing.
+    /// Adopts a document that a peer has accepted, if it is valid and newer
+    /// than the one in force. Returns true if it was adopted.
     bool adopt_from_peer(wire::log_offset number, const std::string& text);
 
-    /// Returns the document in force, or null before the first.
+    /// Returns the revision in force, or null if there is none yet.
     const revision* in_force() const;
 
-    /// Returns true unless records are missing that decide what is accepted.
+    /// Returns false while records are missing that are needed to evaluate
+    /// publishes.
     bool is_complete() const { return !gap_end_; }
 
-    /// Returns the revision that the stream has accepted, or null before the
-    /// first. The next publish must name it as its base.
+    /// Returns the last revision accepted from the stream, or null if there is
+    /// none. The next publish must have it as its base.
     const revision* accepted_revision() const;
 
-    /// Returns the record that repeats the accepted document, so that the
-    /// records before next() are not needed any more. Only if complete().
+    /// Returns a snapshot record with the accepted document, which replaces the
+    /// records before next_offset(). Requires is_complete().
     wire::config_record make_snapshot() const;
 
-    /// Returns the offset from which on the stream explains itself, 0 if only
-    /// from its start.
+    /// Returns the offset after the last record that a snapshot in the stream
+    /// covers; 0 if there is no snapshot.
     wire::log_offset snapshot_offset() const { return snapshot_offset_; }
 
-    /// Returns what became of the publish `publish_id`.
+    /// Returns the verdict on the publish `publish_id`.
     publish_verdict verdict(const std::string& publish_id) const;
 
     /// Returns the offset after the last record that was applied.
@@ -81,7 +83,7 @@
                           const wire::config_record& record);
     void apply_snapshot(wire::log_offset offset,
                         const wire::config_record& record);
-    void resume_from_snapshot(const wire::config_record& repeat);
+    void resume_from_snapshot(const wire::config_record& snapshot);
     void record_verdict(const std::string& publish_id, publish_verdict verdict);
 
     std::optional<revision> accepted_;
@@ -89,7 +91,8 @@
     std::string accepted_publish_id_;
     std::map<std::string, publish_verdict> verdicts_;
     std::deque<std::string> verdict_order_;
-    /// The first offset after the records that are missing.
+    /// The first offset after the missing records, until a snapshot replaces
+    /// them.
     std::optional<wire::log_offset> gap_end_;
     std::vector<std::pair<wire::log_offset, wire::config_record>>
         deferred_records_;
--- a/packages/document/include/hibiscus/document/diff.hpp
+++ b/packages/document/include/hibiscus/document/diff.hpp
@@ -11,21 +11,21 @@
 enum class change_kind {
     added,   ///< Only the later document has it.
     removed, ///< Only the earlier document has it.
-    changed  ///< Both have it, with other values.
+    changed  ///< Both documents have it, with different values.
 };
 
 /// One value that differs between two documents.
 struct change {
     change_kind kind = change_kind::changed;
-    /// Where, by name: "/trainers/tagger/weight".
+    /// The path of the value, with row names: "/trainers/tagger/weight".
     std::string path;
     std::string before;
     std::string after;
 };
 
-/// Returns what differs between two documents, ordered by path. Rows are told
-/// apart by their names, so their order does not matter; a value that is left
-/// out counts as its default.
+/// Returns the values that differ between two documents, ordered by path. Rows
+/// are matched by name, so their order does not matter. An omitted value counts
+/// as its default.
 std::vector<change> diff(const document& before, const document& after);
 
 } // namespace hibiscus::document
--- a/packages/document/include/hibiscus/document/document.hpp
+++ b/packages/document/include/hibiscus/document/document.hpp
@@ -12,88 +12,91 @@
 
 /// How an engine is chosen for a sample.
 enum class placement_kind {
-    least_admitted,  ///< The fewest streams for its slots.
-    power_of_two,    ///< The better of two drawn at random.
-    prefix_affinity, ///< A group's engine, unless it is too loaded.
-    round_robin,     ///< Each in its turn.
-    random_choice    ///< Any.
+    least_admitted,  ///< The engine with the fewest streams per slot.
+    power_of_two,    ///< The less loaded of two random engines.
+    prefix_affinity, ///< One engine per prompt group, unless it is overloaded.
+    round_robin,     ///< Each engine in turn.
+    random_choice    ///< A random engine.
 };
 
-/// What is done about the last samples of a step, which hold it up.
+/// How the last samples of a step are accelerated.
 enum class straggler_kind {
-    none,           ///< Nothing.
-    raise_priority, ///< Engines run them before others.
-    move            ///< Also moved away from where they have not begun.
+    none,           ///< Not at all.
+    raise_priority, ///< Engines run them before other samples.
+    move            ///< Also moves unstarted samples to other engines.
 };
 
-/// Which weight versions a sample may begin with.
+/// The weight versions with which a sample may start.
 enum class start_version_kind {
-    within_bound,  ///< All inside the staleness bound at that time.
-    expect_publish ///< Those that another publish leaves inside the bound.
+    within_bound,  ///< All versions within the staleness bound at the start.
+    expect_publish ///< Versions within the bound after the next publish.
 };
 
-/// Someone who pays for engines.
+/// A party that pays for engines.
 struct owner {
     base::owner_id name;
-    /// The share of contended engines, relative to the other owners'.
+    /// The weight, relative to other owners, when owners compete for engines.
     double weight = 1.0;
 };
 
-/// Engines that serve the same trainers.
+/// A set of engines that serve the same trainers.
 struct pool {
     base::pool_id name;
     base::owner_id owner;
-    /// How many streams one engine runs at a time.
+    /// The number of streams that one engine runs at a time.
     int slots_per_engine = 8;
-    /// Streams admitted beyond the slots, as a share of them.
+    /// The number of queued streams allowed, as a fraction of the slots.
     double queue_share = 1.0;
-    /// True if the engines refuse an order with an old fencing number.
+    /// True if the engines reject orders with an old fencing token.
     bool checks_fencing = true;
-    /// The share of the engines that may swap versions at a time.
+    /// The maximum fraction of the engines that swap weight versions at a time.
     double swap_share = 0.34;
     placement_kind placement = placement_kind::prefix_affinity;
     start_version_kind start_version = start_version_kind::expect_publish;
 };
 
-/// A trainer that draws samples.
+/// A trainer, which pulls samples.
 struct trainer {
     base::trainer_id name;
     base::owner_id owner;
     base::pool_id pool;
-    /// The share of a contended pool, relative to the other trainers'.
+    /// The weight, relative to other trainers, when trainers compete for the
+    /// pool.
     double weight = 1.0;
     /// Engines run streams of a higher priority first.
     int priority = 0;
-    /// How many versions a sample may be behind at its delivery.
+    /// The maximum number of versions that a sample may be behind the newest
+    /// one when it is delivered.
     int staleness_bound = 1;
     straggler_kind stragglers = straggler_kind::raise_priority;
 };
 
-/// A service that answers requests.
+/// A service whose instances serve requests of callers.
 struct service {
     base::service_id name;
     base::owner_id owner;
-    /// Requests that one instance takes at a time from one entry.
+    /// The maximum number of requests in flight from one entry to one instance.
     int max_in_flight = 64;
-    /// Whether a call may be tried twice at the same time to cut its delay.
+    /// True if a slow request may be hedged: a second attempt is sent while the
+    /// first is in flight, to reduce latency.
     bool hedge = false;
 };
 
-/// Limits that hold for the whole system.
+/// Limits that apply to the whole system.
 struct limits {
-    /// How long an answer of GET /v1/entries may be used, in ms.
+    /// How long a response to GET /v1/entries is valid, in ms.
     base::millis entries_ttl_ms = 2000;
     /// How long a claim is kept, in ms.
     base::millis claim_window_ms = 600000;
-    /// The longest that a pull waits, in ms.
+    /// The maximum time that a pull waits for samples, in ms.
     base::millis pull_wait_ms = 2000;
-    /// Retries allowed for each request on average.
+    /// The average number of retries allowed per request.
     double retry_ratio = 0.1;
-    /// How long an order to an engine may be on its way, in ms.
+    /// The maximum time that an order to an engine may be in flight, in ms.
     base::millis order_life_ms = 5000;
 };
 
-/// The operators' document: everything that they decide.
+/// The configuration document, which operators publish.
 struct document {
     int schema = 1;
     std::vector<owner> owners;
--- a/packages/document/include/hibiscus/document/parse.hpp
+++ b/packages/document/include/hibiscus/document/parse.hpp
@@ -7,30 +7,31 @@
 
 namespace hibiscus::document {
 
-/// What is wrong with a part of a document.
+/// The kind of an error in a document.
 enum class parse_error_kind {
     not_json,       ///< The text is not JSON.
-    unknown_schema, ///< The schema is newer than this program.
-    wrong_type,     ///< A value of another type was expected.
-    out_of_range,   ///< A number is too small or too large.
-    missing,        ///< A key that is needed is not there.
-    unknown_key,    ///< A key that the schema does not have.
-    unknown_name,   ///< A name that refers to nothing.
-    repeated_name   ///< A name that an entry before has.
+    unknown_schema, ///< The schema version is newer than this program supports.
+    wrong_type,     ///< The value has the wrong type.
+    out_of_range,   ///< The number is too small or too large.
+    missing,        ///< A required key is missing.
+    unknown_key,    ///< The schema has no such key.
+    unknown_name,   ///< The name refers to nothing that exists.
+    repeated_name   ///< An earlier entry has the same name.
 };
 
 /// One error of a document.
 struct parse_error {
     parse_error_kind kind = parse_error_kind::not_json;
-    /// Where, as a JSON pointer: "/trainers/0/pool".
+    /// The location, as a JSON pointer: "/trainers/0/pool".
     std::string path;
     std::string expected;
 };
 
-/// All errors of a document, in its order.
+/// All errors of a document. Errors in values come first, in document order,
+/// then errors in names.
 using parse_errors = std::vector<parse_error>;
 
-/// Returns the document in the JSON `text`, or all of its errors.
+/// Parses the JSON `text`. Returns the document, or all of its errors.
 base::result<document, parse_errors> parse(std::string_view text);
 
 } // namespace hibiscus::document
--- a/packages/document/src/config_state_machine.cpp
+++ b/packages/document/src/config_state_machine.cpp
@@ -8,19 +8,19 @@
 
 namespace {
 
-/// Verdicts kept for operators who ask again; at 17,000 changes a day those
-/// of about six hours.
+/// The number of verdicts kept for operators who query them later. At 17,000
+/// publishes a day these cover about six hours.
 constexpr std::size_t max_verdicts = 4096;
 
 bool is_snapshot(const wire::config_record& record) {
     return record.revision != 0 || record.covers != 0;
 }
 
-wire::log_offset number_of(const std::optional<revision>& r) {
+wire::log_offset number_or_zero(const std::optional<revision>& r) {
     return r ? r->number : 0;
 }
 
-/// Returns the revision of that number and text, or nothing if the text is no
+/// Parses `text` to a revision. Returns nullopt if `text` is not a valid
 /// document.
 std::optional<revision> make_revision(wire::log_offset number,
                                       const std::string& text) {
@@ -53,10 +53,10 @@
     if (first <= next_offset_) {
         return;
     }
-    // A publish among the lost records may have been accepted. Judged against
-    // the revision before them, later ones would be refused here and accepted
-    // elsewhere, and this node would never agree with the others again.
-    if (number_of(accepted_) > number_of(adopted_)) {
+    // A publish among the dropped records may have been accepted. If later
+    // publishes were evaluated against the revision before it, this node would
+    // reject publishes that other nodes accept, and would diverge for good.
+    if (number_or_zero(accepted_) > number_or_zero(adopted_)) {
         adopted_ = std::move(accepted_);
     }
     accepted_.reset();
@@ -82,18 +82,19 @@
 }
 
 void config_state_machine::resume_from_snapshot(
-    const wire::config_record& repeat) {
-    if (repeat.revision != 0) {
-        accepted_ = make_revision(repeat.revision, repeat.document);
+    const wire::config_record& snapshot) {
+    if (snapshot.revision != 0) {
+        accepted_ = make_revision(snapshot.revision, snapshot.document);
         if (!accepted_) {
             return;
         }
-        accepted_publish_id_ = repeat.publish_id;
+        accepted_publish_id_ = snapshot.publish_id;
     }
     gap_end_.reset();
-    // Publishes may have come between the repeat's making and its append.
+    // Publishes may have been appended after the snapshot was made and before
+    // it was appended.
     for (const auto& [offset, record] : std::exchange(deferred_records_, {})) {
-        if (offset >= repeat.covers) {
+        if (offset >= snapshot.covers) {
             evaluate_publish(offset, record);
         }
     }
@@ -101,23 +102,23 @@
 
 void config_state_machine::evaluate_publish(wire::log_offset offset,
                                             const wire::config_record& record) {
-    // An append whose answer was lost is sent again with the same id, and the
-    // operator would see the second one refused as superseded by the first.
-    // The first record decides.
+    // An append whose response was lost is retried with the same id. The first
+    // record decides; otherwise the operator would see the publish as
+    // superseded by its own first copy.
     if (verdicts_.count(record.publish_id) != 0) {
         return;
     }
-    if (record.base != number_of(accepted_)) {
+    if (record.base != number_or_zero(accepted_)) {
         record_verdict(record.publish_id, publish_verdict::superseded);
         return;
     }
-    // Offsets start at 0 and revision 0 means none, hence one more.
-    auto made = make_revision(offset + 1, record.document);
-    if (!made) {
+    // Offsets start at 0, but revision 0 means none.
+    auto accepted = make_revision(offset + 1, record.document);
+    if (!accepted) {
         record_verdict(record.publish_id, publish_verdict::invalid);
         return;
     }
-    accepted_ = std::move(made);
+    accepted_ = std::move(accepted);
     accepted_publish_id_ = record.publish_id;
     record_verdict(record.publish_id, publish_verdict::accepted);
 }
@@ -136,20 +137,20 @@
 
 bool config_state_machine::adopt_from_peer(wire::log_offset number,
                                            const std::string& text) {
-    const auto* now = in_force();
-    if (now != nullptr && now->number >= number) {
+    const auto* current = in_force();
+    if (current != nullptr && current->number >= number) {
         return false;
     }
-    auto made = make_revision(number, text);
-    if (!made) {
+    auto adopted = make_revision(number, text);
+    if (!adopted) {
         return false;
     }
-    adopted_ = std::move(made);
+    adopted_ = std::move(adopted);
     return true;
 }
 
 const revision* config_state_machine::in_force() const {
-    if (number_of(adopted_) > number_of(accepted_)) {
+    if (number_or_zero(adopted_) > number_or_zero(accepted_)) {
         return &*adopted_;
     }
     return accepted_revision();
@@ -172,8 +173,8 @@
 
 publish_verdict
 config_state_machine::verdict(const std::string& publish_id) const {
-    const auto at = verdicts_.find(publish_id);
-    return at == verdicts_.end() ? publish_verdict::unknown : at->second;
+    const auto it = verdicts_.find(publish_id);
+    return it == verdicts_.end() ? publish_verdict::unknown : it->second;
 }
 
 } // namespace hibiscus::document
--- a/packages/document/src/diff.cpp
+++ b/packages/document/src/diff.cpp
@@ -7,39 +7,39 @@
 
 namespace {
 
-/// The values of a document by their paths.
+/// The values of a document by path.
 using value_map = std::map<std::string, std::string>;
 
-std::string text_of(bool value) {
+std::string to_text(bool value) {
     return value ? "true" : "false";
 }
 
 template <class Tag>
-std::string text_of(const base::id<Tag>& value) {
+std::string to_text(const base::id<Tag>& value) {
     return value.str();
 }
 
 template <class T>
-std::string text_of(const T& value) {
+std::string to_text(const T& value) {
     if constexpr (std::is_enum_v<T>) {
         return std::string(base::name_of(value));
     } else {
-        std::ostringstream out;
-        out << value;
-        return out.str();
+        std::ostringstream stream;
+        stream << value;
+        return stream.str();
     }
 }
 
-/// Notes the values of one row.
+/// Adds the values of one row to a value_map.
 class value_writer {
 public:
     value_writer(value_map& target, std::string path)
         : target_(target), path_(std::move(path)) {}
 
-    /// Notes one value of the row.
+    /// Adds one value of the row.
     template <class T>
     value_writer& put(const char* key, const T& value) {
-        target_[path_ + "/" + key] = text_of(value);
+        target_[path_ + "/" + key] = to_text(value);
         return *this;
     }
 
@@ -48,12 +48,12 @@
     std::string path_;
 };
 
-void write(value_map& to, const owner& o) {
-    value_writer(to, "/owners/" + o.name.str()).put("weight", o.weight);
+void write(value_map& target, const owner& o) {
+    value_writer(target, "/owners/" + o.name.str()).put("weight", o.weight);
 }
 
-void write(value_map& to, const pool& p) {
-    value_writer(to, "/pools/" + p.name.str())
+void write(value_map& target, const pool& p) {
+    value_writer(target, "/pools/" + p.name.str())
         .put("owner", p.owner)
         .put("slots_per_engine", p.slots_per_engine)
         .put("queue_share", p.queue_share)
@@ -63,8 +63,8 @@
         .put("start_version", p.start_version);
 }
 
-void write(value_map& to, const trainer& t) {
-    value_writer(to, "/trainers/" + t.name.str())
+void write(value_map& target, const trainer& t) {
+    value_writer(target, "/trainers/" + t.name.str())
         .put("owner", t.owner)
         .put("pool", t.pool)
         .put("weight", t.weight)
@@ -73,15 +73,15 @@
         .put("stragglers", t.stragglers);
 }
 
-void write(value_map& to, const service& s) {
-    value_writer(to, "/services/" + s.name.str())
+void write(value_map& target, const service& s) {
+    value_writer(target, "/services/" + s.name.str())
         .put("owner", s.owner)
         .put("max_in_flight", s.max_in_flight)
         .put("hedge", s.hedge);
 }
 
-void write(value_map& to, const limits& l) {
-    value_writer(to, "/limits")
+void write(value_map& target, const limits& l) {
+    value_writer(target, "/limits")
         .put("entries_ttl_ms", l.entries_ttl_ms)
         .put("claim_window_ms", l.claim_window_ms)
         .put("pull_wait_ms", l.pull_wait_ms)
@@ -90,13 +90,13 @@
 }
 
 template <class Row>
-void write_all(value_map& to, const std::vector<Row>& rows) {
+void write_all(value_map& target, const std::vector<Row>& rows) {
     for (const auto& row : rows) {
-        write(to, row);
+        write(target, row);
     }
 }
 
-value_map values_of(const document& d) {
+value_map collect_values(const document& d) {
     value_map result;
     write_all(result, d.owners);
     write_all(result, d.pools);
@@ -109,15 +109,15 @@
 } // namespace
 
 std::vector<change> diff(const document& before, const document& after) {
-    const auto old_values = values_of(before);
-    const auto new_values = values_of(after);
+    const auto old_values = collect_values(before);
+    const auto new_values = collect_values(after);
     std::map<std::string, change> changes;
     for (const auto& [path, value] : old_values) {
-        const auto at = new_values.find(path);
-        if (at == new_values.end()) {
+        const auto it = new_values.find(path);
+        if (it == new_values.end()) {
             changes[path] = {change_kind::removed, path, value, ""};
-        } else if (at->second != value) {
-            changes[path] = {change_kind::changed, path, value, at->second};
+        } else if (it->second != value) {
+            changes[path] = {change_kind::changed, path, value, it->second};
         }
     }
     for (const auto& [path, value] : new_values) {
@@ -127,8 +127,8 @@
     }
     std::vector<change> result;
     result.reserve(changes.size());
-    for (auto& [path, one] : changes) {
-        result.push_back(std::move(one));
+    for (auto& [path, entry] : changes) {
+        result.push_back(std::move(entry));
     }
     return result;
 }
--- a/packages/document/src/document.cpp
+++ b/packages/document/src/document.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/// Returns the row of `rows` that is called `name`, or null.
+/// Returns the row named `name`, or null if there is none.
 template <class Row, class Id>
 const Row* find_row(const std::vector<Row>& rows, const Id& name) {
     for (const auto& row : rows) {
--- a/packages/document/src/parse.cpp
+++ b/packages/document/src/parse.cpp
@@ -11,15 +11,14 @@
 
 using nlohmann::json;
 
-constexpr int latest_schema = 1;
+constexpr int max_schema = 1;
 constexpr std::size_t max_name_bytes = 128;
 
-/// Reads the keys of one object and notes what is wrong with them. Every
-/// value that is wrong keeps its default, so that reading can go on and
-/// report the other errors too.
+/// Reads the values of one object and collects their errors. An invalid value
+/// leaves its target unchanged, so that one pass reports all errors.
 class object_reader {
 public:
-    /// Constructs a reader of `object`, which stands at `path`.
+    /// Constructs a reader of `object` at `path` in the document.
     object_reader(const json& object, std::string path, parse_errors& errors)
         : object_(object), path_(std::move(path)), errors_(errors) {
         if (!object_.is_object()) {
@@ -27,7 +26,7 @@
         }
     }
 
-    /// Notes the keys that were not asked for.
+    /// Reports the keys of the object that no function has read.
     void check_unknown_keys() {
         if (!object_.is_object()) {
             return;
@@ -40,7 +39,7 @@
         }
     }
 
-    /// Reads a name, which must be there.
+    /// Reads a required name.
     template <class Id>
     void name(const char* key, Id& target) {
         const json* value = find(key);
@@ -57,7 +56,7 @@
         target = Id(value->get<std::string>());
     }
 
-    /// Reads a whole number from `low` to `high`, if it is there.
+    /// Reads an optional integer from `low` to `high`.
     template <class T>
     void integer(const char* key, T& target, T low, T high) {
         const json* value = find(key);
@@ -79,7 +78,7 @@
         target = value->get<T>();
     }
 
-    /// Reads a number from `low` to `high`, if it is there.
+    /// Reads an optional number from `low` to `high`.
     void number(const char* key, double& target, double low, double high) {
         const json* value = find(key);
         if (value == nullptr) {
@@ -97,7 +96,7 @@
         target = value->get<double>();
     }
 
-    /// Reads true or false, if it is there.
+    /// Reads an optional boolean.
     void boolean(const char* key, bool& target) {
         const json* value = find(key);
         if (value == nullptr) {
@@ -110,24 +109,24 @@
         target = value->get<bool>();
     }
 
-    /// Reads the name of an enumeration's value, if it is there.
+    /// Reads an optional enumerator by its name.
     template <class E>
     void enumeration(const char* key, E& target) {
         const json* value = find(key);
         if (value == nullptr) {
             return;
         }
-        const auto named = value->is_string()
-                               ? base::from_name<E>(value->get<std::string>())
-                               : std::nullopt;
-        if (!named) {
-            add_error(parse_error_kind::unknown_name, key, names_of<E>());
+        const auto parsed = value->is_string()
+                                ? base::from_name<E>(value->get<std::string>())
+                                : std::nullopt;
+        if (!parsed) {
+            add_error(parse_error_kind::unknown_name, key, list_names<E>());
             return;
         }
-        target = *named;
+        target = *parsed;
     }
 
-    /// Reads an array of objects, if it is there, with `read` for each.
+    /// Reads an optional array of objects. Calls `read` for each object.
     template <class Row, class F>
     void array(const char* key, std::vector<Row>& target, F read) {
         const json* value = find(key);
@@ -146,7 +145,7 @@
         }
     }
 
-    /// Reads an object, if it is there, with `read`.
+    /// Reads an optional object with `read`.
     template <class F>
     void object(const char* key, F read) {
         const json* value = find(key);
@@ -160,7 +159,7 @@
 
 private:
     template <class E>
-    static std::string names_of() {
+    static std::string list_names() {
         std::string text = "one of";
         for (const auto& row : base::enum_names<E>::table) {
             text += ' ';
@@ -174,17 +173,17 @@
         if (!object_.is_object()) {
             return nullptr;
         }
-        const auto at = object_.find(key);
-        return at == object_.end() ? nullptr : &*at;
+        const auto it = object_.find(key);
+        return it == object_.end() ? nullptr : &*it;
     }
 
     std::string path_to(const std::string& key) const {
         return key.empty() ? path_ : path_ + "/" + key;
     }
 
-    void add_error(parse_error_kind what, const std::string& key,
+    void add_error(parse_error_kind kind, const std::string& key,
                    std::string expected) {
-        errors_.push_back({what, path_to(key), std::move(expected)});
+        errors_.push_back({kind, path_to(key), std::move(expected)});
     }
 
     const json& object_;
@@ -251,7 +250,7 @@
 
 document read_document(object_reader& in) {
     document d;
-    in.integer("schema", d.schema, 1, latest_schema);
+    in.integer("schema", d.schema, 1, max_schema);
     in.array("owners", d.owners, read_owner);
     in.array("pools", d.pools, read_pool);
     in.array("trainers", d.trainers, read_trainer);
@@ -261,14 +260,14 @@
     return d;
 }
 
-/// Notes each name in `rows` that stands twice.
+/// Reports each row whose name an earlier row has.
 template <class Row>
 void check_unique_names(const std::vector<Row>& rows,
                         const std::string& section, parse_errors& errors) {
-    std::set<std::string> seen;
+    std::set<std::string> names;
     for (std::size_t i = 0; i < rows.size(); ++i) {
         const auto& name = rows[i].name.str();
-        if (!name.empty() && !seen.insert(name).second) {
+        if (!name.empty() && !names.insert(name).second) {
             errors.push_back({parse_error_kind::repeated_name,
                               section + "/" + std::to_string(i) + "/name",
                               "a name that no other entry has"});
@@ -276,7 +275,7 @@
     }
 }
 
-/// Notes each row whose `member` names none of `targets`.
+/// Reports each row whose `member` is not the name of one of `targets`.
 template <class Row, class Id, class Target>
 void check_references(const std::vector<Row>& rows, const std::string& section,
                       const char* key, Id Row::*member,
@@ -310,12 +309,12 @@
                      d.owners, errors);
 }
 
-/// Returns true if `root` says that it follows a schema of the future, whose
-/// other errors would be noise.
+/// Returns true if `root` has a newer schema version than this program
+/// supports. Its other errors would be misleading.
 bool has_newer_schema(const json& root) {
-    const auto at = root.is_object() ? root.find("schema") : root.end();
-    return root.is_object() && at != root.end() && at->is_number_integer() &&
-           at->get<double>() > latest_schema;
+    const auto it = root.is_object() ? root.find("schema") : root.end();
+    return root.is_object() && it != root.end() && it->is_number_integer() &&
+           it->get<double>() > max_schema;
 }
 
 } // namespace
@@ -327,7 +326,7 @@
     }
     if (has_newer_schema(root)) {
         return parse_errors{{parse_error_kind::unknown_schema, "/schema",
-                             std::to_string(latest_schema) + " at most"}};
+                             std::to_string(max_schema) + " at most"}};
     }
     parse_errors errors;
     object_reader reader(root, "", errors);
--- a/packages/document/test/config_fuzz_test.cpp
+++ b/packages/document/test/config_fuzz_test.cpp
@@ -7,11 +7,12 @@
 namespace hibiscus::document {
 namespace {
 
-/// Nodes and publishers before one log that delays, repeats and drops records.
-/// They are judged by a fold that has read every record.
+/// Nodes and publishers that share one log, which delays, duplicates and drops
+/// records. The nodes are checked against a reference state machine that
+/// applies every record.
 class config_model {
 public:
-    /// Carries out a command. Returns what is wrong, or "".
+    /// Executes a command. Returns the first violation, or "" if there is none.
     std::string execute(const testing::fuzz_command& c) {
         auto& node = nodes_[static_cast<std::size_t>(c.a) % nodes_.size()];
         if (c.kind < 25) {
@@ -21,8 +22,9 @@
         } else if (c.kind < 75) {
             read(node, c.c % 5 + 1);
         } else if (c.kind < 82) {
-            if (node.fold.is_complete() && node.fold.next_offset() > 0) {
-                pending_appends_.push_back(node.fold.make_snapshot());
+            if (node.state_machine.is_complete() &&
+                node.state_machine.next_offset() > 0) {
+                pending_appends_.push_back(node.state_machine.make_snapshot());
             }
         } else if (c.kind < 90) {
             send_document(
@@ -31,34 +33,37 @@
             node = {};
         } else {
             const auto end = static_cast<wire::log_offset>(records_.size());
-            first_ = std::max<wire::log_offset>(first_, end - c.b % 9);
+            first_offset_ =
+                std::max<wire::log_offset>(first_offset_, end - c.b % 9);
         }
         check(node);
-        return failure_;
+        return violation_;
     }
 
-    /// Lets one that has read all repeat the document, and everyone read on.
+    /// Appends a snapshot of the reference and lets each node read all records.
+    /// Returns the first violation, or "" if there is none.
     std::string converge() {
         records_.push_back(reference_.make_snapshot());
         reference_.apply(end() - 1, records_.back());
         for (auto& node : nodes_) {
             read(node, end());
             check(node);
-            if (!node.fold.is_complete() ||
-                number(node.fold.in_force()) != number(reference_.in_force())) {
-                fail("a node does not come to the document in force");
+            if (!node.state_machine.is_complete() ||
+                number(node.state_machine.in_force()) !=
+                    number(reference_.in_force())) {
+                fail("a node did not converge to the document in force");
             }
         }
-        return failure_;
+        return violation_;
     }
 
-    /// Returns the number of publishes that were accepted.
-    std::size_t accepted() const { return accepted_; }
+    std::size_t accepted_count() const { return accepted_count_; }
 
 private:
-    struct node_row {
-        config_state_machine fold;
-        wire::log_offset seen = 0;
+    struct model_node {
+        config_state_machine state_machine;
+        /// The highest revision that was in force at the node.
+        wire::log_offset last_revision = 0;
     };
 
     wire::log_offset end() const {
@@ -69,121 +74,130 @@
         return r != nullptr ? r->number : 0;
     }
 
-    void fail(const std::string& what) {
-        if (failure_.empty()) {
-            failure_ = what;
+    void fail(const std::string& violation) {
+        if (violation_.empty()) {
+            violation_ = violation;
         }
     }
 
-    /// Sends a publish on the revision that the log shows now, if it does.
+    /// Sends a publish based on the accepted revision, if the log still shows
+    /// which one that is.
     void publish(const testing::fuzz_command& c) {
-        node_row publisher;
+        model_node publisher;
         read(publisher, end());
-        if (!publisher.fold.is_complete()) {
+        if (!publisher.state_machine.is_complete()) {
             return;
         }
-        const auto count = ++publishes_;
+        const auto count = ++publish_count_;
         const auto ttl = std::to_string(100 + count);
         const std::string text =
             c.b % 8 == 0 ? "{\"x\": 1}"
                          : "{\"limits\": {\"entries_ttl_ms\": " + ttl + "}}";
-        pending_appends_.push_back({1, "p" + std::to_string(count),
-                                    number(publisher.fold.accepted_revision()),
-                                    text, 0, 0});
+        pending_appends_.push_back(
+            {1, "p" + std::to_string(count),
+             number(publisher.state_machine.accepted_revision()), text, 0, 0});
     }
 
-    /// Lets the log take an append; one whose answer is lost comes again.
+    /// Appends a pending record to the log. One append in four stays pending,
+    /// as if its response were lost, and is appended again later.
     void append_pending(const testing::fuzz_command& c) {
         if (pending_appends_.empty()) {
             return;
         }
-        const auto at = static_cast<std::ptrdiff_t>(
+        const auto index = static_cast<std::ptrdiff_t>(
             static_cast<std::size_t>(c.a) % pending_appends_.size());
-        records_.push_back(pending_appends_[static_cast<std::size_t>(at)]);
+        records_.push_back(pending_appends_[static_cast<std::size_t>(index)]);
         if (c.b % 4 != 0) {
-            pending_appends_.erase(pending_appends_.begin() + at);
+            pending_appends_.erase(pending_appends_.begin() + index);
         }
         const auto before = number(reference_.accepted_revision());
         reference_.apply(end() - 1, records_.back());
-        const auto* now = reference_.accepted_revision();
-        if (number(now) != before) {
-            ++accepted_;
-            texts_[now->number] = now->text;
+        const auto* accepted = reference_.accepted_revision();
+        if (number(accepted) != before) {
+            ++accepted_count_;
+            accepted_texts_[accepted->number] = accepted->text;
         }
-        accepted_history_.push_back(number(now));
+        accepted_history_.push_back(number(accepted));
     }
 
-    void read(node_row& node, wire::log_offset most) const {
-        node.fold.handle_truncation(first_);
-        for (; most > 0 && node.fold.next_offset() < end(); --most) {
-            const auto at = node.fold.next_offset();
-            node.fold.apply(at, records_[static_cast<std::size_t>(at)]);
+    /// Lets a node read up to `max_records` records.
+    void read(model_node& node, wire::log_offset max_records) const {
+        node.state_machine.handle_truncation(first_offset_);
+        for (; max_records > 0 && node.state_machine.next_offset() < end();
+             --max_records) {
+            const auto offset = node.state_machine.next_offset();
+            node.state_machine.apply(
+                offset, records_[static_cast<std::size_t>(offset)]);
         }
     }
 
-    static void send_document(const node_row& from, node_row& to) {
-        if (const auto* r = from.fold.in_force()) {
-            to.fold.adopt_from_peer(r->number, r->text);
+    static void send_document(const model_node& sender, model_node& receiver) {
+        if (const auto* r = sender.state_machine.in_force()) {
+            receiver.state_machine.adopt_from_peer(r->number, r->text);
         }
     }
 
-    void check(node_row& node) {
-        const auto* now = node.fold.in_force();
-        if (number(now) < node.seen) {
-            fail("a node stepped back");
+    void check(model_node& node) {
+        const auto* in_force = node.state_machine.in_force();
+        if (number(in_force) < node.last_revision) {
+            fail("a node went back to an older revision");
         }
-        node.seen = number(now);
-        if (now != nullptr && texts_[now->number] != now->text) {
-            fail("a node follows a document that was not accepted");
+        node.last_revision = number(in_force);
+        if (in_force != nullptr &&
+            accepted_texts_[in_force->number] != in_force->text) {
+            fail("a node uses a document that was not accepted");
         }
-        const auto next = static_cast<std::size_t>(node.fold.next_offset());
-        if (node.fold.is_complete() && next > 0 &&
+        const auto next =
+            static_cast<std::size_t>(node.state_machine.next_offset());
+        if (node.state_machine.is_complete() && next > 0 &&
             next <= accepted_history_.size() &&
-            number(node.fold.accepted_revision()) !=
+            number(node.state_machine.accepted_revision()) !=
                 accepted_history_[next - 1]) {
-            fail("a node judges otherwise than one that read all");
+            fail("the accepted revision of a node differs from the reference");
         }
-        for (int i = 1; i <= publishes_; ++i) {
+        for (int i = 1; i <= publish_count_; ++i) {
             const auto id = "p" + std::to_string(i);
-            if (node.fold.verdict(id) == publish_verdict::accepted &&
+            if (node.state_machine.verdict(id) == publish_verdict::accepted &&
                 reference_.verdict(id) != publish_verdict::accepted) {
-                fail("a refused publish is shown as accepted");
+                fail("a node reports a rejected publish as accepted");
             }
         }
     }
 
-    std::array<node_row, 3> nodes_;
+    std::array<model_node, 3> nodes_;
     config_state_machine reference_;
     std::vector<wire::config_record> records_;
     std::vector<wire::config_record> pending_appends_;
     /// The accepted revision after each record.
     std::vector<wire::log_offset> accepted_history_;
-    std::map<wire::log_offset, std::string> texts_;
-    wire::log_offset first_ = 0;
-    int publishes_ = 0;
-    std::size_t accepted_ = 0;
-    std::string failure_;
+    std::map<wire::log_offset, std::string> accepted_texts_;
+    /// The offset of the first record that retention has kept.
+    wire::log_offset first_offset_ = 0;
+    int publish_count_ = 0;
+    std::size_t accepted_count_ = 0;
+    std::string violation_;
 };
 
-// Operators race each other, answers are lost, retention passes, nodes come
-// and go. If two nodes kept different documents, or one stepped back, callers
-// would be served by rules that depend on which entry they ask.
-TEST(config_fuzz_test, all_nodes_come_to_the_same_document) {
-    std::size_t accepted = 0;
+// Operators publish concurrently, responses are lost, retention drops records
+// and nodes restart. All nodes must converge to the same document and never go
+// back to an older one, or callers would get different behavior from different
+// entries.
+TEST(config_fuzz_test, all_nodes_converge_to_the_same_document) {
+    std::size_t accepted_count = 0;
     testing::fuzz("config", 12000,
                   [&](const std::vector<testing::fuzz_command>& commands) {
                       config_model model;
-                      std::string wrong;
+                      std::string violation;
                       for (const auto& c : commands) {
-                          wrong = model.execute(c);
-                          if (!wrong.empty()) {
-                              return wrong;
+                          violation = model.execute(c);
+                          if (!violation.empty()) {
+                              return violation;
                           }
                       }
-                      accepted += model.accepted();
+                      accepted_count += model.accepted_count();
                       return model.converge();
                   });
-    EXPECT_GT(accepted, 1000U);
+    EXPECT_GT(accepted_count, 1000U);
 }
 
 } // namespace
--- a/packages/document/test/parse_test.cpp
+++ b/packages/document/test/parse_test.cpp
@@ -5,19 +5,19 @@
 namespace hibiscus::document {
 namespace {
 
-/// Returns the paths of the errors of `text`, joined.
-std::string error_paths(const char* text) {
+/// Returns the path and the kind of each error of `text`, joined.
+std::string join_errors(const char* text) {
     const auto parsed = parse(text);
-    std::string paths;
+    std::string result;
     if (const auto* errors = std::get_if<parse_errors>(&parsed)) {
         for (const auto& e : *errors) {
-            paths += e.path + ":" + std::string(base::name_of(e.kind)) + " ";
+            result += e.path + ":" + std::string(base::name_of(e.kind)) + " ";
         }
     }
-    return paths;
+    return result;
 }
 
-TEST(parse_test, reads_a_whole_document) {
+TEST(parse_test, reads_a_complete_document) {
     const auto parsed = parse(R"({"schema": 1,
         "owners": [{"name": "campus", "weight": 2}],
         "pools": [{"name": "tagging", "owner": "campus"}],
@@ -32,7 +32,7 @@
 }
 
 TEST(parse_test, reports_every_error_with_its_path) {
-    EXPECT_EQ(error_paths(R"({"owners": [{"name": "a", "wieght": 1}],
+    EXPECT_EQ(join_errors(R"({"owners": [{"name": "a", "wieght": 1}],
         "pools": [{"name": "p", "owner": "b", "slots_per_engine": 0}],
         "trainers": 7})"),
               "/owners/0/wieght:unknown_key "
@@ -40,12 +40,12 @@
               "/trainers:wrong_type /pools/0/owner:unknown_name ");
 }
 
-TEST(parse_test, refuses_what_is_not_json) {
-    EXPECT_EQ(error_paths("{"), ":not_json ");
+TEST(parse_test, rejects_text_that_is_not_json) {
+    EXPECT_EQ(join_errors("{"), ":not_json ");
 }
 
-TEST(parse_test, refuses_a_newer_schema_at_once) {
-    EXPECT_EQ(error_paths(R"({"schema": 9, "new_section": []})"),
+TEST(parse_test, rejects_a_newer_schema_without_other_errors) {
+    EXPECT_EQ(join_errors(R"({"schema": 9, "new_section": []})"),
               "/schema:unknown_schema ");
 }
 
