--- a/packages/platform/include/hibiscus/platform/instance_client.hpp
+++ b/packages/platform/include/hibiscus/platform/instance_client.hpp
@@ -8,13 +8,13 @@
 
 namespace hibiscus::platform {
 
-/// Reads the platform's list of instances.
+/// Fetches the platform's list of instances.
 class instance_client {
 public:
     /// Constructs a client of the service at `target`.
     instance_client(net::http_client& http, base::endpoint target);
 
-    /// Reads the whole list; `done` gets nothing if it cannot be had.
+    /// Fetches the complete list. Calls `done` with nullopt on failure.
     void fetch(std::function<void(std::optional<wire::instance_list>)> done);
 
 private:
--- a/packages/platform/src/instance_client.cpp
+++ b/packages/platform/src/instance_client.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr base::millis fetch_timeout = 1500;
+constexpr base::millis fetch_timeout_ms = 1500;
 constexpr int status_ok = 200;
 
 } // namespace
@@ -18,7 +18,7 @@
     std::function<void(std::optional<wire::instance_list>)> done) {
     net::http_request request;
     request.target = "/v1/instances";
-    http_.send(target_, std::move(request), fetch_timeout,
+    http_.send(target_, std::move(request), fetch_timeout_ms,
                net::connection_reuse::allowed,
                [done = std::move(done)](const net::http_result& result) {
                    const auto* response =
@@ -27,9 +27,9 @@
                        done(std::nullopt);
                        return;
                    }
-                   auto page =
+                   auto decoded =
                        wire::from_json<wire::instance_list>(response->body);
-                   auto* value = base::value_if(page);
+                   auto* value = base::value_if(decoded);
                    done(value != nullptr ? std::make_optional(std::move(*value))
                                          : std::nullopt);
                });
