--- a/packages/ctl/include/hibiscus/ctl/commands.hpp
+++ b/packages/ctl/include/hibiscus/ctl/commands.hpp
@@ -9,20 +9,20 @@
 
 namespace hibiscus::ctl {
 
-/// How a command ended; also the exit code of hibiscusctl.
+/// The result of a command, which is the exit code of hibiscusctl.
 enum class exit_code {
-    done = 0,        ///< It did what was asked.
-    refused = 1,     ///< The document is invalid, or another one came first.
-    usage = 2,       ///< The command line is wrong.
-    unavailable = 3, ///< Nothing was changed: no answer could be had.
-    unknown = 4,     ///< It is not known whether the publish took effect.
-    not_found = 5    ///< The logs say nothing about it.
+    done = 0,        ///< The command succeeded.
+    refused = 1,     ///< The document is invalid or was superseded.
+    usage = 2,       ///< The command line is invalid.
+    unavailable = 3, ///< The log or entry is unavailable; nothing was changed.
+    unknown = 4,     ///< It is unknown whether the publish took effect.
+    not_found = 5    ///< The logs do not mention the name.
 };
 
-/// How output is written.
+/// The format of the output.
 enum class output_format { text, json };
 
-/// Where a command speaks to, and how it writes.
+/// The servers that a command uses, and its output.
 struct command_context {
     base::endpoint log_address;
     base::endpoint entry_address;
@@ -31,24 +31,24 @@
     std::ostream& error;
 };
 
-/// Checks a document. Writes every error with its path.
+/// Validates a document. Writes every error with its path.
 exit_code validate(const command_context& context, const std::string& file);
 
-/// Publishes a document on top of the revision in force and waits for the
-/// verdict. `publish_id` names the publish; one that is given again is not
-/// published twice.
+/// Publishes a document that replaces the revision in force, and waits for the
+/// verdict. Idempotent: a publish with a `publish_id` that the log already has
+/// is not appended again, and its verdict is reported.
 exit_code publish(const command_context& context, const std::string& file,
                   const std::string& publish_id);
 
-/// Writes what a publish of the document would change in the one in force.
+/// Writes the changes that publishing the document would make.
 exit_code diff(const command_context& context, const std::string& file);
 
-/// Writes what the nodes' log files say about a request, sample or engine:
-/// which node decided what, and why.
+/// Writes the decisions and events about a request, sample or engine in the log
+/// files of the nodes, with their reasons.
 exit_code explain(const command_context& context, const std::string& name,
                   const std::vector<std::string>& logs);
 
-/// Writes the state of the system as the entry sees it.
+/// Writes the state of the system as the entry reports it.
 exit_code status(const command_context& context);
 
 } // namespace hibiscus::ctl
--- a/packages/ctl/include/hibiscus/ctl/explain.hpp
+++ b/packages/ctl/include/hibiscus/ctl/explain.hpp
@@ -8,9 +8,9 @@
 
 namespace hibiscus::ctl {
 
-/// What one log line says about a request, sample or engine.
+/// A decision or event in the log about a request, sample or engine.
 struct explanation {
-    /// The time of day.
+    /// The wall-clock time.
     base::millis time = 0;
     std::string node;
     /// The kind of the decision, or the name of the event.
@@ -21,16 +21,16 @@
     std::vector<std::string> candidates;
 };
 
-/// Reads the JSON lines of `log` and appends to `found` what they say about
-/// `name`: decisions with that subject or choice, and events that name it.
-/// Lines that are cut off or no JSON are passed over.
+/// Reads the JSON lines of `log`. Appends the decisions and events that have
+/// `name` as the value of a field to `explanations`. Ignores lines that are
+/// truncated or not JSON.
 void collect_explanations(std::istream& log, const std::string& name,
-                          std::vector<explanation>& found);
+                          std::vector<explanation>& explanations);
 
-/// Orders explanations by their time, and writes them as text.
-void write_text(std::ostream& out, std::vector<explanation> found);
+/// Writes explanations as text, ordered by time.
+void write_text(std::ostream& out, std::vector<explanation> explanations);
 
-/// Orders explanations by their time, and writes them as a JSON array.
-void write_json(std::ostream& out, std::vector<explanation> found);
+/// Writes explanations as a JSON array, ordered by time.
+void write_json(std::ostream& out, std::vector<explanation> explanations);
 
 } // namespace hibiscus::ctl
--- a/packages/ctl/src/blocking_client.cpp
+++ b/packages/ctl/src/blocking_client.cpp
@@ -4,13 +4,13 @@
 
 namespace {
 
-constexpr base::millis connect_ms = 2000;
-constexpr base::millis timeout_ms = 5000;
+constexpr base::millis connect_timeout_ms = 2000;
+constexpr base::millis request_timeout_ms = 5000;
 
 } // namespace
 
 blocking_client::blocking_client()
-    : guard_(io_.get_executor()), http_(io_, connect_ms),
+    : work_guard_(io_.get_executor()), http_(io_, connect_timeout_ms),
       thread_([this] { io_.run(); }) {}
 
 blocking_client::~blocking_client() {
@@ -18,10 +18,11 @@
     thread_.join();
 }
 
-net::http_result blocking_client::send(const base::endpoint& to,
+net::http_result blocking_client::send(const base::endpoint& target,
                                        net::http_request request) {
     std::promise<net::http_result> promise;
-    http_.send(to, std::move(request), timeout_ms, net::connection_reuse::never,
+    http_.send(target, std::move(request), request_timeout_ms,
+               net::connection_reuse::never,
                [&](net::http_result r) { promise.set_value(std::move(r)); });
     return promise.get_future().get();
 }
--- a/packages/ctl/src/blocking_client.hpp
+++ b/packages/ctl/src/blocking_client.hpp
@@ -11,7 +11,7 @@
 
 namespace hibiscus::ctl {
 
-/// Speaks HTTP for a command, which waits for each answer.
+/// An HTTP client whose calls block until the response arrives.
 class blocking_client {
 public:
     blocking_client();
@@ -20,16 +20,18 @@
     blocking_client(const blocking_client&) = delete;
     blocking_client& operator=(const blocking_client&) = delete;
 
-    /// Sends a request and waits for what comes of it.
-    net::http_result send(const base::endpoint& to, net::http_request request);
+    /// Sends a request and waits for the result.
+    net::http_result send(const base::endpoint& target,
+                          net::http_request request);
 
-    /// Appends a record to the log at `log` and waits for the answer.
+    /// Appends a record to a stream of the log service at `log`.
     platform::append_result append(const base::endpoint& log,
                                    const std::string& stream,
                                    const base::append_id& id,
                                    const std::string& data);
 
-    /// Reads records from the log at `log`.
+    /// Reads records at offsets `from` and above from a stream of the log
+    /// service at `log`. Waits up to `wait_ms` for the first record.
     platform::read_result read(const base::endpoint& log,
                                const std::string& stream, wire::log_offset from,
                                base::millis wait_ms);
@@ -37,7 +39,7 @@
 private:
     boost::asio::io_context io_;
     boost::asio::executor_work_guard<boost::asio::io_context::executor_type>
-        guard_;
+        work_guard_;
     net::http_client http_;
     std::thread thread_;
 };
--- a/packages/ctl/src/commands.cpp
+++ b/packages/ctl/src/commands.cpp
@@ -36,17 +36,17 @@
 }
 
 /// Writes the errors of `text`. Returns true if there are none.
-bool check(const command_context& context, const std::string& text) {
+bool check_document(const command_context& context, const std::string& text) {
     const auto parsed = document::parse(text);
     const auto* errors = std::get_if<document::parse_errors>(&parsed);
     const bool valid = errors == nullptr;
     json rows = json::array();
     for (const auto& e : valid ? document::parse_errors{} : *errors) {
-        const auto fault = std::string(base::name_of(e.kind));
+        const auto kind = std::string(base::name_of(e.kind));
         rows.push_back(
-            {{"fault", fault}, {"path", e.path}, {"expected", e.expected}});
+            {{"fault", kind}, {"path", e.path}, {"expected", e.expected}});
         if (context.format == output_format::text) {
-            context.error << e.path << ": " << fault << ", expected "
+            context.error << e.path << ": " << kind << ", expected "
                           << e.expected << '\n';
         }
     }
@@ -56,39 +56,40 @@
     return valid;
 }
 
-/// Folds the stream from where `fold` stands to its end. Returns false if it
-/// cannot be read.
-bool read_config_stream(blocking_client& s, const base::endpoint& log,
-                        document::config_state_machine& fold) {
+/// Applies the records of the config stream from the next offset of
+/// `state_machine` to its end. Returns false if it can't be read to the end.
+bool read_config_stream(blocking_client& client, const base::endpoint& log,
+                        document::config_state_machine& state_machine) {
     while (true) {
-        const auto result =
-            s.read(log, platform::config_stream, fold.next_offset(), 0);
+        const auto result = client.read(log, platform::config_stream,
+                                        state_machine.next_offset(), 0);
         const auto* page = std::get_if<wire::log_page>(&result);
         if (page == nullptr) {
             return false;
         }
-        fold.handle_truncation(page->first);
+        state_machine.handle_truncation(page->first);
         for (const auto& record : page->records) {
-            const auto read = wire::from_json<wire::config_record>(record.data);
-            if (const auto* content = base::value_if(read)) {
-                fold.apply(record.offset, *content);
+            const auto decoded =
+                wire::from_json<wire::config_record>(record.data);
+            if (const auto* content = base::value_if(decoded)) {
+                state_machine.apply(record.offset, *content);
             } else {
-                fold.skip_invalid_record(record.offset);
+                state_machine.skip_invalid_record(record.offset);
             }
         }
-        if (fold.next_offset() >= page->end || page->records.empty()) {
-            return fold.next_offset() >= page->end;
+        if (state_machine.next_offset() >= page->end || page->records.empty()) {
+            return state_machine.next_offset() >= page->end;
         }
     }
 }
 
 exit_code report_verdict(const command_context& context,
                          const std::string& publish_id,
-                         const document::config_state_machine& fold) {
-    const auto verdict = fold.verdict(publish_id);
+                         const document::config_state_machine& state_machine) {
+    const auto verdict = state_machine.verdict(publish_id);
     const auto name = std::string(base::name_of(verdict));
-    const auto* now = fold.in_force();
-    const auto number = now != nullptr ? now->number : 0;
+    const auto* in_force = state_machine.in_force();
+    const auto number = in_force != nullptr ? in_force->number : 0;
     if (context.format == output_format::json) {
         context.out << json{{"publish", publish_id},
                             {"verdict", name},
@@ -132,14 +133,14 @@
     }
 }
 
-void write_status_text(std::ostream& out, const json& s) {
-    out << "node " << s.value("node", "") << " in " << s.value("zone", "")
-        << ": " << s.value("state", "") << ", revision "
-        << s.value("revision", 0) << "\n\n";
+void write_status_text(std::ostream& out, const json& status) {
+    out << "node " << status.value("node", "") << " in "
+        << status.value("zone", "") << ": " << status.value("state", "")
+        << ", revision " << status.value("revision", 0) << "\n\n";
     out << std::left << std::setw(12) << "NODE" << std::setw(8) << "ZONE"
         << std::setw(10) << "STATE" << std::setw(10) << "REVISION"
         << "ADDRESS\n";
-    for (const auto& n : s.value("nodes", json::array())) {
+    for (const auto& n : status.value("nodes", json::array())) {
         out << std::setw(12) << n.value("node", "") << std::setw(8)
             << n.value("zone", "") << std::setw(10) << n.value("state", "")
             << std::setw(10) << n.value("revision", 0) << n.value("address", "")
@@ -149,7 +150,7 @@
         << std::setw(12) << "ENGINE" << std::setw(12) << "POOL" << std::setw(12)
         << "HOME" << std::setw(10) << "HEALTHY" << std::setw(10) << "LOAD"
         << "SERVING\n";
-    for (const auto& e : s.value("engines", json::array())) {
+    for (const auto& e : status.value("engines", json::array())) {
         const auto load = std::to_string(e.value("admitted", 0)) + "/" +
                           std::to_string(e.value("slots", 0));
         out << std::setw(12) << e.value("engine", "") << std::setw(12)
@@ -167,7 +168,7 @@
     if (!text) {
         return exit_code::usage;
     }
-    if (!check(context, *text)) {
+    if (!check_document(context, *text)) {
         return exit_code::refused;
     }
     if (context.format == output_format::text) {
@@ -184,45 +185,46 @@
     }
     const auto parsed = document::parse(*text);
     if (base::value_if(parsed) == nullptr) {
-        check(context, *text);
+        check_document(context, *text);
         return exit_code::refused;
     }
-    blocking_client s;
-    document::config_state_machine fold;
-    if (!read_config_stream(s, context.log_address, fold)) {
+    blocking_client client;
+    document::config_state_machine state_machine;
+    if (!read_config_stream(client, context.log_address, state_machine)) {
         context.error << "the log does not answer; nothing was published\n";
         return exit_code::unavailable;
     }
-    if (fold.verdict(publish_id) != document::publish_verdict::unknown) {
-        return report_verdict(context, publish_id, fold);
+    if (state_machine.verdict(publish_id) !=
+        document::publish_verdict::unknown) {
+        return report_verdict(context, publish_id, state_machine);
     }
-    if (!fold.is_complete()) {
-        // Old records are gone and no node has repeated the document yet. A
-        // publish without its true base would be refused by every node.
+    if (!state_machine.is_complete()) {
+        // Retention dropped old records and no node has appended a snapshot
+        // yet. Every node would reject a publish with a wrong base.
         context.error << "the log does not show the revision in force; nothing "
                          "was published; try again in some seconds\n";
         return exit_code::unavailable;
     }
-    const auto* now = fold.accepted_revision();
+    const auto* accepted = state_machine.accepted_revision();
     const wire::config_record record{
-        1, publish_id, now != nullptr ? now->number : 0, *text, 0, 0};
-    // An append whose answer was lost may have taken effect; the record's id
-    // makes a second copy harmless, so it is sent again.
+        1, publish_id, accepted != nullptr ? accepted->number : 0, *text, 0, 0};
+    // A failed append may have taken effect. Retrying is safe, because nodes
+    // ignore a second record with the same publish id.
     for (int i = 0; i < max_append_attempts; ++i) {
         const auto result =
-            s.append(context.log_address, platform::config_stream,
-                     base::append_id(publish_id), wire::to_json(record));
+            client.append(context.log_address, platform::config_stream,
+                          base::append_id(publish_id), wire::to_json(record));
         if (std::holds_alternative<wire::append_response>(result)) {
             break;
         }
     }
-    if (!read_config_stream(s, context.log_address, fold)) {
+    if (!read_config_stream(client, context.log_address, state_machine)) {
         context.error << "it is unknown whether publish " << publish_id
                       << " took effect; ask again with --publish_id="
                       << publish_id << '\n';
         return exit_code::unknown;
     }
-    return report_verdict(context, publish_id, fold);
+    return report_verdict(context, publish_id, state_machine);
 }
 
 exit_code diff(const command_context& context, const std::string& file) {
@@ -231,53 +233,54 @@
         return exit_code::usage;
     }
     const auto parsed = document::parse(*text);
-    const auto* wanted = base::value_if(parsed);
-    if (wanted == nullptr) {
-        check(context, *text);
+    const auto* proposed = base::value_if(parsed);
+    if (proposed == nullptr) {
+        check_document(context, *text);
         return exit_code::refused;
     }
-    blocking_client s;
-    document::config_state_machine fold;
-    if (!read_config_stream(s, context.log_address, fold) ||
-        !fold.is_complete()) {
+    blocking_client client;
+    document::config_state_machine state_machine;
+    if (!read_config_stream(client, context.log_address, state_machine) ||
+        !state_machine.is_complete()) {
         context.error << "the log does not show the revision in force\n";
         return exit_code::unavailable;
     }
-    const auto* now = fold.accepted_revision();
+    const auto* accepted = state_machine.accepted_revision();
     const auto changes = document::diff(
-        now != nullptr ? now->content : document::document{}, *wanted);
-    write_diff(context, now != nullptr ? now->number : 0, changes);
+        accepted != nullptr ? accepted->content : document::document{},
+        *proposed);
+    write_diff(context, accepted != nullptr ? accepted->number : 0, changes);
     return exit_code::done;
 }
 
 exit_code explain(const command_context& context, const std::string& name,
                   const std::vector<std::string>& logs) {
-    std::vector<explanation> found;
+    std::vector<explanation> explanations;
     for (const auto& file : logs) {
         std::ifstream in(file);
         if (!in) {
             context.error << "cannot read " << file << '\n';
             return exit_code::usage;
         }
-        collect_explanations(in, name, found);
+        collect_explanations(in, name, explanations);
     }
-    const bool any = !found.empty();
+    const bool has_results = !explanations.empty();
     if (context.format == output_format::json) {
-        write_json(context.out, std::move(found));
+        write_json(context.out, std::move(explanations));
     } else {
-        write_text(context.out, std::move(found));
+        write_text(context.out, std::move(explanations));
     }
-    if (!any) {
+    if (!has_results) {
         context.error << "the logs say nothing about " << name << '\n';
     }
-    return any ? exit_code::done : exit_code::not_found;
+    return has_results ? exit_code::done : exit_code::not_found;
 }
 
 exit_code status(const command_context& context) {
-    blocking_client s;
+    blocking_client client;
     net::http_request request;
     request.target = "/v1/status";
-    const auto result = s.send(context.entry_address, std::move(request));
+    const auto result = client.send(context.entry_address, std::move(request));
     const auto* response = std::get_if<net::http_response>(&result);
     if (response == nullptr || response->status != status_ok) {
         context.error << "the entry does not answer\n";
--- a/packages/ctl/src/explain.cpp
+++ b/packages/ctl/src/explain.cpp
@@ -13,20 +13,21 @@
 
 using nlohmann::json;
 
-/// Returns the text under `key`, or "" if there is none.
-std::string text_of(const json& line, const char* key) {
-    const auto at = line.find(key);
-    return at != line.end() && at->is_string() ? at->get<std::string>() : "";
+/// Returns the string value of `key`, or "" if there is none.
+std::string string_or_empty(const json& line, const char* key) {
+    const auto it = line.find(key);
+    return it != line.end() && it->is_string() ? it->get<std::string>() : "";
 }
 
+/// Returns true if a field of `line` has the value `name`.
 bool mentions(const json& line, const std::string& name) {
     return std::any_of(line.begin(), line.end(), [&](const json& value) {
         return value.is_string() && value.get<std::string>() == name;
     });
 }
 
-/// Returns the fields of an event in one line.
-std::string fields_of(const json& line) {
+/// Formats the fields of an event in one line.
+std::string format_fields(const json& line) {
     std::string result;
     for (const auto& [key, value] : line.items()) {
         if (key == "event" || key == "node" || key == "time_ms" ||
@@ -50,24 +51,24 @@
     if (time != line.end() && time->is_number_integer()) {
         e.time = time->get<base::millis>();
     }
-    e.node = text_of(line, "node");
-    if (text_of(line, "event") != "decision") {
-        e.kind = text_of(line, "event");
-        e.reason = fields_of(line);
+    e.node = string_or_empty(line, "node");
+    if (string_or_empty(line, "event") != "decision") {
+        e.kind = string_or_empty(line, "event");
+        e.reason = format_fields(line);
         return e;
     }
-    e.kind = text_of(line, "kind");
-    e.subject = text_of(line, "subject");
-    e.choice = text_of(line, "choice");
-    e.reason = text_of(line, "reason");
+    e.kind = string_or_empty(line, "kind");
+    e.subject = string_or_empty(line, "subject");
+    e.choice = string_or_empty(line, "choice");
+    e.reason = string_or_empty(line, "reason");
     for (const auto& c : line.value("candidates", json::array())) {
         e.candidates.push_back(c.is_string() ? c.get<std::string>() : c.dump());
     }
     return e;
 }
 
-void sort_by_time(std::vector<explanation>& found) {
-    std::stable_sort(found.begin(), found.end(),
+void sort_by_time(std::vector<explanation>& explanations) {
+    std::stable_sort(explanations.begin(), explanations.end(),
                      [](const explanation& a, const explanation& b) {
                          return a.time < b.time;
                      });
@@ -76,19 +77,19 @@
 } // namespace
 
 void collect_explanations(std::istream& log, const std::string& name,
-                          std::vector<explanation>& found) {
+                          std::vector<explanation>& explanations) {
     std::string text;
     while (std::getline(log, text)) {
         const auto line = json::parse(text, nullptr, false);
         if (auto e = explain_line(line, name)) {
-            found.push_back(std::move(*e));
+            explanations.push_back(std::move(*e));
         }
     }
 }
 
-void write_text(std::ostream& out, std::vector<explanation> found) {
-    sort_by_time(found);
-    for (const auto& e : found) {
+void write_text(std::ostream& out, std::vector<explanation> explanations) {
+    sort_by_time(explanations);
+    for (const auto& e : explanations) {
         out << e.time << ' ' << e.node << ": " << e.kind;
         if (!e.subject.empty()) {
             out << ' ' << e.subject << " -> " << e.choice;
@@ -106,10 +107,10 @@
     }
 }
 
-void write_json(std::ostream& out, std::vector<explanation> found) {
-    sort_by_time(found);
+void write_json(std::ostream& out, std::vector<explanation> explanations) {
+    sort_by_time(explanations);
     json rows = json::array();
-    for (const auto& e : found) {
+    for (const auto& e : explanations) {
         rows.push_back({{"time_ms", e.time},
                         {"node", e.node},
                         {"kind", e.kind},
--- a/packages/ctl/src/main.cpp
+++ b/packages/ctl/src/main.cpp
@@ -37,8 +37,8 @@
     "Exit codes: 0 done, 1 refused, 2 usage, 3 unavailable (nothing was "
     "changed), 4 unknown,\n5 the logs say nothing about it.";
 
-/// Returns a name for a publish that no other operator has.
-std::string new_publish_id() {
+/// Returns a unique id for a publish.
+std::string make_publish_id() {
     std::random_device random;
     const auto now = std::chrono::system_clock::now().time_since_epoch();
     return std::to_string(
@@ -47,15 +47,16 @@
            "-" + std::to_string(random());
 }
 
-/// A command with the number of arguments that it takes.
+/// A command and the number of its arguments.
 struct command {
-    std::size_t arguments;
+    std::size_t argument_count;
     std::function<exit_code(const command_context&,
                             const std::vector<std::string>&)>
         run;
 };
 
-std::map<std::string, command> commands() {
+/// Returns the commands by name.
+std::map<std::string, command> make_commands() {
     namespace ctl = hibiscus::ctl;
     return {{"validate",
              {1, [](const command_context& c,
@@ -65,7 +66,7 @@
               [](const command_context& c, const auto& args) {
                   auto id = absl::GetFlag(FLAGS_publish_id);
                   return ctl::publish(c, args[0],
-                                      id.empty() ? new_publish_id() : id);
+                                      id.empty() ? make_publish_id() : id);
               }}},
             {"diff",
              {1, [](const command_context& c,
@@ -82,11 +83,11 @@
 
 } // namespace
 
-/// Runs one command of an operator.
+/// Runs one command.
 int main(int argc, char** argv) {
     absl::SetProgramUsageMessage(usage);
-    const auto words = absl::ParseCommandLine(argc, argv);
-    const auto fail = [] {
+    const auto positional = absl::ParseCommandLine(argc, argv);
+    const auto print_usage = [] {
         std::cerr << usage << '\n';
         return static_cast<int>(exit_code::usage);
     };
@@ -94,20 +95,21 @@
     const auto entry =
         hibiscus::base::parse_endpoint(absl::GetFlag(FLAGS_entry));
     const auto output = absl::GetFlag(FLAGS_output);
-    if (words.size() < 2 || !log || !entry ||
+    if (positional.size() < 2 || !log || !entry ||
         (output != "text" && output != "json")) {
-        return fail();
+        return print_usage();
     }
-    const std::vector<std::string> arguments(words.begin() + 2, words.end());
-    const auto known = commands();
-    const auto at = known.find(words[1]);
-    if (at == known.end() || at->second.arguments != arguments.size()) {
-        return fail();
+    const std::vector<std::string> arguments(positional.begin() + 2,
+                                             positional.end());
+    const auto commands = make_commands();
+    const auto it = commands.find(positional[1]);
+    if (it == commands.end() || it->second.argument_count != arguments.size()) {
+        return print_usage();
     }
     const command_context context{*log, *entry,
                                   output == "json"
                                       ? hibiscus::ctl::output_format::json
                                       : hibiscus::ctl::output_format::text,
                                   std::cout, std::cerr};
-    return static_cast<int>(at->second.run(context, arguments));
+    return static_cast<int>(it->second.run(context, arguments));
 }
--- a/packages/ctl/test/explain_test.cpp
+++ b/packages/ctl/test/explain_test.cpp
@@ -7,41 +7,43 @@
 namespace hibiscus::ctl {
 namespace {
 
-constexpr const char* claimed =
+constexpr const char* claim_line =
     R"({"event":"decision","kind":"claim","subject":"sync-1",)"
     R"("candidates":[],"choice":"ledger","reason":"first","time_ms":20,)"
     R"("node":"n2"})";
-constexpr const char* routed =
+constexpr const char* route_line =
     R"({"event":"decision","kind":"route","subject":"sync-1",)"
     R"("candidates":["ledger1","ledger2"],"choice":"ledger2",)"
     R"("reason":"fewest in flight","time_ms":21,"node":"n2"})";
-constexpr const char* gone =
+constexpr const char* engine_gone_line =
     R"({"event":"engine_gone","engine":"e1","time_ms":5,"node":"n1"})";
 
-/// Returns what lines say about a name.
+/// Returns the explanations of `name` in log `lines` as text.
 std::string explain(const std::vector<std::string>& lines,
                     const std::string& name) {
-    std::vector<explanation> found;
+    std::vector<explanation> explanations;
     for (const auto& line : lines) {
         std::istringstream log(line + "\n");
-        collect_explanations(log, name, found);
+        collect_explanations(log, name, explanations);
     }
     std::ostringstream out;
-    write_text(out, found);
+    write_text(out, explanations);
     return out.str();
 }
 
 TEST(explain_test, orders_the_decisions_of_all_nodes_by_time) {
-    EXPECT_EQ(explain({routed, gone, claimed}, "sync-1"),
+    EXPECT_EQ(explain({route_line, engine_gone_line, claim_line}, "sync-1"),
               "20 n2: claim sync-1 -> ledger (first)\n"
               "21 n2: route sync-1 -> ledger2 (fewest in flight), of ledger1 "
               "ledger2\n");
-    EXPECT_EQ(explain({gone}, "e1"), "5 n1: engine_gone (engine e1)\n");
+    EXPECT_EQ(explain({engine_gone_line}, "e1"),
+              "5 n1: engine_gone (engine e1)\n");
 }
 
-// A node was killed while it wrote a line. The rest of its log still counts.
-TEST(explain_test, passes_over_lines_that_are_cut_off) {
-    EXPECT_EQ(explain({"{\"event\":\"deci", "[1]", "", claimed}, "sync-1"),
+// A node was killed while it wrote a line. The other lines of its log must
+// still be read.
+TEST(explain_test, ignores_truncated_lines) {
+    EXPECT_EQ(explain({"{\"event\":\"deci", "[1]", "", claim_line}, "sync-1"),
               "20 n2: claim sync-1 -> ledger (first)\n");
 }
 
