--- a/packages/ctl/include/hibiscus/ctl/commands.hpp
+++ b/packages/ctl/include/hibiscus/ctl/commands.hpp
@@ -13,13 +13,12 @@
 enum class exit_code {
     done = 0,        ///< The command succeeded.
     refused = 1,     ///< The document is invalid or was superseded.
-    usage = 2,       ///< The command line is invalid.
-    unavailable = 3, ///< The log or entry is unavailable; nothing was changed.
+    usage = 2,       ///< The command line is invalid, or a file can't be read.
+    unavailable = 3, ///< No usable response; nothing was changed.
     unknown = 4,     ///< It is unknown whether the publish took effect.
     not_found = 5    ///< The logs do not mention the name.
 };
 
-/// The format of the output.
 enum class output_format { text, json };
 
 /// The servers that a command uses, and its output.
--- a/packages/ctl/include/hibiscus/ctl/explain.hpp
+++ b/packages/ctl/include/hibiscus/ctl/explain.hpp
@@ -8,7 +8,8 @@
 
 namespace hibiscus::ctl {
 
-/// A decision or event in the log about a request, sample or engine.
+/// A decision or event about a request, sample or engine, from a node's log
+/// file.
 struct explanation {
     /// The wall-clock time.
     base::millis time = 0;
@@ -17,6 +18,7 @@
     std::string kind;
     std::string subject;
     std::string choice;
+    /// The reason of the decision, or the fields of the event.
     std::string reason;
     std::vector<std::string> candidates;
 };
--- a/packages/ctl/src/blocking_client.hpp
+++ b/packages/ctl/src/blocking_client.hpp
@@ -11,7 +11,8 @@
 
 namespace hibiscus::ctl {
 
-/// An HTTP client whose calls block until the response arrives.
+/// A client of the entry and the log service. Its calls block until they
+/// succeed or fail.
 class blocking_client {
 public:
     blocking_client();
--- a/packages/ctl/src/main.cpp
+++ b/packages/ctl/src/main.cpp
@@ -83,7 +83,6 @@
 
 } // namespace
 
-/// Runs one command.
 int main(int argc, char** argv) {
     absl::SetProgramUsageMessage(usage);
     const auto positional = absl::ParseCommandLine(argc, argv);
--- a/packages/document/include/hibiscus/document/config_state_machine.hpp
+++ b/packages/document/include/hibiscus/document/config_state_machine.hpp
@@ -15,15 +15,16 @@
 
 /// The verdict on a publish.
 enum class publish_verdict {
-    accepted,   ///< Its document is or was in force.
+    accepted,   ///< It replaced the accepted revision.
     superseded, ///< Its base was not the revision in force.
     invalid,    ///< Its document has errors.
-    unknown     ///< No record of it has been applied.
+    unknown     ///< Not evaluated yet, or too old to be kept.
 };
 
 /// A document that was accepted.
 struct revision {
-    /// One more than the offset of the record that published the document.
+    /// One more than the offset of the record that published the document; 0
+    /// means none.
     wire::log_offset number = 0;
     std::string text;
     document content;
@@ -39,9 +40,10 @@
     /// next_offset() is ignored.
     void apply(wire::log_offset offset, const wire::config_record& record);
 
-    /// Called with the first offset that retention has kept. If some dropped
-    /// records were not applied, later publishes are evaluated only after a
-    /// snapshot provides the accepted revision.
+    /// Tells the state machine that retention has dropped the records before
+    /// `first`. Call it before applying records at `first` and above. If some
+    /// dropped records were not applied, later publishes are evaluated only
+    /// after a snapshot provides the accepted revision.
     void handle_truncation(wire::log_offset first);
 
     /// Skips the record at `offset`, which no node can decode.
@@ -72,7 +74,8 @@
     /// covers; 0 if there is no snapshot.
     wire::log_offset snapshot_offset() const { return snapshot_offset_; }
 
-    /// Returns the verdict on the publish `publish_id`.
+    /// Returns the verdict on the publish `publish_id`; `unknown` if it was not
+    /// evaluated or its verdict is no longer kept.
     publish_verdict verdict(const std::string& publish_id) const;
 
     /// Returns the offset after the last record that was applied.
@@ -91,8 +94,8 @@
     std::string accepted_publish_id_;
     std::map<std::string, publish_verdict> verdicts_;
     std::deque<std::string> verdict_order_;
-    /// The first offset after the missing records, until a snapshot replaces
-    /// them.
+    /// The first offset after the missing records; nullopt if none are missing
+    /// or a snapshot has replaced them.
     std::optional<wire::log_offset> gap_end_;
     std::vector<std::pair<wire::log_offset, wire::config_record>>
         deferred_records_;
--- a/packages/document/include/hibiscus/document/document.hpp
+++ b/packages/document/include/hibiscus/document/document.hpp
@@ -23,13 +23,13 @@
 enum class straggler_kind {
     none,           ///< Not at all.
     raise_priority, ///< Engines run them before other samples.
-    move            ///< Also moves unstarted samples to other engines.
+    move            ///< As raise_priority; unstarted samples change engines.
 };
 
 /// The weight versions with which a sample may start.
 enum class start_version_kind {
-    within_bound,  ///< All versions within the staleness bound at the start.
-    expect_publish ///< Versions within the bound after the next publish.
+    within_bound,  ///< Versions within the staleness bound at its start.
+    expect_publish ///< Versions still within it after the next weight version.
 };
 
 /// A party that pays for engines.
@@ -49,7 +49,8 @@
     double queue_share = 1.0;
     /// True if the engines reject orders with an old fencing token.
     bool checks_fencing = true;
-    /// The maximum fraction of the engines that swap weight versions at a time.
+    /// The maximum fraction of the pool's engines that may change their weight
+    /// version at the same time.
     double swap_share = 0.34;
     placement_kind placement = placement_kind::prefix_affinity;
     start_version_kind start_version = start_version_kind::expect_publish;
@@ -86,7 +87,8 @@
 struct limits {
     /// How long a response to GET /v1/entries is valid, in ms.
     base::millis entries_ttl_ms = 2000;
-    /// How long a claim is kept, in ms.
+    /// How long after the creation of a request its claim is kept, in ms. Older
+    /// non-idempotent requests are rejected.
     base::millis claim_window_ms = 600000;
     /// The maximum time that a pull waits for samples, in ms.
     base::millis pull_wait_ms = 2000;
--- a/packages/document/include/hibiscus/document/parse.hpp
+++ b/packages/document/include/hibiscus/document/parse.hpp
@@ -11,12 +11,12 @@
 enum class parse_error_kind {
     not_json,       ///< The text is not JSON.
     unknown_schema, ///< The schema version is newer than this program supports.
-    wrong_type,     ///< The value has the wrong type.
+    wrong_type,     ///< The value has the wrong type or length.
     out_of_range,   ///< The number is too small or too large.
     missing,        ///< A required key is missing.
     unknown_key,    ///< The schema has no such key.
-    unknown_name,   ///< The name refers to nothing that exists.
-    repeated_name   ///< An earlier entry has the same name.
+    unknown_name,   ///< No row or enumerator has this name.
+    repeated_name   ///< An earlier row has the same name.
 };
 
 /// One error of a document.
--- a/packages/document/src/diff.cpp
+++ b/packages/document/src/diff.cpp
@@ -38,7 +38,7 @@
 
     /// Adds one value of the row.
     template <class T>
-    value_writer& put(const char* key, const T& value) {
+    value_writer& add(const char* key, const T& value) {
         target_[path_ + "/" + key] = to_text(value);
         return *this;
     }
@@ -49,44 +49,44 @@
 };
 
 void write(value_map& target, const owner& o) {
-    value_writer(target, "/owners/" + o.name.str()).put("weight", o.weight);
+    value_writer(target, "/owners/" + o.name.str()).add("weight", o.weight);
 }
 
 void write(value_map& target, const pool& p) {
     value_writer(target, "/pools/" + p.name.str())
-        .put("owner", p.owner)
-        .put("slots_per_engine", p.slots_per_engine)
-        .put("queue_share", p.queue_share)
-        .put("checks_fencing", p.checks_fencing)
-        .put("swap_share", p.swap_share)
-        .put("placement", p.placement)
-        .put("start_version", p.start_version);
+        .add("owner", p.owner)
+        .add("slots_per_engine", p.slots_per_engine)
+        .add("queue_share", p.queue_share)
+        .add("checks_fencing", p.checks_fencing)
+        .add("swap_share", p.swap_share)
+        .add("placement", p.placement)
+        .add("start_version", p.start_version);
 }
 
 void write(value_map& target, const trainer& t) {
     value_writer(target, "/trainers/" + t.name.str())
-        .put("owner", t.owner)
-        .put("pool", t.pool)
-        .put("weight", t.weight)
-        .put("priority", t.priority)
-        .put("staleness_bound", t.staleness_bound)
-        .put("stragglers", t.stragglers);
+        .add("owner", t.owner)
+        .add("pool", t.pool)
+        .add("weight", t.weight)
+        .add("priority", t.priority)
+        .add("staleness_bound", t.staleness_bound)
+        .add("stragglers", t.stragglers);
 }
 
 void write(value_map& target, const service& s) {
     value_writer(target, "/services/" + s.name.str())
-        .put("owner", s.owner)
-        .put("max_in_flight", s.max_in_flight)
-        .put("hedge", s.hedge);
+        .add("owner", s.owner)
+        .add("max_in_flight", s.max_in_flight)
+        .add("hedge", s.hedge);
 }
 
 void write(value_map& target, const limits& l) {
     value_writer(target, "/limits")
-        .put("entries_ttl_ms", l.entries_ttl_ms)
-        .put("claim_window_ms", l.claim_window_ms)
-        .put("pull_wait_ms", l.pull_wait_ms)
-        .put("retry_ratio", l.retry_ratio)
-        .put("order_life_ms", l.order_life_ms);
+        .add("entries_ttl_ms", l.entries_ttl_ms)
+        .add("claim_window_ms", l.claim_window_ms)
+        .add("pull_wait_ms", l.pull_wait_ms)
+        .add("retry_ratio", l.retry_ratio)
+        .add("order_life_ms", l.order_life_ms);
 }
 
 template <class Row>
--- a/packages/document/src/parse.cpp
+++ b/packages/document/src/parse.cpp
@@ -56,30 +56,30 @@
         target = Id(value->get<std::string>());
     }
 
-    /// Reads an optional integer from `low` to `high`.
+    /// Reads an optional integer from `min` to `max`.
     template <class T>
-    void integer(const char* key, T& target, T low, T high) {
+    void integer(const char* key, T& target, T min, T max) {
         const json* value = find(key);
         if (value == nullptr) {
             return;
         }
-        const auto range = std::to_string(low) + " to " + std::to_string(high);
+        const auto range = std::to_string(min) + " to " + std::to_string(max);
         if (!value->is_number_integer()) {
             add_error(parse_error_kind::wrong_type, key,
                       "a whole number, " + range);
             return;
         }
         const double number = value->get<double>();
-        if (number < static_cast<double>(low) ||
-            number > static_cast<double>(high)) {
+        if (number < static_cast<double>(min) ||
+            number > static_cast<double>(max)) {
             add_error(parse_error_kind::out_of_range, key, range);
             return;
         }
         target = value->get<T>();
     }
 
-    /// Reads an optional number from `low` to `high`.
-    void number(const char* key, double& target, double low, double high) {
+    /// Reads an optional number from `min` to `max`.
+    void number(const char* key, double& target, double min, double max) {
         const json* value = find(key);
         if (value == nullptr) {
             return;
@@ -88,9 +88,9 @@
             add_error(parse_error_kind::wrong_type, key, "a number");
             return;
         }
-        if (value->get<double>() < low || value->get<double>() > high) {
+        if (value->get<double>() < min || value->get<double>() > max) {
             add_error(parse_error_kind::out_of_range, key,
-                      std::to_string(low) + " to " + std::to_string(high));
+                      std::to_string(min) + " to " + std::to_string(max));
             return;
         }
         target = value->get<double>();
--- a/packages/net/include/hibiscus/net/http.hpp
+++ b/packages/net/include/hibiscus/net/http.hpp
@@ -30,18 +30,18 @@
     bool resent = false;
 };
 
-/// Whether a request that got no response may have reached the server.
+/// Whether a request without a complete response may have reached the server.
 enum class delivery_status {
     not_sent, ///< No byte of the request was sent.
     lost      ///< It may have been sent; the server may have handled it.
 };
 
-/// The result of a request that got no response.
+/// The result of a request without a complete response.
 struct http_failure {
     delivery_status status = delivery_status::lost;
 };
 
-/// The result of a request.
+/// The response to a request, or why there is none.
 using http_result = std::variant<http_response, http_failure>;
 
 /// Sends the response to one request. Call it once, from any thread.
--- a/packages/net/include/hibiscus/net/http_client.hpp
+++ b/packages/net/include/hibiscus/net/http_client.hpp
@@ -29,9 +29,10 @@
                 base::millis idle_ms = 8000);
 
     /// Sends `request` to `target`. Calls `done` once, on a thread of the
-    /// context, with the response, or with an http_failure if there is none
-    /// within `timeout` ms. The returned function cancels the request: if
-    /// `done` has not been called yet, it is called soon.
+    /// context, with the response, or with an http_failure if the request
+    /// fails, is cancelled or takes longer than `timeout` ms. The returned
+    /// function cancels the request: if `done` has not been called yet, it is
+    /// called soon.
     std::function<void()> send(const base::endpoint& target,
                                http_request request, base::millis timeout,
                                connection_reuse mode,
--- a/packages/net/include/hibiscus/net/http_server.hpp
+++ b/packages/net/include/hibiscus/net/http_server.hpp
@@ -10,9 +10,9 @@
 namespace hibiscus::net {
 
 /// Serves HTTP/1.1 on one address. The server itself responds with a 4xx
-/// status to a request that exceeds a limit or is malformed; the handler is
-/// called only for complete requests. If the handler throws, the response is a
-/// 500.
+/// status to a request that is malformed or too large, and closes connections
+/// over max_connections or past a timeout without a response. The handler is
+/// called only for complete requests. If it throws, the response is a 500.
 class http_server {
 public:
     /// Constructs a server that is not listening yet.
--- a/packages/net/src/http_client.cpp
+++ b/packages/net/src/http_client.cpp
@@ -42,14 +42,14 @@
             return nullptr;
         }
         auto stream = std::move(it->second.back().stream);
-        const bool fresh = !is_expired(it->second.back());
+        const bool is_usable = !is_expired(it->second.back());
         it->second.pop_back();
         // The last one was released most recently: if it has expired, so have
         // the others.
-        if (!fresh || it->second.empty()) {
+        if (!is_usable || it->second.empty()) {
             idle_.erase(it);
         }
-        return fresh ? std::move(stream) : nullptr;
+        return is_usable ? std::move(stream) : nullptr;
     }
 
     /// Keeps a connection for the next request, unless the pool already has
@@ -192,7 +192,7 @@
         beast::error_code error;
         const auto ip = asio::ip::make_address(target_.ip, error);
         if (error || cancelled_) {
-            finish_unreachable();
+            finish_without_sending();
             return;
         }
         const auto connect_deadline = std::chrono::steady_clock::now() +
@@ -202,24 +202,25 @@
             tcp::endpoint(ip, target_.port),
             [self = shared_from_this()](beast::error_code e) {
                 if (e) {
-                    self->finish_unreachable();
+                    self->finish_without_sending();
                 } else {
                     self->write();
                 }
             });
     }
 
-    /// Called when no connection could be opened. The request may still have
-    /// been sent over a pooled connection that then broke; reporting not_sent
-    /// would make the caller run it a second time.
-    void finish_unreachable() {
+    /// Called when the request can't be sent now, because no connection could
+    /// be opened or it was cancelled. It may still have been sent before, over
+    /// a pooled connection that then broke; reporting not_sent would make the
+    /// caller run it a second time.
+    void finish_without_sending() {
         finish(http_failure{send_count_ > 0 ? delivery_status::lost
                                             : delivery_status::not_sent});
     }
 
     void write() {
         if (cancelled_) {
-            finish_unreachable();
+            finish_without_sending();
             return;
         }
         ++send_count_;
--- a/packages/net/src/http_server.cpp
+++ b/packages/net/src/http_server.cpp
@@ -42,8 +42,8 @@
     buffer_reservation(const buffer_reservation&) = delete;
     buffer_reservation& operator=(const buffer_reservation&) = delete;
 
-    /// Replaces the reservation by one of `bytes`. Returns false, and holds
-    /// none, if the server's limit would be exceeded.
+    /// Replaces the reservation with one of `bytes` bytes. Returns false, and
+    /// holds none, if the server's limit would be exceeded.
     bool reserve(std::size_t bytes) {
         release();
         if (state_.buffered_bytes.fetch_add(bytes) + bytes >
@@ -55,7 +55,6 @@
         return true;
     }
 
-    /// Releases the reserved bytes.
     void release() {
         state_.buffered_bytes -= std::exchange(reserved_bytes_, 0);
     }
@@ -173,7 +172,7 @@
         request.body = std::move(message.body());
         stream_.expires_never();
         ++state_->in_flight;
-        const auto respond = responder();
+        const auto respond = make_responder();
         // An uncaught exception would terminate the process and abort all
         // other requests in flight.
         try {
@@ -185,7 +184,7 @@
 
     /// Returns a function that sends the response. Only its first call has an
     /// effect.
-    http_responder responder() {
+    http_responder make_responder() {
         return [self = shared_from_this(),
                 called = std::make_shared<std::atomic<bool>>(false)](
                    http_response response) {
@@ -204,8 +203,8 @@
         write(std::move(response));
     }
 
-    /// Responds to a request that can't be parsed, and closes the connection,
-    /// because the start of the next request is unknown.
+    /// Responds to a request that is malformed or too large, and closes the
+    /// connection, because the rest of the request was not read.
     void reject(int status, const std::string& where,
                 const std::string& expected) {
         keep_alive_ = false;
--- a/packages/net/src/peer_mesh.cpp
+++ b/packages/net/src/peer_mesh.cpp
@@ -84,9 +84,9 @@
     void set_peers(const std::map<base::node_id, base::endpoint>& peers) {
         for (auto it = links_.begin(); it != links_.end();) {
             const auto peer = peers.find(it->first);
-            const bool keep =
+            const bool is_unchanged =
                 peer != peers.end() && peer->second == it->second.target;
-            if (keep) {
+            if (is_unchanged) {
                 ++it;
             } else {
                 close(it->second);
@@ -124,8 +124,8 @@
     }
 
 private:
-    template <class Endpoint>
-    static void disable_library_logging(Endpoint& endpoint) {
+    template <class WebSocketEndpoint>
+    static void disable_library_logging(WebSocketEndpoint& endpoint) {
         endpoint.clear_access_channels(websocketpp::log::alevel::all);
         endpoint.clear_error_channels(websocketpp::log::elevel::all);
     }
--- a/packages/net/test/http_client_test.cpp
+++ b/packages/net/test/http_client_test.cpp
@@ -24,7 +24,8 @@
 constexpr const char* complete_response =
     "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfour";
 
-/// A client, and a server that runs one script of the test per connection.
+/// A client, and a server that handles each connection with a function of the
+/// test.
 class http_client_test : public ::testing::Test {
 protected:
     using script = std::function<void(tcp::socket)>;
@@ -90,8 +91,8 @@
 };
 
 // The server reads a request from a reused connection, runs it and crashes.
-// The client must not report not_sent because the server can't be reached any
-// more: the caller would run the request a second time.
+// The client can't reconnect, but must report lost and not not_sent: otherwise
+// the caller would run the request a second time.
 TEST_F(http_client_test, a_request_lost_on_a_used_connection_stays_lost) {
     serve({[this](tcp::socket socket) {
         read_request(socket);
--- a/packages/platform/include/hibiscus/platform/log_client.hpp
+++ b/packages/platform/include/hibiscus/platform/log_client.hpp
@@ -9,11 +9,11 @@
 
 namespace hibiscus::platform {
 
-/// The kind of a failure of the log service.
+/// How a call to the log service failed.
 enum class log_error_kind {
-    refused, ///< The service did not accept the request and will not.
+    refused, ///< The request was not accepted and has no effect.
     unknown, ///< It is unknown whether the service accepted the request.
-    corrupt  ///< The response could not be decoded.
+    corrupt  ///< Invalid response; an append may have taken effect.
 };
 
 /// A failed call to the log service.
@@ -23,19 +23,19 @@
     base::millis retry_after_ms = 0;
 };
 
-/// The result of an append.
 using append_result = std::variant<wire::append_response, log_error>;
-/// The result of a read.
+
 using read_result = std::variant<wire::log_page, log_error>;
 
-/// A client of the platform's log service.
+/// A client of the platform's log service. A stream is a log stream here.
 class log_client {
 public:
     /// Constructs a client of the service at `target`.
     log_client(net::http_client& http, base::endpoint target);
 
-    /// Appends a record. An append that failed with `unknown` may be retried
-    /// with the same id; readers ignore the second copy.
+    /// Appends a record. A failed append may be retried with the same id.
+    /// Unless it was `refused`, it may have taken effect, but readers ignore
+    /// the second copy.
     void append(const std::string& stream, const base::append_id& id,
                 std::string data, std::function<void(append_result)> done);
 
@@ -54,7 +54,8 @@
 
 /// The stream of configuration documents that operators publish.
 constexpr const char* config_stream = "config";
-/// The stream whose offsets are the epochs of the home nodes of engines.
+/// The stream to which the home node of an engine appends a record to start an
+/// epoch; the epoch is the record's offset plus 1.
 constexpr const char* engine_epoch_stream = "engine-epochs";
 
 } // namespace hibiscus::platform
--- a/packages/wire/include/hibiscus/wire/claims.hpp
+++ b/packages/wire/include/hibiscus/wire/claims.hpp
@@ -9,7 +9,7 @@
 
 /// The kind of an entry in a claim record.
 enum class claim_kind {
-    claim,   ///< The holder of the epoch has the right to dispatch the request.
+    claim,   ///< The shard's holder in the epoch may dispatch the request.
     outcome, ///< The request ran; `body` is its response.
     release  ///< The holder did not dispatch the request and never will.
 };
--- a/packages/wire/include/hibiscus/wire/engine.hpp
+++ b/packages/wire/include/hibiscus/wire/engine.hpp
@@ -50,6 +50,7 @@
     std::vector<stream_update> streams;
     int running = 0;
     int queued = 0;
+    /// The number of streams that the engine runs at a time.
     int slots = 0;
     std::vector<served_version> serving;
 };
@@ -65,6 +66,7 @@
 struct version_order {
     base::trainer_id trainer;
     weight_version version = 0;
+    /// The fencing token of this order.
     fencing_token number;
 };
 
--- a/packages/wire/include/hibiscus/wire/peer.hpp
+++ b/packages/wire/include/hibiscus/wire/peer.hpp
@@ -8,7 +8,7 @@
 
 namespace hibiscus::wire {
 
-/// The state of an entry instance, which decides what work it accepts.
+/// The state of a node (an entry instance), which decides what work it accepts.
 enum class node_state {
     starting, ///< It has no configuration yet and accepts no requests.
     ready, ///< It accepts requests and is the home node of its share of keys.
@@ -117,7 +117,7 @@
 using reply_body = std::variant<step_response, pull_response, version_response,
                                 service_response, place_response>;
 
-/// A call from one node to another, which sends one reply.
+/// A request from one node to another. The receiver sends one reply.
 struct call {
     std::uint64_t id = 0;
     /// The node that receives the reply.
@@ -163,7 +163,7 @@
 struct cancel_streams {
     base::engine_id engine;
     std::vector<base::stream_id> streams;
-    /// The trainer's home node, which cancels them.
+    /// The trainer's home node, which sends this request.
     base::node_id home;
 };
 
--- a/packages/wire/include/hibiscus/wire/platform.hpp
+++ b/packages/wire/include/hibiscus/wire/platform.hpp
@@ -66,11 +66,12 @@
     /// The revision in force that the document replaces; 0 if there is none.
     log_offset base = 0;
     std::string document;
-    /// Set in a snapshot, which a home node appends before retention drops the
-    /// accepted record: the revision of the document.
+    /// The revision of `document` if this record is a snapshot, otherwise 0. A
+    /// home node appends a snapshot before retention drops the record of the
+    /// accepted publish.
     log_offset revision = 0;
-    /// Set in a snapshot: it holds the state after all records before this
-    /// offset.
+    /// The offset before which a snapshot covers all records; 0 if this record
+    /// is no snapshot.
     log_offset covers = 0;
 };
 
--- a/packages/wire/include/hibiscus/wire/samples.hpp
+++ b/packages/wire/include/hibiscus/wire/samples.hpp
@@ -32,6 +32,7 @@
     outcome result = outcome::unknown;
     reason why = reason::none;
     base::millis retry_after_ms = 0;
+    /// The number of sample slots of the step.
     std::uint32_t slots = 0;
 };
 
--- a/packages/wire/src/codec.cpp
+++ b/packages/wire/src/codec.cpp
@@ -14,7 +14,7 @@
 constexpr int max_depth = 32;
 
 /// A callback of json::parse that rejects input nested deeper than max_depth.
-class json_depth_filter {
+class json_text_depth_checker {
 public:
     /// Called for each parse event. Returns false to discard the value.
     bool operator()(int depth, json::parse_event_t event, json& parsed) {
@@ -32,7 +32,7 @@
 };
 
 /// A SAX handler that stops parsing at input nested deeper than max_depth.
-class json_depth_checker : public json::json_sax_t {
+class cbor_depth_checker : public json::json_sax_t {
 public:
     bool null() override { return true; }
     bool boolean(bool) override { return true; }
@@ -62,7 +62,7 @@
 
 /// Runs `decode` and converts exceptions of the JSON library to a decode_error.
 template <class T, class F>
-base::result<T, decode_error> decode_guarded(F decode) {
+base::result<T, decode_error> catch_json_errors(F decode) {
     try {
         return decode();
     } catch (const json::exception& e) {
@@ -70,7 +70,7 @@
     }
 }
 
-/// The names on the wire of the alternatives of a message variant, in order.
+/// The wire names of the alternatives of the variant `V`, by index.
 template <class V>
 struct variant_names;
 
@@ -195,10 +195,10 @@
 
 template <class T>
 base::result<T, decode_error> from_json(std::string_view text) {
-    return decode_guarded<T>([&]() -> base::result<T, decode_error> {
-        json_depth_filter depth_filter;
-        const json j = json::parse(text, std::ref(depth_filter));
-        if (depth_filter.too_deep()) {
+    return catch_json_errors<T>([&]() -> base::result<T, decode_error> {
+        json_text_depth_checker depth_checker;
+        const json j = json::parse(text, std::ref(depth_checker));
+        if (depth_checker.too_deep()) {
             return decode_error{"nested too deeply"};
         }
         return j.get<T>();
@@ -215,8 +215,8 @@
 
 base::result<peer_message, decode_error> from_cbor(std::string_view bytes) {
     using result = base::result<peer_message, decode_error>;
-    return decode_guarded<peer_message>([&]() -> result {
-        json_depth_checker depth_checker;
+    return catch_json_errors<peer_message>([&]() -> result {
+        cbor_depth_checker depth_checker;
         if (!json::sax_parse(bytes.begin(), bytes.end(), &depth_checker,
                              json::input_format_t::cbor)) {
             return decode_error{"invalid CBOR, or nested too deeply"};
--- a/packages/wire/src/mapping.hpp
+++ b/packages/wire/src/mapping.hpp
@@ -120,15 +120,18 @@
 #undef HIBISCUS_WIRE
 // NOLINTEND
 
-/// Maps a caller's request. `created_ms` and `body` may be omitted.
+/// Converts a service_request to and from JSON. `created_ms` and `body` may be
+/// omitted.
 void to_json(nlohmann::json& j, const service_request& r);
 void from_json(const nlohmann::json& j, service_request& r);
 
-/// Maps a range to a pair of numbers, which keeps pull requests small.
+/// Converts a slot_range to and from a pair of numbers, which keeps pull
+/// requests small.
 void to_json(nlohmann::json& j, const slot_range& r);
 void from_json(const nlohmann::json& j, slot_range& r);
 
-/// Maps a pull request. `max_samples` and `wait_ms` may be omitted.
+/// Converts a pull_request to and from JSON. `max_samples` and `wait_ms` may be
+/// omitted.
 void to_json(nlohmann::json& j, const pull_request& r);
 void from_json(const nlohmann::json& j, pull_request& r);
 
