--- a/testing/entry/entry_harness.hpp
+++ b/testing/entry/entry_harness.hpp
@@ -25,7 +25,8 @@
 
 using json = nlohmann::json;
 
-/// The items of a job, the events of each, and the time between two, in ms.
+/// The number of items of a job, the number of events of each item's run, and
+/// the time between two events, in ms.
 constexpr int items_per_job = 12;
 constexpr int events_per_run = 30;
 constexpr int event_interval_ms = 10;
@@ -46,13 +47,15 @@
    "timeoutMs":2000,"targetLatencyMs":150,"attempts":3,"service":"app"}
   ],"services":[],"limits":{}})";
 
-/// Answers that callers get; status 0 stands for none.
+/// The response to a caller's request; status 0 means no complete response.
 struct call_result {
     int status = 0;
     std::string body;
 };
 
-/// Nodes as processes before stand-ins of store and servers, and a caller.
+/// Runs hibiscus_entryd nodes as processes against a fake store and fake
+/// backend servers, and calls them. The fakes run only while io_ runs, as in
+/// run_until() and call().
 class entry_harness {
 public:
     entry_harness() {
@@ -66,7 +69,7 @@
                        samplers_.back()->make_registration("llm", true));
         }
         store_.put("keyed.servers", "app-0",
-                   app_server_.make_registration("app", false));
+                   lookup_server_.make_registration("app", false));
     }
 
     ~entry_harness() {
@@ -74,7 +77,7 @@
         if (::testing::Test::HasFailure()) {
             print_log_tails();
         }
-        // HIBISCUS_KEEP keeps what the nodes wrote.
+        // HIBISCUS_KEEP keeps the settings and logs of the nodes.
         if (std::getenv("HIBISCUS_KEEP") == nullptr) { // NOLINT
             std::filesystem::remove_all(work_dir_);
         }
@@ -83,8 +86,8 @@
     entry_harness(const entry_harness&) = delete;
     entry_harness& operator=(const entry_harness&) = delete;
 
-    /// Writes the configuration as the operator, under a version, with the
-    /// routes' bounds as they are if `timeout_ms` is 0.
+    /// Publishes the configuration with the given version, as the operator
+    /// would. If `timeout_ms` is not 0, it replaces the timeouts of the routes.
     void publish_configuration(int version = 1, int timeout_ms = 0) {
         auto next = json::parse(configuration_json);
         next["version"] = version;
@@ -96,8 +99,8 @@
         store_.put("keyed.op", "config", next.dump());
     }
 
-    /// Writes the settings of a node; its calls to the store go to `store` if
-    /// that is given. Returns the file's path.
+    /// Writes the settings file of a node. The node uses the store at `store`,
+    /// by default the fake store. Returns the path of the file.
     std::string
     write_settings(const std::string& name,
                    std::optional<base::endpoint> store = std::nullopt) {
@@ -108,20 +111,21 @@
             }
         }
         auto file = work_dir_ + "/" + name + ".yaml";
-        const auto at = [&](std::size_t n) {
+        const auto listen_address = [&](std::size_t n) {
             return "127.0.0.1:" + std::to_string(ports[n]) + "\n";
         };
         std::ofstream(file)
             << "node: " << name << "\nzone: z\nlisten:\n"
-            << "  callers: " << at(0) << "  readiness: " << at(1)
-            << "  directory: " << at(2) << "  metrics: " << at(3)
-            << "store:\n  address: "
+            << "  callers: " << listen_address(0)
+            << "  readiness: " << listen_address(1)
+            << "  directory: " << listen_address(2)
+            << "  metrics: " << listen_address(3) << "store:\n  address: "
             << to_string(store.value_or(store_.address())) << "\n"
             << extra_settings_;
         return file;
     }
 
-    /// Starts a node with settings as write_settings() leaves them.
+    /// Writes the settings of a node and starts it.
     void start_node(const std::string& name,
                     std::optional<base::endpoint> store = std::nullopt) {
         const auto file = write_settings(name, store);
@@ -130,50 +134,60 @@
             work_dir_ + "/" + name + ".log");
     }
 
+    /// Sends a request to the node or proxy `name` and runs the fakes until the
+    /// call has ended, for at most 2.5 s. `port_index` selects a port of a
+    /// node: 0 for callers, 1 for readiness, 2 for the directory, 3 for
+    /// metrics.
     call_result call(const std::string& name, const std::string& method,
                      const std::string& target,
                      const transport::headers& fields = {},
-                     const std::string& body = "", std::size_t port = 0) {
+                     const std::string& body = "", std::size_t port_index = 0) {
         transport::upstream_request request;
         request.method = method;
         request.target = target;
         request.fields = fields;
         request.fields.push_back({"Host", "h"});
         request.body = body;
-        auto out = std::make_shared<call_result>();
+        auto result = std::make_shared<call_result>();
         auto ended = std::make_shared<bool>(false);
         transport::upstream_call_options options;
         options.total_timeout_ms = 2500;
         options.reuse_connection = false;
-        transport::upstream_callbacks on;
-        on.on_head = [out](const auto& h) { out->status = h.status; };
-        on.on_data = [out](std::string_view piece) { out->body += piece; };
-        on.on_end = [out, ended](transport::call_outcome end) {
-            out->status =
-                end == transport::call_outcome::complete ? out->status : 0;
+        transport::upstream_callbacks callbacks;
+        callbacks.on_head = [result](const auto& head) {
+            result->status = head.status;
+        };
+        callbacks.on_data = [result](std::string_view chunk) {
+            result->body += chunk;
+        };
+        callbacks.on_end = [result, ended](transport::call_outcome outcome) {
+            result->status = outcome == transport::call_outcome::complete
+                                 ? result->status
+                                 : 0;
             *ended = true;
         };
-        const auto c =
-            client_.start({"127.0.0.1", ports_.at(name).at(port)},
-                          std::move(request), options, std::move(on));
+        const auto call_handle =
+            client_.start({"127.0.0.1", ports_.at(name).at(port_index)},
+                          std::move(request), options, std::move(callbacks));
         run_until([&] { return *ended; });
-        return *out;
+        return *result;
     }
 
-    /// Runs the stand-ins until a condition holds, at most half a minute.
+    /// Runs the fakes until a condition holds, for at most 30 s. Returns
+    /// whether the condition holds.
     template <class Condition>
-    bool run_until(Condition holds) {
+    bool run_until(Condition condition) {
         const base::clock clock;
-        const auto until = clock.now() + 30000;
-        while (!holds() && clock.now() < until) {
+        const auto deadline = clock.now() + 30000;
+        while (!condition() && clock.now() < deadline) {
             io_.restart();
             io_.run_for(std::chrono::milliseconds(5));
         }
-        return holds();
+        return condition();
     }
 
-    /// Returns true once a node is ready, and false if it has ended or is not
-    /// ready in time.
+    /// Waits until a node is ready. Returns false if the node has ended or is
+    /// not ready after 30 s.
     bool wait_until_ready(const std::string& name) {
         bool ready = false;
         run_until([&] {
@@ -183,13 +197,14 @@
         return ready;
     }
 
-    /// Returns the body of a job whose items' ids begin with `prefix` and
-    /// whose items have the body `content`, in base64.
-    static std::string make_job_body(const std::string& prefix, int least = 1,
+    /// Returns the body of a request that submits a job. The item ids begin
+    /// with `prefix`; `content` is the body of each item, in base64.
+    static std::string make_job_body(const std::string& prefix,
+                                     int min_version = 1,
                                      const std::string& content = "YQ==") {
         json job{{"step", 0},
                  {"model", "m"},
-                 {"minVersion", least},
+                 {"minVersion", min_version},
                  {"targetGroups", 3},
                  {"items", json::array()}};
         for (int n = 0; n < items_per_job; ++n) {
@@ -210,32 +225,32 @@
         return job.dump();
     }
 
-    /// Returns the node that owns the jobs by the journal, or "".
+    /// Returns the name of the job owner according to the journal, or "".
     std::string job_owner() const {
-        const auto bytes = store_.newest_value("keyed.journal", "!owner");
-        const auto in = json::from_cbor(bytes, true, false);
-        return in.is_object() ? in.at("node").get<std::string>() : "";
+        const auto record = store_.newest_value("keyed.journal", "!owner");
+        const auto decoded = json::from_cbor(record, true, false);
+        return decoded.is_object() ? decoded.at("node").get<std::string>() : "";
     }
 
-    /// Prints the last lines of each program's log: the folder is gone with the
-    /// object, and a failure that comes once is not understood without them.
+    /// Prints the last lines of each log file. The destructor removes the
+    /// files, and a rare failure can't be explained without them.
     void print_log_tails() const {
-        constexpr std::size_t lines = 20;
+        constexpr std::size_t max_lines = 20;
         for (const auto& file :
              std::filesystem::directory_iterator(work_dir_)) {
             if (file.path().extension() != ".log") {
                 continue;
             }
-            std::deque<std::string> last;
+            std::deque<std::string> tail;
             std::ifstream in(file.path());
             for (std::string line; std::getline(in, line);) {
-                last.push_back(std::move(line));
-                if (last.size() > lines) {
-                    last.pop_front();
+                tail.push_back(std::move(line));
+                if (tail.size() > max_lines) {
+                    tail.pop_front();
                 }
             }
             std::cout << "last lines of " << file.path().filename() << ":\n";
-            for (const auto& line : last) {
+            for (const auto& line : tail) {
                 std::cout << "  " << line << "\n";
             }
         }
@@ -246,10 +261,10 @@
     transport::upstream_client client_{io_};
     fake_keyed_store store_{io_};
     std::vector<std::unique_ptr<fake_backend_server>> samplers_;
-    fake_backend_server app_server_{io_, "app-0", events_per_run,
-                                    event_interval_ms};
+    fake_backend_server lookup_server_{io_, "app-0", events_per_run,
+                                       event_interval_ms};
     std::string work_dir_;
-    /// Lines behind the settings of the nodes that are started.
+    /// Lines that are appended to the settings of the nodes that are started.
     std::string extra_settings_;
     port_reservations reserved_ports_;
     std::map<std::string, std::vector<std::uint16_t>> ports_;
--- a/testing/entry/entry_path_test.cpp
+++ b/testing/entry/entry_path_test.cpp
@@ -19,20 +19,21 @@
 
 class entry_path_test : public ::testing::Test, protected entry_harness {
 protected:
-    call_result submit(const std::string& name, int least = 1) {
+    call_result submit(const std::string& name, int min_version = 1) {
         return call(name, "POST", "/batch/1", {{"Request-Id", "job1"}},
-                    make_job_body("i", least));
+                    make_job_body("i", min_version));
     }
 
-    /// Reads on from a position; keeps what came and checks that it is right.
+    /// Reads the results of job1 that follow those in results_, checks them and
+    /// appends them to results_.
     void read_next_results(const std::string& name) {
-        const auto got = call(
+        const auto response = call(
             name, "GET", "/lots/job1?after=" + std::to_string(results_.size()),
             {{"Wait-Ms", "200"}});
-        if (got.status != 200) {
+        if (response.status != 200) {
             return;
         }
-        const auto body = json::parse(got.body);
+        const auto body = json::parse(response.body);
         EXPECT_EQ(body.at("total"), items_per_job);
         for (const auto& r : body.at("results")) {
             const auto id = r.at("id").get<std::string>();
@@ -41,7 +42,8 @@
                       fake_backend_server::expected_text(id, events_per_run));
             EXPECT_EQ(r.at("score"), "of-s" + id);
             results_.push_back(r.dump());
-            EXPECT_TRUE(result_ids_.insert(id).second) << "twice: " << id;
+            EXPECT_TRUE(result_ids_.insert(id).second)
+                << "duplicate result for " << id;
         }
     }
 
@@ -52,7 +54,7 @@
         });
     }
 
-    /// Reads a stream whose first server breaks off once it is under way.
+    /// Reads a stream whose first server aborts it after a third of the events.
     call_result read_stream_with_abort(const std::string& path,
                                        const std::string& id = "s1") {
         boost::asio::steady_timer timer(io_, abort_after);
@@ -63,38 +65,39 @@
         return call("n1", "POST", path, {{"Request-Id", id}, {"Model", "m"}});
     }
 
-    /// Returns true if a node has written that it no longer owns the jobs.
-    bool has_released_ownership(const std::string& name) const {
+    /// Returns true if a node has written to the journal that it gave up the
+    /// owner lease.
+    bool has_released_lease(const std::string& name) const {
         const auto records = store_.all_values("keyed.journal", "!owner");
         return std::any_of(records.begin(), records.end(), [&](const auto& r) {
-            const auto in = json::from_cbor(r);
-            return in.at("node") == name && in.value("left", false);
+            const auto decoded = json::from_cbor(r);
+            return decoded.at("node") == name && decoded.value("left", false);
         });
     }
 
-    /// Returns a later configuration in which "new" has taken the place of
-    /// the service "llm".
+    /// Returns version 2 of the configuration, whose routes use the service
+    /// "new" instead of "llm".
     static std::string make_moved_configuration() {
-        auto c = json::parse(configuration_json);
-        c["version"] = 2;
-        for (auto& r : c["routes"]) {
-            if (r["service"] == "llm") {
-                r["service"] = "new";
+        auto configuration = json::parse(configuration_json);
+        configuration["version"] = 2;
+        for (auto& route : configuration["routes"]) {
+            if (route["service"] == "llm") {
+                route["service"] = "new";
             }
         }
-        return c.dump();
+        return configuration.dump();
     }
 
     static std::string expected_stream(const std::string& id) {
-        std::string out;
+        std::string events;
         for (int n = 1; n <= events_per_run; ++n) {
-            out += "id: " + std::to_string(n) + "\ndata: " + id + "." +
-                   std::to_string(n) + "\n\n";
+            events += "id: " + std::to_string(n) + "\ndata: " + id + "." +
+                      std::to_string(n) + "\n\n";
         }
-        return out;
+        return events;
     }
 
-    /// A third of the time that a stream lasts.
+    /// A third of the duration of a stream.
     static constexpr std::chrono::milliseconds abort_after{
         events_per_run * event_interval_ms / 3};
 
@@ -108,19 +111,19 @@
     publish_configuration();
     start_node("n1");
     ASSERT_TRUE(wait_until_ready("n1"));
-    const auto got = call("n1", "POST", "/look/x", {{"Request-Id", "q1"}});
-    EXPECT_EQ(got.status, 200);
-    EXPECT_EQ(got.body, "answer to q1");
+    const auto response = call("n1", "POST", "/look/x", {{"Request-Id", "q1"}});
+    EXPECT_EQ(response.status, 200);
+    EXPECT_EQ(response.body, "answer to q1");
     EXPECT_EQ(call("n1", "GET", "/nowhere").status, 404);
     EXPECT_EQ(call("n1", "GET", "/lots/none").status, 404);
-    const auto addresses = json::parse(
+    const auto resolved = json::parse(
         call("n1", "GET", "/resolve?name=h&zone=z", {}, "", 2).body);
-    EXPECT_EQ(addresses.at("addresses").size(), 1U);
+    EXPECT_EQ(resolved.at("addresses").size(), 1U);
 }
 
 TEST_F(entry_path_test, a_node_without_a_configuration_denies_nothing) {
-    // A node has just started and knows no route yet. To say 404 would tell
-    // callers that what they ask for does not exist.
+    // A node that has not read the configuration yet knows no routes. With 404
+    // it would tell callers that their target does not exist.
     start_node("n1");
     ASSERT_TRUE(run_until([&] {
         return call("n1", "POST", "/look/x", {{"Request-Id", "q"}}).status != 0;
@@ -141,14 +144,15 @@
     EXPECT_TRUE(read_all("n2"));
     EXPECT_EQ(call("n1", "DELETE", "/lots/job1").status, 200);
     EXPECT_EQ(call("n2", "DELETE", "/lots/job1").status, 200);
-    // The second submission added nothing behind the last result.
-    const auto last =
+    // The second submission of the same job added no results.
+    const auto page =
         json::parse(call("n1", "GET", "/lots/job1?after=12").body);
-    EXPECT_EQ(last.at("next"), items_per_job);
-    EXPECT_TRUE(last.at("results").empty());
+    EXPECT_EQ(page.at("next"), items_per_job);
+    EXPECT_TRUE(page.at("results").empty());
 }
 
-// Guards against an owner that crashes when an event ends its own run.
+// Guards against a job owner that crashes while it handles an event that ends
+// the run it belongs to.
 TEST_F(entry_path_test, a_weight_change_during_a_run_does_not_crash_the_owner) {
     auto single = json::parse(configuration_json);
     single.at("routes").at(1)["singleVersion"] = true;
@@ -166,9 +170,9 @@
 }
 
 TEST_F(entry_path_test, a_killed_owner_loses_no_result_and_no_position) {
-    // The process that runs the jobs is killed in the middle of a step. The
-    // trainer must read every sample once, whole, and what it had read must
-    // stand where it stood.
+    // The job owner is killed in the middle of a step. The trainer must read
+    // every sample exactly once and complete, and the results that it had read
+    // must keep their positions.
     publish_configuration();
     for (const char* name : {"n1", "n2", "n3"}) {
         start_node(name);
@@ -177,17 +181,17 @@
         ASSERT_TRUE(wait_until_ready(name));
     }
     ASSERT_TRUE(run_until([&] { return !job_owner().empty(); }));
-    const auto killed = job_owner();
-    const std::string reader = killed == "n1" ? "n2" : "n1";
+    const auto killed_node = job_owner();
+    const std::string reader = killed_node == "n1" ? "n2" : "n1";
     ASSERT_EQ(submit(reader).status, 202);
     ASSERT_TRUE(run_until([&] {
         read_next_results(reader);
         return !results_.empty();
     }));
     const auto before = results_;
-    nodes_.at(killed)->signal(SIGKILL);
+    nodes_.at(killed_node)->signal(SIGKILL);
     EXPECT_TRUE(read_all(reader));
-    EXPECT_NE(job_owner(), killed);
+    EXPECT_NE(job_owner(), killed_node);
     results_.clear();
     result_ids_.clear();
     ASSERT_TRUE(read_all(reader));
@@ -195,49 +199,54 @@
 }
 
 TEST_F(entry_path_test, a_stopped_owner_hands_over_and_exits) {
-    // An operator replaces the node that runs the jobs.
+    // An operator stops the job owner to replace it.
     publish_configuration();
     start_node("n1");
     start_node("n2");
     ASSERT_TRUE(wait_until_ready("n1"));
     ASSERT_TRUE(wait_until_ready("n2"));
     ASSERT_TRUE(run_until([&] { return !job_owner().empty(); }));
-    const auto stopped = job_owner();
-    const std::string other = stopped == "n1" ? "n2" : "n1";
-    ASSERT_EQ(submit(other).status, 202);
-    nodes_.at(stopped)->signal(SIGTERM);
-    EXPECT_TRUE(read_all(other));
-    EXPECT_TRUE(run_until([&] { return !nodes_.at(stopped)->is_running(); }));
-    EXPECT_EQ(nodes_.at(stopped)->wait_for_exit(0), 0);
-    EXPECT_EQ(job_owner(), other);
+    const auto stopped_node = job_owner();
+    const std::string other_node = stopped_node == "n1" ? "n2" : "n1";
+    ASSERT_EQ(submit(other_node).status, 202);
+    nodes_.at(stopped_node)->signal(SIGTERM);
+    EXPECT_TRUE(read_all(other_node));
+    EXPECT_TRUE(
+        run_until([&] { return !nodes_.at(stopped_node)->is_running(); }));
+    EXPECT_EQ(nodes_.at(stopped_node)->wait_for_exit(0), 0);
+    EXPECT_EQ(job_owner(), other_node);
 }
 
 TEST_F(entry_path_test, a_save_without_an_answer_does_not_keep_an_owner) {
-    // Guards against jobs that stand still until a stopping owner has ended.
+    // The response to an append to keyed.progress never arrives. Guards against
+    // a stopping job owner that waits for it and keeps the owner lease until it
+    // exits, so that no other node runs its jobs.
     publish_configuration();
     start_node("n1");
     start_node("n2");
     ASSERT_TRUE(wait_until_ready("n1"));
     ASSERT_TRUE(wait_until_ready("n2"));
     ASSERT_TRUE(run_until([&] { return !job_owner().empty(); }));
-    const auto stopped = job_owner();
-    const std::string other = stopped == "n1" ? "n2" : "n1";
-    for (const auto& e : samplers_) {
-        e->set_event_interval_ms(slow_event_interval_ms);
+    const auto stopped_node = job_owner();
+    const std::string other_node = stopped_node == "n1" ? "n2" : "n1";
+    for (const auto& sampler : samplers_) {
+        sampler->set_event_interval_ms(slow_event_interval_ms);
     }
     store_.withhold_responses("keyed.progress");
-    ASSERT_EQ(submit(other).status, 202);
+    ASSERT_EQ(submit(other_node).status, 202);
     ASSERT_TRUE(run_until([&] { return store_.withheld_responses() > 0; }));
     store_.withhold_responses("");
-    nodes_.at(stopped)->signal(SIGTERM);
-    EXPECT_TRUE(read_all(other));
-    EXPECT_TRUE(run_until([&] { return !nodes_.at(stopped)->is_running(); }));
-    EXPECT_TRUE(has_released_ownership(stopped));
+    nodes_.at(stopped_node)->signal(SIGTERM);
+    EXPECT_TRUE(read_all(other_node));
+    EXPECT_TRUE(
+        run_until([&] { return !nodes_.at(stopped_node)->is_running(); }));
+    EXPECT_TRUE(has_released_lease(stopped_node));
 }
 
 TEST_F(entry_path_test, a_job_is_refused_while_the_store_is_away) {
-    // The store is down. A job that is accepted would be lost with the node,
-    // so it is refused at once; results wait and come when it is back.
+    // The store rejects all calls. An accepted job would be lost if the node
+    // failed, so the node rejects it at once. Results of earlier jobs are
+    // committed once the store accepts calls again.
     publish_configuration();
     start_node("n1");
     ASSERT_TRUE(wait_until_ready("n1"));
@@ -256,38 +265,40 @@
 }
 
 TEST_F(entry_path_test, a_partition_that_is_away_holds_up_only_its_own_jobs) {
-    // The store refuses some of its partitions. Results of a job whose texts
-    // lie in one of these can't be listed; the trainers of all other jobs must
-    // not wait for them.
+    // The store rejects appends to one partition. Results of a job whose texts
+    // are stored in it can't be committed; the trainers of other jobs must not
+    // have to wait for that job.
     constexpr std::uint64_t partitions = 24;
-    const auto part_of = [](const std::string& job) {
+    const auto partition_of = [](const std::string& job) {
         return static_cast<int>(base::stable_hash(job) % partitions);
     };
-    // Sorted before the other job, as its results then come first.
-    std::string blocked = "a";
-    while (part_of(blocked) == part_of("job1")) {
-        blocked += "a";
+    // The id sorts before "job1", so that the results of the blocked job are
+    // handled first.
+    std::string blocked_job = "a";
+    while (partition_of(blocked_job) == partition_of("job1")) {
+        blocked_job += "a";
     }
     publish_configuration();
     start_node("n1");
     ASSERT_TRUE(wait_until_ready("n1"));
     ASSERT_TRUE(run_until([&] { return !job_owner().empty(); }));
-    store_.reject_appends("keyed.texts", part_of(blocked));
-    ASSERT_EQ(call("n1", "POST", "/batch/1", {{"Request-Id", blocked}},
+    store_.reject_appends("keyed.texts", partition_of(blocked_job));
+    ASSERT_EQ(call("n1", "POST", "/batch/1", {{"Request-Id", blocked_job}},
                    make_job_body("b", 1))
                   .status,
               202);
     ASSERT_EQ(submit("n1").status, 202);
     EXPECT_TRUE(read_all("n1"));
-    const auto none =
-        json::parse(call("n1", "GET", "/lots/" + blocked + "?after=0").body);
-    EXPECT_TRUE(none.at("results").empty());
+    const auto page = json::parse(
+        call("n1", "GET", "/lots/" + blocked_job + "?after=0").body);
+    EXPECT_TRUE(page.at("results").empty());
 }
 
 TEST_F(entry_path_test, a_step_ends_whole_while_a_server_lacks_the_store) {
-    // A server loses the store while requests still reach it, so that its entry
-    // lapses in the middle of a step. A trainer whose items it has must not
-    // wait for them for hours, nor get one of them twice.
+    // A server can't reach the store any more, so its registration expires in
+    // the middle of a step while it still serves requests. The trainer must
+    // neither wait for hours for the items on that server nor get an item
+    // twice.
     publish_configuration();
     start_node("n1");
     ASSERT_TRUE(wait_until_ready("n1"));
@@ -299,45 +310,49 @@
 }
 
 TEST_F(entry_path_test, an_open_job_follows_its_route_to_another_service) {
-    // Guards against a job whose service has lost all its servers.
-    fake_backend_server moved{io_, "new-0", events_per_run, event_interval_ms};
+    // Guards against a job that stays with a service that has no servers left
+    // after its route was changed to another service.
+    fake_backend_server new_server{io_, "new-0", events_per_run,
+                                   event_interval_ms};
     publish_configuration();
     start_node("n1");
     ASSERT_TRUE(wait_until_ready("n1"));
     ASSERT_TRUE(run_until([&] { return !job_owner().empty(); }));
     ASSERT_EQ(submit("n1").status, 202);
     ASSERT_TRUE(run_until([&] { return samplers_[0]->run_count() > 0; }));
-    store_.put("keyed.servers", "new-0", moved.make_registration("new", true));
+    store_.put("keyed.servers", "new-0",
+               new_server.make_registration("new", true));
     store_.put("keyed.servers", "llm-0", "");
     store_.put("keyed.servers", "llm-1", "");
     store_.put("keyed.op", "config", make_moved_configuration());
     EXPECT_TRUE(read_all("n1"));
-    EXPECT_GT(moved.run_count(), 0);
+    EXPECT_GT(new_server.run_count(), 0);
 }
 
 TEST_F(entry_path_test, an_item_counts_once_whatever_its_reward_calls) {
-    // Servers work on reward calls and their answers are lost, so that each is
-    // made again. A ledger that takes the item with each call would charge for
-    // it twice; the trainer must read it once, with one score.
+    // Servers execute reward calls but the responses are lost, so the calls are
+    // repeated. An owner that counted an item once for each of its reward calls
+    // would charge for it twice; the trainer must read each item once, with one
+    // score.
     publish_configuration();
     start_node("n1");
     ASSERT_TRUE(wait_until_ready("n1"));
-    app_server_.set_dropping_responses(true);
+    lookup_server_.set_aborting_responses(true);
     ASSERT_EQ(submit("n1").status, 202);
-    ASSERT_TRUE(run_until([&] { return app_server_.run_count() > 3; }));
-    app_server_.set_dropping_responses(false);
+    ASSERT_TRUE(run_until([&] { return lookup_server_.run_count() > 3; }));
+    lookup_server_.set_aborting_responses(false);
     EXPECT_TRUE(read_all("n1"));
 }
 
 TEST_F(entry_path_test, a_lookup_ends_at_its_deadline_with_an_answer) {
-    // The only server works on a lookup and its answer never comes, as on a
-    // link that loses packets. The caller must not hang: it gets an answer that
-    // promises nothing once its time is over.
+    // The only server executes a lookup and never responds, as on a link that
+    // loses packets. The caller must not hang: at its deadline it gets a
+    // response that leaves open whether the lookup ran.
     constexpr int gateway_timeout = 504;
     publish_configuration();
     start_node("n1");
     ASSERT_TRUE(wait_until_ready("n1"));
-    app_server_.stop_responding();
+    lookup_server_.stop_responding();
     EXPECT_EQ(call("n1", "POST", "/look/1",
                    {{"Request-Id", "r1"}, {"Deadline-Ms", "600"}})
                   .status,
@@ -358,20 +373,21 @@
 }
 
 TEST_F(entry_path_test, a_resumable_stream_goes_on_at_another_server) {
-    // The server of a stream crashes in the middle of an event. Its caller
-    // must see each event once and whole, and nothing of the crash.
+    // The server of a stream crashes in the middle of an event. The caller must
+    // see each event exactly once and complete, and no trace of the crash.
     publish_configuration();
     start_node("n1");
     ASSERT_TRUE(wait_until_ready("n1"));
-    const auto got = read_stream_with_abort("/stream/1");
-    EXPECT_EQ(got.status, 200);
-    EXPECT_EQ(got.body, expected_stream("s1"));
+    const auto response = read_stream_with_abort("/stream/1");
+    EXPECT_EQ(response.status, 200);
+    EXPECT_EQ(response.body, expected_stream("s1"));
     EXPECT_EQ(samplers_[0]->run_count() + samplers_[1]->run_count(), 2);
 }
 
 TEST_F(entry_path_test, a_stream_that_may_not_be_resumed_breaks_off) {
-    // The same crash on a route whose streams run once only. What the caller
-    // gets must not look whole, and no second run may begin.
+    // The server of a stream crashes in the middle of an event, on a route
+    // whose streams must not be resumed. The response must not look complete,
+    // and no second run may start.
     publish_configuration();
     start_node("n1");
     ASSERT_TRUE(wait_until_ready("n1"));
@@ -380,8 +396,8 @@
 }
 
 TEST_F(entry_path_test, a_stream_without_ids_is_not_begun_anew) {
-    // A server's events bear no ids, so that no other server can be told where
-    // to go on. It would send the first ones again, to a caller that has them.
+    // The events of the server have no ids, so another server can't be told
+    // where to resume; it would resend events that the caller already has.
     publish_configuration();
     start_node("n1");
     ASSERT_TRUE(wait_until_ready("n1"));
@@ -390,28 +406,28 @@
 }
 
 TEST_F(entry_path_test, what_may_not_be_repeated_is_sent_once) {
-    // A server charges a student's account and its answer is lost. The node
-    // can't know whether it ran, so it must neither send it again nor say
-    // that it did not run.
+    // A server charges a student's account and the response is lost. The node
+    // can't know whether the request ran, so it must neither send it again nor
+    // report that it did not run. An idempotent lookup is sent again.
     publish_configuration();
     start_node("n1");
     ASSERT_TRUE(wait_until_ready("n1"));
-    app_server_.set_dropping_responses(true);
+    lookup_server_.set_aborting_responses(true);
     const auto once = call("n1", "POST", "/once/x", {{"Request-Id", "q1"}});
     EXPECT_EQ(once.status, 502);
-    EXPECT_EQ(app_server_.run_count(), 1);
+    EXPECT_EQ(lookup_server_.run_count(), 1);
     EXPECT_EQ(call("n1", "POST", "/look/x", {{"Request-Id", "q2"}}).status,
               502);
-    EXPECT_EQ(app_server_.run_count(), 3);
-    app_server_.set_dropping_responses(false);
+    EXPECT_EQ(lookup_server_.run_count(), 3);
+    lookup_server_.set_aborting_responses(false);
     EXPECT_EQ(call("n1", "POST", "/once/x", {{"Request-Id", "q3"}}).status,
               200);
 }
 
 TEST_F(entry_path_test, items_and_results_may_be_larger_than_a_record) {
-    // A long text, or a prompt with much in it, exceeds what the store takes
-    // as one record. Refused whole, the job could not be accepted, or its
-    // result never be listed, nor those that were listed together with it.
+    // A long text or prompt exceeds the maximum record size of the store. If
+    // the store rejected it, the job could not be accepted, or its result could
+    // never be committed, nor the results in the same commit.
     publish_configuration();
     start_node("n1");
     ASSERT_TRUE(wait_until_ready("n1"));
@@ -426,8 +442,8 @@
 }
 
 TEST_F(entry_path_test, the_records_of_an_ended_job_leave_the_store) {
-    // The store refuses all appends once it is full. Records of jobs that
-    // nobody reads any more must go, before no job is accepted any longer.
+    // The store rejects all appends once it is full, and then no job can be
+    // accepted. So the records of ended jobs must be deleted.
     extra_settings_ = "bounds:\n  status_s: 1\n  margin_s: 0\n";
     publish_configuration();
     start_node("n1");
@@ -439,7 +455,7 @@
     ASSERT_EQ(submit("n1").status, 202);
     ASSERT_TRUE(read_all("n1"));
     ASSERT_EQ(call("n1", "DELETE", "/lots/job1").status, 200);
-    const auto left = [&](const std::string& job) {
+    const auto count_keys = [&](const std::string& job) {
         std::size_t keys = 0;
         for (const char* topic : {"keyed.journal", "keyed.items", "keyed.texts",
                                   "keyed.progress"}) {
@@ -447,17 +463,17 @@
         }
         return keys;
     };
-    EXPECT_TRUE(run_until([&] { return left("job1") == 0; }));
+    EXPECT_TRUE(run_until([&] { return count_keys("job1") == 0; }));
     EXPECT_EQ(call("n1", "GET", "/lots/job1").status, 404);
     // The other job is still open.
-    EXPECT_GT(left("job2"), 0U);
+    EXPECT_GT(count_keys("job2"), 0U);
     EXPECT_EQ(call("n1", "GET", "/lots/job2").status, 200);
 }
 
 TEST_F(entry_path_test, a_changed_settings_file_is_loaded_without_a_signal) {
-    // The store moves to another address and the platform writes it into the
-    // settings file, with or without a signal. A node that went by the old one
-    // would be out of touch until somebody restarts it.
+    // The store moves to another address and the platform updates the settings
+    // file, possibly without a signal. A node that kept the old address could
+    // not reach the store until it was restarted.
     publish_configuration();
     start_node("n1", base::endpoint{"127.0.0.1",
                                     reserved_ports_.reserve("127.0.0.1")});
@@ -467,14 +483,16 @@
     EXPECT_TRUE(wait_until_ready("n1"));
 }
 
-// Guards against a node that is ended by a change of its settings at its start.
+// Guards against a node that SIGHUP terminates while it reads its settings at
+// startup. The settings file is a named pipe, so that the signal arrives then.
+// entry_reload_test also signals until the first output and checks the reload.
 TEST_F(entry_path_test, a_reload_signal_during_the_start_does_not_end_a_node) {
     publish_configuration();
     const auto file = write_settings("n1");
-    const auto aside = file + ".aside";
+    const auto moved_path = file + ".aside";
     std::stringstream text;
     text << std::ifstream(file).rdbuf();
-    std::filesystem::rename(file, aside);
+    std::filesystem::rename(file, moved_path);
     ASSERT_EQ(::mkfifo(file.c_str(), 0600), 0);
     nodes_["n1"] = std::make_unique<process>(
         std::vector<std::string>{HIBISCUS_ENTRYD, "--settings=" + file},
@@ -487,10 +505,10 @@
         return pipe >= 0;
     }));
     nodes_.at("n1")->signal(SIGHUP);
-    std::filesystem::rename(aside, file);
-    const auto bytes = text.str();
-    EXPECT_EQ(::write(pipe, bytes.data(), bytes.size()),
-              static_cast<ssize_t>(bytes.size()));
+    std::filesystem::rename(moved_path, file);
+    const auto settings = text.str();
+    EXPECT_EQ(::write(pipe, settings.data(), settings.size()),
+              static_cast<ssize_t>(settings.size()));
     ::close(pipe);
     EXPECT_TRUE(wait_until_ready("n1"));
 }
--- a/testing/entry/entry_reload_test.cpp
+++ b/testing/entry/entry_reload_test.cpp
@@ -17,8 +17,9 @@
 
 class entry_reload_test : public ::testing::Test, protected entry_harness {
 protected:
-    /// Writes to a pipe that a program reads as its settings file, and leaves a
-    /// plain file of the same content in its place.
+    /// Replaces the named pipe at `path` by a regular file with the content
+    /// `text`, for later reloads. Then writes `text` to `pipe`, the write end
+    /// of the named pipe from which the node is still reading its settings.
     static void write_settings_to_pipe(int pipe, const std::string& path,
                                        const std::string& text) {
         std::ofstream(path + ".next") << text;
@@ -28,30 +29,30 @@
         ::close(pipe);
     }
 
-    /// Returns true if a process has a handler for SIGHUP.
-    static bool handles_sighup(pid_t id) {
-        const std::string name = "SigCgt:";
-        std::ifstream in("/proc/" + std::to_string(id) + "/status");
+    /// Returns true if the process `pid` has a handler for SIGHUP.
+    static bool handles_sighup(pid_t pid) {
+        const std::string label = "SigCgt:";
+        std::ifstream in("/proc/" + std::to_string(pid) + "/status");
         for (std::string line; std::getline(in, line);) {
-            if (line.compare(0, name.size(), name) == 0) {
+            if (line.compare(0, label.size(), label) == 0) {
                 const auto caught =
-                    std::stoull(line.substr(name.size()), nullptr, 16);
+                    std::stoull(line.substr(label.size()), nullptr, 16);
                 return (caught >> (SIGHUP - 1) & 1U) != 0;
             }
         }
         return false;
     }
 
-    /// Sends SIGHUP to each node that has no handler for it any more, at most
-    /// half a minute, until all have ended.
+    /// Sends SIGHUP to each node that no longer has a handler for it, until all
+    /// nodes have ended or 30 s have passed. Returns whether all have ended.
     bool signal_until_all_exit() {
         const base::clock clock;
-        const auto until = clock.now() + 30000;
-        bool ended = false;
-        while (!ended && clock.now() < until) {
-            ended = true;
+        const auto deadline = clock.now() + 30000;
+        bool all_ended = false;
+        while (!all_ended && clock.now() < deadline) {
+            all_ended = true;
             for (const auto& [name, node] : nodes_) {
-                ended = !node->is_running() && ended;
+                all_ended = !node->is_running() && all_ended;
                 if (!handles_sighup(node->pid())) {
                     node->signal(SIGHUP);
                 }
@@ -59,10 +60,11 @@
             io_.restart();
             io_.poll();
         }
-        return ended;
+        return all_ended;
     }
 
-    /// Returns the end of a pipe to write to once a program reads from it.
+    /// Waits until a program reads from the named pipe at `path` and returns
+    /// its write end, or -1 on timeout.
     int open_pipe_for_writing(const std::string& path) {
         int pipe = -1;
         run_until([&] {
@@ -75,6 +77,10 @@
     }
 };
 
+// Guards against a node that SIGHUP terminates before it has installed a
+// handler. The settings file is a named pipe, so that the first signal arrives
+// while the node reads it. More signals follow until the first output, and one
+// of them must cause a reload.
 TEST_F(entry_reload_test,
        a_reload_signal_during_startup_does_not_end_the_node) {
     publish_configuration();
@@ -101,6 +107,8 @@
     }));
 }
 
+// Guards against a node that SIGHUP terminates during shutdown, after it has
+// removed its handler.
 TEST_F(entry_reload_test, reload_signals_during_shutdown_keep_the_exit_code) {
     publish_configuration();
     for (const char* name : {"n1", "n2", "n3"}) {
--- a/testing/entry/fake_backend_server.hpp
+++ b/testing/entry/fake_backend_server.hpp
@@ -13,66 +13,74 @@
 
 namespace hibiscus::testing {
 
-/// A stand-in for a server of the users: it makes events for requests that
-/// name a model, resumes them, takes orders for weights, and answers all else
-/// at once. Its events depend on the request's id and their number only; those
-/// of ids that begin with "big" are large, those of "noid" have no id.
+/// A fake backend server. It responds to requests that name a model with an
+/// event stream, which can be resumed, handles weight orders, and responds to
+/// all other requests after the service time. The data of an event depends only
+/// on the request id and the event number. Request ids that begin with "big"
+/// get large events; ids that begin with "noid" get events without ids.
 class fake_backend_server {
 public:
     fake_backend_server(boost::asio::io_context& io, std::string id, int events,
-                        int event_ms);
+                        int event_interval_ms);
 
     base::endpoint address() const { return address_; }
     std::int64_t weight_version() const { return weight_version_; }
+    /// Returns how many requests the server has executed, streams included.
     int run_count() const { return run_count_; }
 
-    /// Returns the requests that it has worked on.
+    /// Returns the ids of the requests that the server has executed.
     const std::set<std::string>& executed_ids() const { return executed_ids_; }
 
-    /// Breaks off all streams at their next event, in the middle of it.
+    /// Aborts all open streams in the middle of their next event.
     void abort_streams() { ++abort_count_; }
 
-    /// Changes the weights; streams go on and tell the change.
+    /// Changes the weights. Open streams continue and announce the change in
+    /// their next event.
     void set_weight_version(std::int64_t version) { weight_version_ = version; }
 
-    /// Sets whether answers to requests without a model are lost once the
-    /// server has worked on them.
-    void set_dropping_responses(bool losing) { dropping_responses_ = losing; }
+    /// Sets whether the server executes requests without a model but aborts
+    /// their connections instead of responding.
+    void set_aborting_responses(bool aborting) {
+        aborting_responses_ = aborting;
+    }
 
     /// Sets the time between two events, in ms.
     void set_event_interval_ms(int ms) { event_interval_ms_ = ms; }
 
-    /// Sets how long the server works on requests without a model, in ms.
+    /// Sets the delay of responses to requests without a model, in ms.
     void set_service_time_ms(int ms) { service_time_ms_ = ms; }
 
-    /// From now on requests without a model are worked on and never answered,
-    /// while their connections stay open.
-    void stop_responding() { silent_ = true; }
+    /// From now on, executes requests without a model but never responds and
+    /// keeps their connections open.
+    void stop_responding() { not_responding_ = true; }
 
-    /// Returns the whole text of a request.
+    /// Returns the text that the server generates for a request: the data of
+    /// all events, joined by newlines.
     static std::string expected_text(const std::string& id, int events);
 
-    /// Returns the entry that such a server registers.
+    /// Returns the JSON record that the server registers in the store. A
+    /// sampler also registers its model.
     std::string make_registration(const std::string& service,
-                                  bool tokens) const;
+                                  bool is_sampler) const;
 
 private:
-    using exchange_ptr = std::shared_ptr<transport::response_writer>;
+    using response_writer_ptr = std::shared_ptr<transport::response_writer>;
 
-    /// A stream under way.
+    /// An open event stream.
     struct stream {
         std::string id;
-        /// The count of breaks at its start.
+        /// The value of abort_count_ at the start of the stream.
         int abort_count = 0;
-        /// The version of the weights that its reader knows of.
+        /// The weight version that was last announced to the reader.
         std::int64_t announced_version = 0;
-        exchange_ptr exchange;
+        response_writer_ptr writer;
     };
 
     void handle(const transport::inbound_request& request,
-                const exchange_ptr& to);
-    void response_plain_request(const std::string& id, const exchange_ptr& to);
-    void send_events(stream s, int next);
+                const response_writer_ptr& writer);
+    void respond_to_plain_request(const std::string& id,
+                                  const response_writer_ptr& writer);
+    void send_events(stream s, int event_number);
 
     boost::asio::io_context& io_;
     std::string id_;
@@ -80,12 +88,12 @@
     int event_interval_ms_;
     int service_time_ms_ = 0;
     std::int64_t weight_version_ = 1;
-    std::int64_t accepted_orders_ = 0;
+    std::int64_t accepted_order_count_ = 0;
     int run_count_ = 0;
     int abort_count_ = 0;
-    bool dropping_responses_ = false;
-    bool silent_ = false;
-    std::vector<exchange_ptr> open_exchanges_;
+    bool aborting_responses_ = false;
+    bool not_responding_ = false;
+    std::vector<response_writer_ptr> unfinished_responses_;
     std::set<std::string> executed_ids_;
     transport::streaming_http_server server_;
     base::endpoint address_;
--- a/testing/entry/fake_keyed_store.cpp
+++ b/testing/entry/fake_keyed_store.cpp
@@ -12,19 +12,19 @@
 
 using json = nlohmann::json;
 
-/// How often a waiting read looks again, in ms.
+/// How often a waiting read checks for new records, in ms.
 constexpr int poll_interval_ms = 5;
 
 std::string query_parameter(const std::string& target,
                             const std::string& name) {
     const auto query = target.find('?');
-    const auto sign = "&" + name + "=";
+    const auto prefix = "&" + name + "=";
     const auto text = "&" + target.substr(query + 1);
-    const auto at = text.find(sign);
-    if (query == std::string::npos || at == std::string::npos) {
+    const auto position = text.find(prefix);
+    if (query == std::string::npos || position == std::string::npos) {
         return {};
     }
-    const auto begin = at + sign.size();
+    const auto begin = position + prefix.size();
     return text.substr(begin, text.find('&', begin) - begin);
 }
 
@@ -48,16 +48,16 @@
     }
 }
 
-std::size_t read_big_endian(const std::string& in, std::size_t at) {
+std::size_t read_big_endian(const std::string& in, std::size_t offset) {
     std::size_t value = 0;
     for (std::size_t n = 0; n < 4; ++n) {
-        value = value << 8U | static_cast<unsigned char>(in[at + n]);
+        value = value << 8U | static_cast<unsigned char>(in[offset + n]);
     }
     return value;
 }
 
-/// The largest record, the largest append and the values of one page, in
-/// bytes, as the users' pages give them.
+/// The maximum sizes of one record, one append and all values in one page of
+/// newest records, in bytes, as the users document them for their store.
 constexpr std::size_t max_record_bytes = 262144;
 constexpr std::size_t max_append_bytes = 2097152;
 constexpr std::size_t max_page_bytes = std::size_t{1} << 20U;
@@ -66,26 +66,27 @@
     if (body.size() > max_append_bytes) {
         return false;
     }
-    for (std::size_t at = 0; at + 4 <= body.size();) {
-        const auto length = read_big_endian(body, at);
+    for (std::size_t offset = 0; offset + 4 <= body.size();) {
+        const auto length = read_big_endian(body, offset);
         if (length > max_record_bytes) {
             return false;
         }
-        at += 4 + length;
+        offset += 4 + length;
     }
     return true;
 }
 
-void respond(const std::shared_ptr<transport::response_writer>& to, int status,
-             const json& body) {
-    to->send({status, {{"Content-Type", "application/json"}}, body.dump()});
+void respond(const std::shared_ptr<transport::response_writer>& writer,
+             int status, const json& body) {
+    writer->send({status, {{"Content-Type", "application/json"}}, body.dump()});
 }
 
 } // namespace
 
 fake_keyed_store::fake_keyed_store(boost::asio::io_context& io)
-    : io_(io),
-      server_(io, {}, [this](const auto& r, auto e) { handle(r, e); }) {
+    : io_(io), server_(io, {}, [this](const auto& request, auto writer) {
+          handle(request, writer);
+      }) {
     address_ = *server_.listen({"127.0.0.1", 0});
 }
 
@@ -103,116 +104,120 @@
 std::vector<std::string>
 fake_keyed_store::all_values(const std::string& topic,
                              const std::string& key) const {
-    std::vector<std::string> out;
+    std::vector<std::string> values;
     const auto log = logs_.find({topic, 0});
     if (log != logs_.end()) {
         for (const auto& r : log->second) {
             if (r.key == key) {
-                out.push_back(r.value);
+                values.push_back(r.value);
             }
         }
     }
-    return out;
+    return values;
 }
 
 void fake_keyed_store::handle(const transport::inbound_request& request,
-                              const exchange_ptr& to) {
+                              const response_writer_ptr& writer) {
     const auto& target = request.target;
     const partition part{query_parameter(target, "topic"),
                          std::atoi(query_parameter(target, "part").c_str())};
     if (unavailable_) {
-        respond(to, 503, json::object());
+        respond(writer, 503, json::object());
     } else if (target.rfind("/log-append?", 0) == 0) {
-        append(request, to);
+        append(request, writer);
     } else if (target.rfind("/log-read?", 0) == 0) {
         read(
             part,
             std::strtoull(query_parameter(target, "from").c_str(), nullptr, 10),
-            std::atoi(query_parameter(target, "waitMs").c_str()), to);
+            std::atoi(query_parameter(target, "waitMs").c_str()), writer);
     } else if (target.rfind("/log-newest?", 0) == 0) {
-        send_newest_page(part, percent_decode(query_parameter(target, "after")),
-                         to);
+        send_latest_page(part, percent_decode(query_parameter(target, "after")),
+                         writer);
     } else {
-        respond(to, 404, json::object());
+        respond(writer, 404, json::object());
     }
 }
 
 std::size_t fake_keyed_store::count_keys(const std::string& topic,
                                          const std::string& prefix) const {
-    std::map<std::string, bool> live;
+    std::map<std::string, bool> has_value;
     for (const auto& [name, log] : logs_) {
         for (const auto& r : log) {
             if (name.first == topic &&
                 r.key.compare(0, prefix.size(), prefix) == 0) {
-                live[r.key] = !r.value.empty();
+                has_value[r.key] = !r.value.empty();
             }
         }
     }
-    return static_cast<std::size_t>(std::count_if(
-        live.begin(), live.end(), [](const auto& l) { return l.second; }));
+    return static_cast<std::size_t>(
+        std::count_if(has_value.begin(), has_value.end(),
+                      [](const auto& l) { return l.second; }));
 }
 
 void fake_keyed_store::append(const transport::inbound_request& request,
-                              const exchange_ptr& to) {
+                              const response_writer_ptr& writer) {
     const auto& target = request.target;
-    const partition to_part{query_parameter(target, "topic"),
-                            std::atoi(query_parameter(target, "part").c_str())};
-    if (rejecting_partitions_.count(to_part) != 0) {
-        respond(to, 503, json::object());
+    const partition part{query_parameter(target, "topic"),
+                         std::atoi(query_parameter(target, "part").c_str())};
+    if (rejecting_partitions_.count(part) != 0) {
+        respond(writer, 503, json::object());
         return;
     }
-    auto& log = logs_[to_part];
-    const auto at = query_parameter(target, "at");
-    if (!at.empty() && std::strtoull(at.c_str(), nullptr, 10) != log.size()) {
-        respond(to, 412, {{"end", log.size()}});
+    auto& log = logs_[part];
+    const auto expected_end = query_parameter(target, "at");
+    if (!expected_end.empty() &&
+        std::strtoull(expected_end.c_str(), nullptr, 10) != log.size()) {
+        respond(writer, 412, {{"end", log.size()}});
         return;
     }
     if (!records_fit(request.body)) {
-        to->send({413, {}, ""});
+        writer->send({413, {}, ""});
         return;
     }
-    const auto first = log.size();
+    const auto first_offset = log.size();
     std::size_t begin = 0;
     while (begin + 4 <= request.body.size()) {
         const auto length = read_big_endian(request.body, begin);
         const auto bytes = request.body.substr(begin + 4, length);
-        const auto key = static_cast<unsigned char>(bytes.at(0));
-        log.push_back({bytes.substr(1, key), bytes.substr(1U + key)});
+        const auto key_length = static_cast<unsigned char>(bytes.at(0));
+        log.push_back(
+            {bytes.substr(1, key_length), bytes.substr(1U + key_length)});
         begin += 4 + length;
     }
-    if (to_part.first == withheld_topic_) {
+    if (part.first == withheld_topic_) {
         ++withheld_responses_;
-        open_exchanges_.push_back(to);
+        unfinished_responses_.push_back(writer);
         return;
     }
-    // Spread evenly, so that a run repeats.
-    constexpr int hundred = 100;
+    // Spreads the lost responses evenly and without randomness, so that runs
+    // are reproducible.
+    constexpr int percent_range = 100;
     constexpr int stride = 37;
-    if (++append_count_ * stride % hundred < lost_response_percent_) {
-        open_exchanges_.push_back(to);
+    if (++append_count_ * stride % percent_range < lost_response_percent_) {
+        unfinished_responses_.push_back(writer);
         return;
     }
-    respond(to, 200, {{"offset", first}, {"end", log.size()}});
+    respond(writer, 200, {{"offset", first_offset}, {"end", log.size()}});
 }
 
-void fake_keyed_store::read(const partition& from, std::size_t offset,
-                            int wait_ms, const exchange_ptr& to) {
-    if (logs_[from].size() > offset || wait_ms <= 0) {
-        send_records(from, offset, to);
+void fake_keyed_store::read(const partition& part, std::size_t offset,
+                            int wait_ms, const response_writer_ptr& writer) {
+    if (logs_[part].size() > offset || wait_ms <= 0) {
+        send_records(part, offset, writer);
         return;
     }
     auto timer = std::make_shared<boost::asio::steady_timer>(
         io_, std::chrono::milliseconds(poll_interval_ms));
-    timer->async_wait([this, timer, from, offset, wait_ms, to](auto error) {
+    timer->async_wait([this, timer, part, offset, wait_ms, writer](auto error) {
         if (!error) {
-            read(from, offset, wait_ms - poll_interval_ms, to);
+            read(part, offset, wait_ms - poll_interval_ms, writer);
         }
     });
 }
 
-void fake_keyed_store::send_records(const partition& from, std::size_t offset,
-                                    const exchange_ptr& to) {
-    const auto& log = logs_[from];
+void fake_keyed_store::send_records(const partition& part, std::size_t offset,
+                                    const response_writer_ptr& writer) {
+    const auto& log = logs_[part];
     std::string body;
     append_big_endian(body, log.size(), 8);
     append_big_endian(body, 0, 8);
@@ -223,15 +228,15 @@
         body += r.key;
         body += r.value;
     }
-    to->send({200, {}, body});
+    writer->send({200, {}, body});
 }
 
-void fake_keyed_store::send_newest_page(const partition& from,
+void fake_keyed_store::send_latest_page(const partition& part,
                                         const std::string& after,
-                                        const exchange_ptr& to) {
-    constexpr std::size_t most = 500;
+                                        const response_writer_ptr& writer) {
+    constexpr std::size_t max_items = 500;
     std::size_t bytes = 0;
-    const auto& log = logs_[from];
+    const auto& log = logs_[part];
     std::map<std::string, std::size_t> newest;
     for (std::size_t n = 0; n < log.size(); ++n) {
         newest[log[n].key] = n;
@@ -242,7 +247,7 @@
         if (key <= after || log[n].value.empty()) {
             continue;
         }
-        if (page["items"].size() == most || bytes > max_page_bytes) {
+        if (page["items"].size() == max_items || bytes > max_page_bytes) {
             page["hasMore"] = true;
             break;
         }
@@ -251,7 +256,7 @@
                                  {"value", absl::Base64Escape(log[n].value)},
                                  {"offset", n}});
     }
-    respond(to, 200, page);
+    respond(writer, 200, page);
 }
 
 } // namespace hibiscus::testing
--- a/testing/entry/fake_keyed_store.hpp
+++ b/testing/entry/fake_keyed_store.hpp
@@ -15,49 +15,51 @@
 
 namespace hibiscus::testing {
 
-/// A stand-in for the users' store: partitions of keyed records over HTTP, in
-/// memory. What it speaks is written down in the users' pages.
+/// An in-memory fake of the store that the users run for us: partitions of
+/// keyed records over HTTP. Follows the protocol that the users document.
 class fake_keyed_store {
 public:
     explicit fake_keyed_store(boost::asio::io_context& io);
 
     base::endpoint address() const { return address_; }
 
-    /// Writes a record as the operator, a trainer or a server would.
+    /// Appends a record to partition 0 of a topic, as the operator, a trainer
+    /// or a server would.
     void put(const std::string& topic, const std::string& key,
              const std::string& value);
 
-    /// Sets which calls are refused with 503; none if empty.
-    void set_unavailable(bool refusing) { unavailable_ = refusing; }
+    /// Sets whether all calls are rejected with 503.
+    void set_unavailable(bool unavailable) { unavailable_ = unavailable; }
 
-    /// Refuses appends to one partition of a topic from now on.
+    /// Rejects appends to one partition of a topic with 503 from now on.
     void reject_appends(const std::string& topic, int number) {
         rejecting_partitions_.insert({topic, number});
     }
 
-    /// Sets the topic whose appends are carried out without an answer; none if
-    /// empty.
+    /// Sets the topic whose appends are carried out but get no response; none
+    /// if empty.
     void withhold_responses(const std::string& topic) {
         withheld_topic_ = topic;
     }
 
-    /// Returns how many answers were held back.
+    /// Returns how many responses withhold_responses() has suppressed.
     int withheld_responses() const { return withheld_responses_; }
 
-    /// Sets how many of a hundred appends are carried out without an answer.
+    /// Sets the percentage of appends that are carried out but get no response.
     void set_lost_response_percent(int percent) {
         lost_response_percent_ = percent;
     }
 
-    /// Returns how many keys of a topic begin with `prefix`.
+    /// Returns how many keys of a topic begin with `prefix` and have a
+    /// non-empty newest value.
     std::size_t count_keys(const std::string& topic,
                            const std::string& prefix) const;
 
-    /// Returns the newest value of a key, or "".
+    /// Returns the newest value of a key in partition 0, or "".
     std::string newest_value(const std::string& topic,
                              const std::string& key) const;
 
-    /// Returns all values that a key has had, the oldest first.
+    /// Returns all values of a key in partition 0, oldest first.
     std::vector<std::string> all_values(const std::string& topic,
                                         const std::string& key) const;
 
@@ -67,18 +69,18 @@
         std::string value;
     };
     using partition = std::pair<std::string, int>;
-    using exchange_ptr = std::shared_ptr<transport::response_writer>;
+    using response_writer_ptr = std::shared_ptr<transport::response_writer>;
 
     void handle(const transport::inbound_request& request,
-                const exchange_ptr& to);
+                const response_writer_ptr& writer);
     void append(const transport::inbound_request& request,
-                const exchange_ptr& to);
-    void read(const partition& from, std::size_t offset, int wait_ms,
-              const exchange_ptr& to);
-    void send_records(const partition& from, std::size_t offset,
-                      const exchange_ptr& to);
-    void send_newest_page(const partition& from, const std::string& after,
-                          const exchange_ptr& to);
+                const response_writer_ptr& writer);
+    void read(const partition& part, std::size_t offset, int wait_ms,
+              const response_writer_ptr& writer);
+    void send_records(const partition& part, std::size_t offset,
+                      const response_writer_ptr& writer);
+    void send_latest_page(const partition& part, const std::string& after,
+                          const response_writer_ptr& writer);
 
     boost::asio::io_context& io_;
     std::map<partition, std::vector<record>> logs_;
@@ -88,7 +90,7 @@
     int withheld_responses_ = 0;
     int lost_response_percent_ = 0;
     int append_count_ = 0;
-    std::vector<exchange_ptr> open_exchanges_;
+    std::vector<response_writer_ptr> unfinished_responses_;
     transport::streaming_http_server server_;
     base::endpoint address_;
 };
--- a/testing/entry/keep_alive_client.cpp
+++ b/testing/entry/keep_alive_client.cpp
@@ -20,23 +20,23 @@
 
 namespace {
 
-/// How long a client waits between two tries to connect.
+/// The delay between two connection attempts, in ms.
 constexpr base::millis reconnect_delay_ms = 5;
 
-/// The time between two pieces of a request.
+/// The delay between two writes of a request, in ms.
 constexpr base::millis write_delay_ms = 3;
 
 std::string serialize_request(const client_request& request) {
-    auto out = request.method + " " + request.target + " HTTP/1.1\r\n";
-    for (const auto& f : request.fields) {
-        out += f.name + ": " + f.value + "\r\n";
+    auto text = request.method + " " + request.target + " HTTP/1.1\r\n";
+    for (const auto& field : request.fields) {
+        text += field.name + ": " + field.value + "\r\n";
     }
-    out += "Request-Id: " + request.id + "\r\n";
-    out += "Content-Length: " + std::to_string(request.body.size()) + "\r\n";
-    return out + "\r\n" + request.body;
+    text += "Request-Id: " + request.id + "\r\n";
+    text += "Content-Length: " + std::to_string(request.body.size()) + "\r\n";
+    return text + "\r\n" + request.body;
 }
 
-/// True if neither the end of the connection nor bytes have come.
+/// Returns true if neither data nor the end of the connection was received.
 bool is_idle(tcp::socket& socket) {
     char byte = 0;
     return ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT) <
@@ -48,11 +48,12 @@
 
 class keep_alive_client::impl : public std::enable_shared_from_this<impl> {
 public:
-    impl(asio::io_context& io, const base::endpoint& node, request_source next,
-         completion_handler ended)
+    impl(asio::io_context& io, const base::endpoint& node,
+         request_source next_request, completion_handler on_complete)
         : socket_(io), timer_(io),
           node_(asio::ip::make_address(node.ip), node.port),
-          next_request_(std::move(next)), on_complete_(std::move(ended)) {}
+          next_request_(std::move(next_request)),
+          on_complete_(std::move(on_complete)) {}
 
     void start_next_request() {
         if (stopping_) {
@@ -68,10 +69,10 @@
     bool is_stopped() const { return stopped_; }
 
 private:
-    void schedule(base::millis ms, void (impl::*then)()) {
-        timer_.expires_after(std::chrono::milliseconds(ms));
-        timer_.async_wait([self = shared_from_this(), then](const auto&) {
-            (self.get()->*then)();
+    void schedule(base::millis delay_ms, void (impl::*method)()) {
+        timer_.expires_after(std::chrono::milliseconds(delay_ms));
+        timer_.async_wait([self = shared_from_this(), method](const auto&) {
+            (self.get()->*method)();
         });
     }
 
@@ -104,11 +105,11 @@
         sent_bytes_ = 0;
         response_parser_.emplace();
         response_parser_->body_limit(boost::none);
-        reply_ = {};
-        send_piece();
+        response_ = {};
+        send_chunk();
     }
 
-    void send_piece() {
+    void send_chunk() {
         const auto size =
             std::min(request_bytes_.size() / request_.write_count + 1,
                      request_bytes_.size() - sent_bytes_);
@@ -126,10 +127,10 @@
         }
         sent_bytes_ += count;
         if (sent_bytes_ < request_bytes_.size()) {
-            schedule(write_delay_ms, &impl::send_piece);
+            schedule(write_delay_ms, &impl::send_chunk);
             return;
         }
-        reply_.fully_sent = true;
+        response_.fully_sent = true;
         sent_at_ = clock_.now();
         http::async_read(
             socket_, buffer_, *response_parser_,
@@ -144,8 +145,8 @@
             return;
         }
         auto message = response_parser_->release();
-        reply_.status = static_cast<int>(message.result_int());
-        reply_.body = std::move(message.body());
+        response_.status = static_cast<int>(message.result_int());
+        response_.body = std::move(message.body());
         if (!message.keep_alive()) {
             close();
         }
@@ -153,15 +154,15 @@
     }
 
     void on_connection_error(beast::error_code error) {
-        reply_.connection_reset = error == asio::error::connection_reset ||
-                                  error == asio::error::broken_pipe;
+        response_.connection_reset = error == asio::error::connection_reset ||
+                                     error == asio::error::broken_pipe;
         close();
         finish_request();
     }
 
     void finish_request() {
-        reply_.wait_ms = reply_.fully_sent ? clock_.now() - sent_at_ : 0;
-        on_complete_(request_, reply_);
+        response_.wait_ms = response_.fully_sent ? clock_.now() - sent_at_ : 0;
+        on_complete_(request_, response_);
         start_next_request();
     }
 
@@ -172,7 +173,7 @@
     request_source next_request_;
     completion_handler on_complete_;
     client_request request_;
-    client_reply reply_;
+    client_response response_;
     std::string request_bytes_;
     std::size_t sent_bytes_ = 0;
     base::millis sent_at_ = 0;
@@ -184,10 +185,10 @@
 
 keep_alive_client::keep_alive_client(asio::io_context& io,
                                      const base::endpoint& node,
-                                     request_source next,
-                                     completion_handler ended)
-    : impl_(
-          std::make_shared<impl>(io, node, std::move(next), std::move(ended))) {
+                                     request_source next_request,
+                                     completion_handler on_complete)
+    : impl_(std::make_shared<impl>(io, node, std::move(next_request),
+                                   std::move(on_complete))) {
     impl_->start_next_request();
 }
 
--- a/testing/entry/keep_alive_client.hpp
+++ b/testing/entry/keep_alive_client.hpp
@@ -13,53 +13,56 @@
 
 namespace hibiscus::testing {
 
-/// A request that a client sends on a connection that it keeps.
+/// A request of a keep_alive_client.
 struct client_request {
     std::string id;
     std::string method = "POST";
     std::string target;
     transport::headers fields;
     std::string body;
-    /// How long the client waits before it sends the request, in ms.
+    /// Delay before the client sends the request, in ms.
     base::millis delay_ms = 0;
-    /// In how many pieces it is sent, a few ms apart.
+    /// In how many writes, a few ms apart, the request is sent.
     std::size_t write_count = 1;
 };
 
-/// What a client saw of a request.
-struct client_reply {
-    /// 0 if the connection ended without a whole answer.
+/// The outcome of a request, as the client observed it.
+struct client_response {
+    /// 0 if the connection ended without a complete response.
     int status = 0;
     std::string body;
-    /// Whether each byte of the request was sent.
+    /// Whether all bytes of the request were sent.
     bool fully_sent = false;
-    /// Whether the connection was reset, not closed.
+    /// Whether the connection was reset rather than closed.
     bool connection_reset = false;
-    /// The time from the last byte that was sent to the end, in ms.
+    /// The time from the last byte sent to the end of the request, in ms; 0 if
+    /// the request was not fully sent.
     base::millis wait_ms = 0;
 };
 
-/// Sends one request after the other on one connection, and opens a new one
-/// once the node has closed it or says that it will. While the node can't be
-/// reached it tries again.
+/// Sends requests one after another on a keep-alive connection. Opens a new
+/// connection after the node has closed the old one or announced that it will,
+/// and retries while the node is unreachable.
 class keep_alive_client {
 public:
     using request_source = std::function<client_request()>;
     using completion_handler =
-        std::function<void(const client_request&, const client_reply&)>;
+        std::function<void(const client_request&, const client_response&)>;
 
-    /// Asks `next` for each request and tells `ended` how it ended.
+    /// Starts the client. Calls `next_request` to get each request and
+    /// `on_complete` when the request has ended.
     keep_alive_client(boost::asio::io_context& io, const base::endpoint& node,
-                      request_source next, completion_handler ended);
+                      request_source next_request,
+                      completion_handler on_complete);
     ~keep_alive_client();
 
     keep_alive_client(const keep_alive_client&) = delete;
     keep_alive_client& operator=(const keep_alive_client&) = delete;
 
-    /// Sends no further request.
+    /// Stops the client after the current request.
     void stop();
 
-    /// Returns true once it has stopped and no request is under way.
+    /// Returns true once the client has stopped and no request is in flight.
     bool is_stopped() const;
 
 private:
--- a/testing/fault_proxy/main.cpp
+++ b/testing/fault_proxy/main.cpp
@@ -1,10 +1,14 @@
-// A TCP proxy that a test puts between two parties and tells to fail. Its
-// faults are those of a network: it does not change, reorder or repeat bytes.
+// A TCP proxy that a test puts between two programs to inject network faults.
+// Like a TCP connection it does not change, reorder or repeat bytes.
 //
-// GET  /v1/proxy  {"address": "IP:PORT", "links": N}
+// GET  /v1/proxy  only returns the state
 // POST /v1/cut    closes all open connections
-// POST /v1/freeze makes all open connections silent; new ones work
-// POST /v1/rule   sets what happens to new connections, see rule
+// POST /v1/freeze stops forwarding on all open connections, but not on new ones
+// POST /v1/rule   sets the fault_rule of new connections, see parse_rule()
+//
+// All four respond with {"address": "IP:PORT", "links": N, "accepted": N}:
+// `links` is the number of open connections, `accepted` the number of
+// connections accepted since startup.
 
 #include "fault_proxy/proxied_connection.hpp"
 #include "support/fake_server.hpp"
@@ -16,9 +20,10 @@
 #include <iostream>
 #include <list>
 
-ABSL_FLAG(std::string, address, "127.0.0.1:0", "where to take orders");
-ABSL_FLAG(std::string, listen, "127.0.0.1:0", "where to accept connections");
-ABSL_FLAG(std::string, target, "", "where connections go to");
+ABSL_FLAG(std::string, address, "127.0.0.1:0", "address of the control API");
+ABSL_FLAG(std::string, listen, "127.0.0.1:0",
+          "address to accept connections on");
+ABSL_FLAG(std::string, target, "", "address to forward connections to");
 
 namespace hibiscus::testing {
 namespace {
@@ -28,25 +33,26 @@
 using tcp = asio::ip::tcp;
 
 tcp::endpoint parse_tcp_endpoint(const std::string& text) {
-    const auto e = base::parse_endpoint(text).value_or(base::endpoint{});
-    return {asio::ip::make_address(e.ip), e.port};
+    const auto parsed = base::parse_endpoint(text).value_or(base::endpoint{});
+    return {asio::ip::make_address(parsed.ip), parsed.port};
 }
 
-/// Reads a rule from a test's order; what is left out has no effect.
-fault_rule parse_rule(const json& order) {
-    fault_rule r;
-    r.refuse_connections = order.value("refuse", false);
-    r.delay_ms = order.value("delay_ms", base::millis{0});
-    r.bytes_to_target = order.value("to_target", std::int64_t{-1});
-    r.bytes_to_client = order.value("to_client", std::int64_t{-1});
-    r.connections_left = order.value("times", -1);
-    const auto action = order.value("action", std::string("cut"));
-    r.action =
+/// Parses the body of a /v1/rule request. Missing fields inject no fault; an
+/// unknown action means "cut".
+fault_rule parse_rule(const json& command) {
+    fault_rule rule;
+    rule.refuse_connections = command.value("refuse", false);
+    rule.delay_ms = command.value("delay_ms", base::millis{0});
+    rule.bytes_to_target = command.value("to_target", std::int64_t{-1});
+    rule.bytes_to_client = command.value("to_client", std::int64_t{-1});
+    rule.connections_left = command.value("times", -1);
+    const auto action = command.value("action", std::string("cut"));
+    rule.action =
         base::from_name<fault_action>(action).value_or(fault_action::cut);
-    return r;
+    return rule;
 }
 
-/// The whole proxy. Runs in one thread.
+/// The proxy and its control API. Runs in one thread.
 class fault_proxy {
 public:
     fault_proxy(asio::io_context& io, const std::string& listen,
@@ -56,16 +62,18 @@
         start_listening();
     }
 
-    /// Handles one order of a test.
+    /// Handles a request to the control API.
     void handle(const net::http_request& request,
                 const net::http_responder& respond) {
-        const auto order = json::parse(request.body, nullptr, false);
+        const auto command = json::parse(request.body, nullptr, false);
         if (request.target == "/v1/cut") {
-            for_each_connection([](proxied_connection& l) { l.close(); });
+            for_each_connection(
+                [](proxied_connection& connection) { connection.close(); });
         } else if (request.target == "/v1/freeze") {
-            for_each_connection([](proxied_connection& l) { l.freeze(); });
-        } else if (request.target == "/v1/rule" && order.is_object()) {
-            set_rule(parse_rule(order));
+            for_each_connection(
+                [](proxied_connection& connection) { connection.freeze(); });
+        } else if (request.target == "/v1/rule" && command.is_object()) {
+            set_rule(parse_rule(command));
         } else if (request.target != "/v1/proxy") {
             respond({404, "{}"});
             return;
@@ -75,13 +83,14 @@
 
 private:
     std::string state_json() {
-        std::size_t open = 0;
-        for_each_connection(
-            [&](proxied_connection& l) { open += l.is_closed() ? 0 : 1; });
-        const base::endpoint at{address_.address().to_string(),
-                                address_.port()};
-        return json{{"address", base::to_string(at)},
-                    {"links", open},
+        std::size_t open_count = 0;
+        for_each_connection([&](proxied_connection& connection) {
+            open_count += connection.is_closed() ? 0 : 1;
+        });
+        const base::endpoint address{address_.address().to_string(),
+                                     address_.port()};
+        return json{{"address", base::to_string(address)},
+                    {"links", open_count},
                     {"accepted", accepted_count_}}
             .dump();
     }
@@ -95,8 +104,8 @@
         accept();
     }
 
-    void set_rule(const fault_rule& r) {
-        rule_ = r;
+    void set_rule(const fault_rule& rule) {
+        rule_ = rule;
         if (rule_.refuse_connections && acceptor_.is_open()) {
             acceptor_.close();
         } else if (!rule_.refuse_connections && !acceptor_.is_open()) {
@@ -111,15 +120,16 @@
                     return;
                 }
                 ++accepted_count_;
-                auto l = std::make_shared<proxied_connection>(
+                auto connection = std::make_shared<proxied_connection>(
                     io_, std::move(client), take_rule());
-                connections_.push_back(l);
-                l->start(target_);
+                connections_.push_back(connection);
+                connection->start(target_);
                 accept();
             });
     }
 
-    /// Returns the rule of the next connection, and counts it down.
+    /// Returns the rule for the next connection and decrements its
+    /// `connections_left`.
     fault_rule take_rule() {
         if (rule_.connections_left == 0) {
             return {};
@@ -131,13 +141,14 @@
     }
 
     template <class F>
-    void for_each_connection(F f) {
-        connections_.remove_if([](const std::weak_ptr<proxied_connection>& l) {
-            return l.expired();
-        });
+    void for_each_connection(F function) {
+        connections_.remove_if(
+            [](const std::weak_ptr<proxied_connection>& connection) {
+                return connection.expired();
+            });
         for (const auto& weak : connections_) {
-            if (auto l = weak.lock()) {
-                f(*l);
+            if (auto connection = weak.lock()) {
+                function(*connection);
             }
         }
     }
--- a/testing/fault_proxy/proxied_connection.cpp
+++ b/testing/fault_proxy/proxied_connection.cpp
@@ -14,11 +14,11 @@
 using tcp = asio::ip::tcp;
 
 proxied_connection::proxied_connection(asio::io_context& io, tcp::socket client,
-                                       const fault_rule& r)
+                                       const fault_rule& rule)
     : client_(std::move(client)), target_(io),
-      rule_(r), to_target_{client_, target_, r.bytes_to_target, false,
-                           asio::steady_timer(io)},
-      to_client_{target_, client_, r.bytes_to_client, true,
+      rule_(rule), to_target_{client_, target_, rule.bytes_to_target, false,
+                              asio::steady_timer(io)},
+      to_client_{target_, client_, rule.bytes_to_client, true,
                  asio::steady_timer(io)} {}
 
 void proxied_connection::start(const tcp::endpoint& target) {
@@ -47,7 +47,7 @@
 
 void proxied_connection::freeze() {
     frozen_ = true;
-    // The sockets must stay open although nothing is being read.
+    // No pending operation keeps a frozen connection alive.
     if (!closed_) {
         self_while_frozen_ = shared_from_this();
     }
@@ -56,14 +56,14 @@
 void proxied_connection::read(direction& d) {
     d.source.async_read_some(asio::buffer(d.buffer),
                              [self = shared_from_this(),
-                              &d](const error_code& error, std::size_t n) {
+                              &d](const error_code& error, std::size_t count) {
                                  if (self->frozen_ || self->closed_) {
                                      return;
                                  }
                                  if (error) {
                                      self->on_end_of_stream(d);
                                  } else {
-                                     self->write_after_delay(d, n);
+                                     self->write_after_delay(d, count);
                                  }
                              });
 }
@@ -83,23 +83,23 @@
 }
 
 void proxied_connection::write(direction& d, std::size_t count) {
-    auto passing = static_cast<std::int64_t>(count);
+    auto forwarded = static_cast<std::int64_t>(count);
     if (d.bytes_left >= 0) {
-        passing = std::min(passing, d.bytes_left);
-        d.bytes_left -= passing;
+        forwarded = std::min(forwarded, d.bytes_left);
+        d.bytes_left -= forwarded;
     }
-    const bool used_up = d.bytes_left == 0;
+    const bool limit_reached = d.bytes_left == 0;
     asio::async_write(
         d.destination,
-        asio::buffer(d.buffer.data(), static_cast<std::size_t>(passing)),
-        [self = shared_from_this(), &d, used_up](const error_code& error,
-                                                 std::size_t) {
+        asio::buffer(d.buffer.data(), static_cast<std::size_t>(forwarded)),
+        [self = shared_from_this(), &d, limit_reached](const error_code& error,
+                                                       std::size_t) {
             if (self->frozen_ || self->closed_) {
                 return;
             }
             if (error) {
                 self->close();
-            } else if (used_up) {
+            } else if (limit_reached) {
                 self->apply_action(d);
             } else {
                 self->read(d);
@@ -122,7 +122,9 @@
     }
 }
 
-/// One side has closed its half; the other learns that and may still send.
+/// Forwards an end of stream or a read error as end of stream. Closes both
+/// sockets if the target ended its direction; if the client did, the target may
+/// still send.
 void proxied_connection::on_end_of_stream(direction& d) {
     error_code ignored;
     d.destination.shutdown(tcp::socket::shutdown_send, ignored);
--- a/testing/fault_proxy/proxied_connection.hpp
+++ b/testing/fault_proxy/proxied_connection.hpp
@@ -13,52 +13,55 @@
 
 namespace hibiscus::testing {
 
-/// What happens to a connection when its bytes are used up.
+/// What happens to a connection that has reached a byte limit of its rule.
 enum class fault_action {
-    cut,       ///< Both sides are closed.
-    freeze,    ///< Nothing is passed on any more, and nothing is closed.
-    half_close ///< The client sees the end of the answer; requests go on.
+    cut,       ///< Both sockets are closed.
+    freeze,    ///< No more bytes are forwarded; the sockets stay open.
+    half_close ///< The receiver sees end of stream; the other direction
+               ///< continues.
 };
 
-/// What happens to a connection that is accepted.
+/// The faults to inject into new connections.
 struct fault_rule {
-    /// Nothing listens, so that the client's connection is refused.
+    /// Closes the listening socket, so connection attempts are refused.
     bool refuse_connections = false;
-    /// Each piece of bytes is passed on so much later.
+    /// Delay before each chunk of bytes is forwarded, in ms.
     base::millis delay_ms = 0;
-    /// The bytes that pass to the target before the action; -1: no limit.
+    /// How many bytes are forwarded to the target before the action; -1: no
+    /// limit. With 0 the target is never connected.
     std::int64_t bytes_to_target = -1;
-    /// The bytes that pass to the client before the action; -1: no limit. With
-    /// 0 the answer is dropped after its request took effect.
+    /// How many bytes are forwarded to the client before the action; -1: no
+    /// limit. With 0 the response is dropped although the target has processed
+    /// the request.
     std::int64_t bytes_to_client = -1;
     fault_action action = fault_action::cut;
-    /// How many connections the rule holds for; -1: all.
+    /// How many more connections the rule applies to; -1: all.
     int connections_left = -1;
 };
 
-/// A client's connection and the one to the target that belongs to it.
+/// A client's connection and the corresponding connection to the target.
 class proxied_connection
     : public std::enable_shared_from_this<proxied_connection> {
 public:
-    /// Constructs a link that follows `r`.
+    /// Constructs a connection with the faults of `rule`.
     proxied_connection(boost::asio::io_context& io,
                        boost::asio::ip::tcp::socket client,
-                       const fault_rule& r);
+                       const fault_rule& rule);
 
-    /// Connects to `target` and passes bytes in both directions.
+    /// Connects to `target` and forwards bytes in both directions.
     void start(const boost::asio::ip::tcp::endpoint& target);
 
     /// Closes both connections.
     void close();
 
-    /// Passes nothing on from now on, and closes nothing.
+    /// Stops forwarding and keeps both sockets open.
     void freeze();
 
-    /// Returns true if the link was cut or has ended.
+    /// Returns true if the connection was cut or has ended.
     bool is_closed() const { return closed_; }
 
 private:
-    /// One of the two directions.
+    /// The state of forwarding in one direction.
     struct direction {
         boost::asio::ip::tcp::socket& source;
         boost::asio::ip::tcp::socket& destination;
@@ -79,6 +82,7 @@
     fault_rule rule_;
     direction to_target_;
     direction to_client_;
+    /// Keeps a frozen connection alive, as no operation is pending on it.
     std::shared_ptr<proxied_connection> self_while_frozen_;
     bool frozen_ = false;
     bool closed_ = false;
--- a/testing/soak/soak_test.cpp
+++ b/testing/soak/soak_test.cpp
@@ -14,26 +14,28 @@
 
 namespace {
 
-/// A job as its trainer knows it.
+/// The state of a job as its trainer knows it.
 struct soak_job {
     std::string id;
     std::string body;
     bool accepted = false;
-    /// An attempt ended so that the job may run although it was not accepted.
+    /// Whether a submission had an unknown outcome, so that the job may run
+    /// although it was not accepted.
     bool may_have_run = false;
     int attempts = 0;
+    /// The results by position.
     std::map<int, std::string> results;
     std::set<std::string> result_ids;
 };
 
-/// Plays one seed: faults from outside in series that overlap, while trainers
-/// submit and read jobs at any node and callers look things up. What is wrong
-/// is what they see.
+/// Runs one seed: injects overlapping faults while trainers submit and read
+/// jobs at random nodes and callers send lookups. Checks only what trainers and
+/// callers can observe.
 class soak_run : private entry_harness {
 public:
     explicit soak_run(unsigned seed) : random_(seed) {}
 
-    /// Returns what is wrong, or "".
+    /// Returns a description of the last violation, or "".
     std::string run(int steps) {
         publish_configuration();
         for (const char* name : {"n1", "n2", "n3"}) {
@@ -42,7 +44,7 @@
         }
         for (const char* name : {"n1", "n2", "n3"}) {
             if (!wait_until_ready(name)) {
-                return std::string(name) + " does not become ready";
+                return std::string(name) + " did not become ready";
             }
             add_callers(name);
         }
@@ -52,7 +54,7 @@
             run_due_actions(false);
         }
         run_due_actions(true);
-        check_accepted_jobs();
+        check_jobs();
         stop_callers_and_check();
         return violation_;
     }
@@ -64,12 +66,12 @@
         base::endpoint listen_address;
     };
     struct scheduled_action {
-        base::millis due_ms = 0;
+        base::millis due_at = 0;
         std::function<void()> action;
     };
 
-    int random_below(int below) {
-        return static_cast<int>(random_() % static_cast<unsigned>(below));
+    int random_below(int limit) {
+        return static_cast<int>(random_() % static_cast<unsigned>(limit));
     }
 
     std::string random_node() {
@@ -77,42 +79,48 @@
     }
 
     void add_proxy(const std::string& name) {
-        auto& p = proxies_[name];
-        p.control_address = {"127.0.0.1", reserved_ports_.reserve("127.0.0.1")};
-        p.listen_address = {"127.0.0.1", reserved_ports_.reserve("127.0.0.1")};
-        p.daemon = std::make_unique<process>(
-            std::vector<std::string>{HIBISCUS_FAULT_PROXY,
-                                     "--address=" +
-                                         to_string(p.control_address),
-                                     "--listen=" + to_string(p.listen_address),
-                                     "--target=" + to_string(store_.address())},
+        auto& added = proxies_[name];
+        added.control_address = {"127.0.0.1",
+                                 reserved_ports_.reserve("127.0.0.1")};
+        added.listen_address = {"127.0.0.1",
+                                reserved_ports_.reserve("127.0.0.1")};
+        added.daemon = std::make_unique<process>(
+            std::vector<std::string>{
+                HIBISCUS_FAULT_PROXY,
+                "--address=" + to_string(added.control_address),
+                "--listen=" + to_string(added.listen_address),
+                "--target=" + to_string(store_.address())},
             work_dir_ + "/proxy-" + name + ".log");
-        ports_["proxy-" + name] = {p.control_address.port};
+        ports_["proxy-" + name] = {added.control_address.port};
         run_until([&] {
             return call("proxy-" + name, "GET", "/v1/proxy").status == 200;
         });
     }
 
-    void control_proxy(const std::string& name, const std::string& target,
+    void control_proxy(const std::string& name, const std::string& path,
                        const json& body = json::object()) {
-        call("proxy-" + name, "POST", target, {}, body.dump());
+        call("proxy-" + name, "POST", path, {}, body.dump());
     }
 
-    void schedule(base::millis ms, std::function<void()> what) {
-        scheduled_actions_.push_back({clock_.now() + ms, std::move(what)});
+    void schedule(base::millis delay_ms, std::function<void()> action) {
+        scheduled_actions_.push_back(
+            {clock_.now() + delay_ms, std::move(action)});
     }
 
-    void run_due_actions(bool all) {
-        auto list = std::exchange(scheduled_actions_, {});
-        for (auto& u : list) {
-            if (all || clock_.now() >= u.due_ms) {
-                u.action();
+    /// Runs the scheduled actions that are due, or all of them.
+    void run_due_actions(bool include_future) {
+        auto actions = std::exchange(scheduled_actions_, {});
+        for (auto& scheduled : actions) {
+            if (include_future || clock_.now() >= scheduled.due_at) {
+                scheduled.action();
             } else {
-                scheduled_actions_.push_back(std::move(u));
+                scheduled_actions_.push_back(std::move(scheduled));
             }
         }
     }
 
+    /// Restarts a node that has exited. If the node is still stopping, checks
+    /// again later.
     void restart_if_exited(const std::string& name) {
         if (!nodes_.at(name)->is_running()) {
             ready_nodes_.erase(name);
@@ -120,7 +128,8 @@
             stopping_nodes_.erase(name);
             start_node(name, proxies_.at(name).listen_address);
         } else if (stopping_nodes_.count(name) != 0) {
-            schedule(recheck_ms, [this, name] { restart_if_exited(name); });
+            schedule(exit_poll_interval_ms,
+                     [this, name] { restart_if_exited(name); });
         }
     }
 
@@ -129,43 +138,43 @@
         nodes_.at(name)->signal(SIGTERM);
     }
 
-    /// Starts callers that send one lookup after the other on connections that
-    /// they keep until the node closes them or is gone.
+    /// Starts callers that send lookups one after another over keep-alive
+    /// connections to a node.
     void add_callers(const std::string& name) {
-        constexpr int callers = 3;
-        for (int n = 0; n < callers; ++n) {
+        constexpr int callers_per_node = 3;
+        for (int n = 0; n < callers_per_node; ++n) {
             callers_.push_back(std::make_unique<keep_alive_client>(
                 io_, base::endpoint{"127.0.0.1", ports_.at(name).front()},
                 [this] { return make_lookup(); },
-                [this, name](const auto& q, const auto& r) {
-                    on_lookup_done(name, q, r);
+                [this, name](const auto& request, const auto& response) {
+                    on_lookup_done(name, request, response);
                 }));
         }
     }
 
     client_request make_lookup() {
-        constexpr int longest_pause_ms = 40;
-        constexpr int longest_body = 100000;
-        client_request q;
-        q.id = "k" + std::to_string(++lookup_count_);
-        q.target = "/look/x";
-        q.fields = {{"Host", "h"}, {"Deadline-Ms", "1500"}};
-        q.body.assign(static_cast<std::size_t>(random_below(longest_body)),
-                      'x');
-        q.delay_ms = random_below(longest_pause_ms);
-        return q;
+        constexpr int max_pause_ms = 40;
+        constexpr int max_body_bytes = 100000;
+        client_request request;
+        request.id = "k" + std::to_string(++lookup_count_);
+        request.target = "/look/x";
+        request.fields = {{"Host", "h"}, {"Deadline-Ms", "1500"}};
+        request.body.assign(
+            static_cast<std::size_t>(random_below(max_body_bytes)), 'x');
+        request.delay_ms = random_below(max_pause_ms);
+        return request;
     }
 
-    void on_lookup_done(const std::string& name, const client_request& q,
-                        const client_reply& r) {
-        if (r.status == 0) {
+    void on_lookup_done(const std::string& name, const client_request& request,
+                        const client_response& response) {
+        if (response.status == 0) {
             if (disrupted_nodes_.count(name) == 0) {
-                unresponded_ids_.push_back(q.id);
+                unanswered_ids_.push_back(request.id);
             }
             return;
         }
         ready_nodes_.insert(name);
-        check_lookup(q.id, r.status, r.body);
+        check_lookup(request.id, response.status, response.body);
     }
 
     void check_lookup(const std::string& id, int status,
@@ -174,23 +183,24 @@
             violation_ = id + " got " + body;
         }
         if (status == 404) {
-            violation_ = id + " was denied";
+            violation_ = id + " got status 404";
         }
     }
 
-    /// A request that a node passed on ends with an answer, unless the node was
-    /// killed or stood still.
+    /// Stops the callers and checks that each lookup that a node forwarded got
+    /// a response, unless the node was killed or suspended.
     void stop_callers_and_check() {
-        for (const auto& c : callers_) {
-            c->stop();
+        for (const auto& caller : callers_) {
+            caller->stop();
         }
         run_until([&] {
-            return std::all_of(callers_.begin(), callers_.end(),
-                               [](const auto& c) { return c->is_stopped(); });
+            return std::all_of(
+                callers_.begin(), callers_.end(),
+                [](const auto& caller) { return caller->is_stopped(); });
         });
-        for (const auto& id : unresponded_ids_) {
-            if (app_server_.executed_ids().count(id) != 0) {
-                violation_ = id + " was passed on and got no answer";
+        for (const auto& id : unanswered_ids_) {
+            if (lookup_server_.executed_ids().count(id) != 0) {
+                violation_ = id + " was forwarded but got no response";
             }
         }
     }
@@ -201,24 +211,26 @@
         }
     }
 
-    /// Brings about one fault and plans its end.
+    /// Injects a random fault and schedules its end.
     void inject_fault() {
         const auto name = random_node();
-        const int ms = 200 + random_below(2000);
+        const int duration_ms = 200 + random_below(2000);
         switch (random_below(12)) {
         case 0:
             disrupted_nodes_.insert(name);
             nodes_.at(name)->signal(SIGKILL);
-            schedule(ms, [this, name] { restart_if_exited(name); });
+            schedule(duration_ms, [this, name] { restart_if_exited(name); });
             break;
         case 1:
             stop(name);
-            schedule(4000 + ms, [this, name] { restart_if_exited(name); });
+            schedule(4000 + duration_ms,
+                     [this, name] { restart_if_exited(name); });
             break;
         case 2:
             disrupted_nodes_.insert(name);
             nodes_.at(name)->signal(SIGSTOP);
-            schedule(ms, [this, name] { nodes_.at(name)->signal(SIGCONT); });
+            schedule(duration_ms,
+                     [this, name] { nodes_.at(name)->signal(SIGCONT); });
             break;
         case 3:
             control_proxy(name, "/v1/cut");
@@ -228,34 +240,38 @@
             break;
         case 5:
             control_proxy(name, "/v1/rule", {{"refuse", true}});
-            schedule(ms, [this, name] { control_proxy(name, "/v1/rule"); });
+            schedule(duration_ms,
+                     [this, name] { control_proxy(name, "/v1/rule"); });
             break;
         case 6:
             store_.set_unavailable(true);
-            schedule(ms, [this] { store_.set_unavailable(false); });
+            schedule(duration_ms, [this] { store_.set_unavailable(false); });
             break;
         case 7:
             store_.set_lost_response_percent(20);
-            schedule(ms, [this] { store_.set_lost_response_percent(0); });
+            schedule(duration_ms,
+                     [this] { store_.set_lost_response_percent(0); });
             break;
         case 8:
             for (int n = 0; n < burst_size; ++n) {
-                schedule(random_below(ms),
+                schedule(random_below(duration_ms),
                          [this] { publish_configuration(++version_); });
             }
             break;
         case 9:
             for (int n = 0; n < burst_size; ++n) {
-                schedule(random_below(ms),
+                schedule(random_below(duration_ms),
                          [this, node = random_node()] { reload(node); });
             }
             break;
         case 10:
             stop(name);
             for (int n = 0; n < burst_size; ++n) {
-                schedule(random_below(2 * ms), [this, name] { reload(name); });
+                schedule(random_below(2 * duration_ms),
+                         [this, name] { reload(name); });
             }
-            schedule(4000 + ms, [this, name] { restart_if_exited(name); });
+            schedule(4000 + duration_ms,
+                     [this, name] { restart_if_exited(name); });
             break;
         default:
             samplers_[static_cast<std::size_t>(random_below(2))]
@@ -264,84 +280,91 @@
         }
     }
 
-    /// Uses the system for a while, as trainers and callers do.
+    /// Submits and reads jobs and sends a lookup, then waits for a random time
+    /// of less than 200 ms.
     void run_workload() {
         if (jobs_.size() < max_jobs && random_below(3) == 0) {
             const auto id = "j" + std::to_string(jobs_.size());
             jobs_.push_back(
                 {id, make_job_body(id + "-"), false, false, 0, {}, {}});
         }
-        for (auto& j : jobs_) {
-            if (!j.accepted && j.attempts < max_attempts) {
-                submit(j);
+        for (auto& job : jobs_) {
+            if (!job.accepted && job.attempts < max_attempts) {
+                submit(job);
             }
-            read_results(j);
+            read_results(job);
         }
         send_lookup();
         run_for(random_below(200));
     }
 
-    void run_for(int ms) {
-        const auto until = clock_.now() + ms;
-        run_until([&] { return clock_.now() >= until; });
+    void run_for(int duration_ms) {
+        const auto deadline = clock_.now() + duration_ms;
+        run_until([&] { return clock_.now() >= deadline; });
     }
 
-    void submit(soak_job& j) {
-        ++j.attempts;
-        const auto got =
+    void submit(soak_job& job) {
+        ++job.attempts;
+        const auto response =
             call(random_node(), "POST", "/batch/1",
-                 {{"Request-Id", j.id}, {"Deadline-Ms", "1500"}}, j.body);
-        j.accepted = got.status == 202;
-        j.may_have_run =
-            j.may_have_run || (got.status != 202 && got.status != 503);
+                 {{"Request-Id", job.id}, {"Deadline-Ms", "1500"}}, job.body);
+        job.accepted = response.status == 202;
+        job.may_have_run = job.may_have_run ||
+                           (response.status != 202 && response.status != 503);
     }
 
-    void read_results(soak_job& j, int from = -1) {
-        if (!j.accepted) {
+    /// Reads results of an accepted job from `first_position` on, by default
+    /// from the first position that was not read yet.
+    void read_results(soak_job& job, int first_position = -1) {
+        if (!job.accepted) {
             return;
         }
-        const int after = from >= 0 ? from : static_cast<int>(j.results.size());
-        const auto got =
+        const int after = first_position >= 0
+                              ? first_position
+                              : static_cast<int>(job.results.size());
+        const auto response =
             call(random_node(), "GET",
-                 "/lots/" + j.id + "?after=" + std::to_string(after));
-        if (got.status == 404) {
-            violation_ = j.id + " is said not to exist";
+                 "/lots/" + job.id + "?after=" + std::to_string(after));
+        if (response.status == 404) {
+            violation_ = job.id + " was accepted but got status 404";
         }
-        if (got.status != 200) {
+        if (response.status != 200) {
             return;
         }
         int position = after;
-        const auto body = json::parse(got.body);
-        for (const auto& r : body.at("results")) {
-            check_result(j, position++, r);
+        const auto body = json::parse(response.body);
+        for (const auto& result : body.at("results")) {
+            check_result(job, position++, result);
         }
     }
 
-    void check_result(soak_job& j, int position, const json& r) {
-        const auto id = r.at("id").get<std::string>();
-        if (r.at("text") !=
+    void check_result(soak_job& job, int position, const json& result) {
+        const auto id = result.at("id").get<std::string>();
+        if (result.at("text") !=
                 fake_backend_server::expected_text(id, events_per_run) ||
-            r.at("score") != "of-s" + id) {
-            violation_ = j.id + ": a wrong text of " + id;
+            result.at("score") != "of-s" + id) {
+            violation_ = job.id + ": wrong text or score of " + id;
         }
-        const auto known = j.results.emplace(position, r.dump());
-        if (known.first->second != r.dump()) {
-            violation_ = j.id + ": position " + std::to_string(position) +
+        const auto inserted = job.results.emplace(position, result.dump());
+        if (inserted.first->second != result.dump()) {
+            violation_ = job.id + ": position " + std::to_string(position) +
                          " has changed";
-        } else if (known.second && !j.result_ids.insert(id).second) {
-            violation_ = j.id + ": " + id + " is listed twice";
+        } else if (inserted.second && !job.result_ids.insert(id).second) {
+            violation_ = job.id + ": " + id + " is returned twice";
         }
     }
 
     void send_lookup() {
         const auto id = "q" + std::to_string(++lookup_count_);
-        const auto got = call(random_node(), "POST", "/look/x",
-                              {{"Request-Id", id}, {"Deadline-Ms", "1500"}});
-        check_lookup(id, got.status, got.body);
+        const auto response =
+            call(random_node(), "POST", "/look/x",
+                 {{"Request-Id", id}, {"Deadline-Ms", "1500"}});
+        check_lookup(id, response.status, response.body);
     }
 
-    /// With all faults over, everything that was accepted must be there.
-    void check_accepted_jobs() {
+    /// Waits until all nodes run, then checks that all results of accepted jobs
+    /// can be read at unchanged positions and that rejected jobs did not run.
+    void check_jobs() {
         for (const char* name : {"n1", "n2", "n3"}) {
             run_until([&] {
                 restart_if_exited(name);
@@ -349,49 +372,51 @@
                        nodes_.at(name)->is_running();
             });
         }
-        for (auto& j : jobs_) {
-            const bool whole = run_until([&] {
-                read_results(j);
-                return !j.accepted || !violation_.empty() ||
-                       j.results.size() == items_per_job;
+        for (auto& job : jobs_) {
+            const bool complete = run_until([&] {
+                read_results(job);
+                return !job.accepted || !violation_.empty() ||
+                       job.results.size() == items_per_job;
             });
-            read_results(j, 0);
-            if (!whole && violation_.empty()) {
-                violation_ = j.id + " has " + std::to_string(j.results.size()) +
-                             " results";
+            read_results(job, 0);
+            if (!complete && violation_.empty()) {
+                violation_ = job.id + " has " +
+                             std::to_string(job.results.size()) + " results";
             }
-            check_rejected_job(j);
+            check_rejected_job(job);
         }
     }
 
-    /// A job of which each attempt was refused must not have run.
-    void check_rejected_job(const soak_job& j) {
-        if (j.accepted || j.may_have_run) {
+    /// Checks that a job did not run if all attempts to submit it were
+    /// rejected.
+    void check_rejected_job(const soak_job& job) {
+        if (job.accepted || job.may_have_run) {
             return;
         }
-        for (const auto& e : samplers_) {
-            if (e->executed_ids().count(j.id + "-0") != 0) {
-                violation_ = j.id + " was refused and ran";
+        for (const auto& sampler : samplers_) {
+            if (sampler->executed_ids().count(job.id + "-0") != 0) {
+                violation_ =
+                    job.id + " ran although all submissions were rejected";
             }
         }
     }
 
     static constexpr std::size_t max_jobs = 8;
     static constexpr int max_attempts = 6;
-    /// How many configurations or reloads come in a series.
+    /// The number of configuration changes or reload signals in a burst.
     static constexpr int burst_size = 5;
-    static constexpr base::millis recheck_ms = 100;
+    static constexpr base::millis exit_poll_interval_ms = 100;
 
     std::mt19937 random_;
     base::clock clock_;
     std::map<std::string, proxy> proxies_;
     std::vector<std::unique_ptr<keep_alive_client>> callers_;
-    /// Lookups whose connections ended without an answer, at nodes that were
-    /// neither killed nor stood still since their start.
-    std::vector<std::string> unresponded_ids_;
+    /// Lookups that got no response from nodes that were neither killed nor
+    /// suspended since their start.
+    std::vector<std::string> unanswered_ids_;
     std::set<std::string> disrupted_nodes_;
     std::set<std::string> stopping_nodes_;
-    /// Nodes that have answered since their start.
+    /// Nodes that have responded since their start and so handle SIGHUP.
     std::set<std::string> ready_nodes_;
     int version_ = 1;
     std::vector<soak_job> jobs_;
@@ -400,18 +425,20 @@
     int lookup_count_ = 0;
 };
 
-/// Plays a seed of CI, or those from HIBISCUS_SOAK_SEED on, as many as
-/// HIBISCUS_SOAK_SEEDS says.
+/// Runs HIBISCUS_SOAK_SEEDS (default 1) consecutive seeds, starting at
+/// HIBISCUS_SOAK_SEED (default 1).
 TEST(soak_test, accepted_jobs_are_read_once_and_completely_under_faults) {
-    const auto* first = std::getenv("HIBISCUS_SOAK_SEED");  // NOLINT
-    const auto* count = std::getenv("HIBISCUS_SOAK_SEEDS"); // NOLINT
-    const int begin = first == nullptr ? 1 : std::atoi(first);
-    const int seeds = count == nullptr ? 1 : std::atoi(count);
+    const auto* seed_variable = std::getenv("HIBISCUS_SOAK_SEED");   // NOLINT
+    const auto* count_variable = std::getenv("HIBISCUS_SOAK_SEEDS"); // NOLINT
+    const int first_seed =
+        seed_variable == nullptr ? 1 : std::atoi(seed_variable);
+    const int seed_count =
+        count_variable == nullptr ? 1 : std::atoi(count_variable);
     constexpr int steps = 30;
-    for (int seed = begin; seed < begin + seeds; ++seed) {
-        soak_run s(static_cast<unsigned>(seed));
-        EXPECT_EQ(s.run(steps), "") << "HIBISCUS_SOAK_SEED=" << seed;
-        std::cout << "seed " << seed << " played" << std::endl;
+    for (int seed = first_seed; seed < first_seed + seed_count; ++seed) {
+        soak_run run(static_cast<unsigned>(seed));
+        EXPECT_EQ(run.run(steps), "") << "HIBISCUS_SOAK_SEED=" << seed;
+        std::cout << "seed " << seed << " finished" << std::endl;
     }
 }
 
--- a/testing/support/entry_client.cpp
+++ b/testing/support/entry_client.cpp
@@ -7,28 +7,29 @@
 
 namespace {
 
-constexpr base::millis connect_ms = 500;
+constexpr base::millis connect_timeout_ms = 500;
 constexpr base::millis entries_timeout_ms = 1000;
 
 } // namespace
 
 std::vector<base::endpoint> parse_addresses(const std::string& text) {
-    std::vector<base::endpoint> entries;
-    std::size_t at = 0;
-    while (at < text.size()) {
-        const auto comma = std::min(text.find(',', at), text.size());
-        if (const auto e = base::parse_endpoint(text.substr(at, comma - at))) {
-            entries.push_back(*e);
+    std::vector<base::endpoint> addresses;
+    std::size_t begin = 0;
+    while (begin < text.size()) {
+        const auto comma = std::min(text.find(',', begin), text.size());
+        if (const auto e =
+                base::parse_endpoint(text.substr(begin, comma - begin))) {
+            addresses.push_back(*e);
         }
-        at = comma + 1;
+        begin = comma + 1;
     }
-    return entries;
+    return addresses;
 }
 
-entry_client::entry_client(std::vector<base::endpoint> first)
-    : work_guard_(io_.get_executor()), http_(io_, connect_ms),
-      thread_([this] { io_.run(); }), seed_addresses_(std::move(first)),
-      entries_(seed_addresses_) {}
+entry_client::entry_client(std::vector<base::endpoint> seed_addresses)
+    : work_guard_(io_.get_executor()), http_(io_, connect_timeout_ms),
+      thread_([this] { io_.run(); }),
+      seed_addresses_(std::move(seed_addresses)), entries_(seed_addresses_) {}
 
 entry_client::~entry_client() {
     io_.stop();
@@ -70,16 +71,16 @@
         }
         entries_expire_at_ = clock_.now() + entries_timeout_ms;
         candidates = entries_;
-        const auto turn = next_index_++ % candidates.size();
+        const auto offset = next_index_++ % candidates.size();
         std::rotate(candidates.begin(),
-                    candidates.begin() + static_cast<std::ptrdiff_t>(turn),
+                    candidates.begin() + static_cast<std::ptrdiff_t>(offset),
                     candidates.end());
         candidates.insert(candidates.end(), seed_addresses_.begin(),
                           seed_addresses_.end());
     }
-    // One that does not answer says nothing of the others. A caller that went
-    // back to its first addresses alone would stand still for ever once all
-    // of those have been replaced.
+    // Tries all known entries before the seed addresses. A client that used
+    // only the seed addresses could never connect again after all of those
+    // nodes were replaced.
     for (const auto& target : candidates) {
         if (fetch_entries(target)) {
             return;
@@ -93,21 +94,21 @@
 bool entry_client::fetch_entries(const base::endpoint& target) {
     net::http_request request;
     request.target = "/v1/entries";
-    const auto answer = decode_response<wire::entries_response>(
+    const auto response = decode_response<wire::entries_response>(
         send_to(target, std::move(request), entries_timeout_ms));
-    std::vector<base::endpoint> found;
+    std::vector<base::endpoint> fetched;
     for (const auto& e :
-         answer ? answer->entries : std::vector<wire::entry_address>{}) {
+         response ? response->entries : std::vector<wire::entry_address>{}) {
         if (const auto address = base::parse_endpoint(e.address)) {
-            found.push_back(*address);
+            fetched.push_back(*address);
         }
     }
-    if (found.empty()) {
+    if (fetched.empty()) {
         return false;
     }
     const std::lock_guard<std::mutex> lock(mutex_);
-    entries_ = std::move(found);
-    entries_expire_at_ = clock_.now() + answer->ttl_ms;
+    entries_ = std::move(fetched);
+    entries_expire_at_ = clock_.now() + response->ttl_ms;
     return true;
 }
 
--- a/testing/support/entry_client.hpp
+++ b/testing/support/entry_client.hpp
@@ -14,32 +14,31 @@
 
 namespace hibiscus::testing {
 
-/// Returns the addresses in `text`, which are divided by commas.
+/// Parses a comma-separated list of addresses. Skips invalid ones.
 std::vector<base::endpoint> parse_addresses(const std::string& text);
 
-/// Calls hibiscustack as its documentation tells callers to: asks for the
-/// addresses, keeps the answer for its time to live, connects there, and goes
-/// to another address when one fails. Safe for several threads.
+/// Calls hibiscustack in the way that is documented for callers: fetches the
+/// entry addresses, caches them for their time to live, sends requests to them
+/// in turn, and drops an address that fails. Thread-safe.
 class entry_client {
 public:
-    /// Constructs a caller that knows the addresses `first` to begin with.
-    explicit entry_client(std::vector<base::endpoint> first);
+    /// Constructs a client that fetches its entries from `seed_addresses`.
+    explicit entry_client(std::vector<base::endpoint> seed_addresses);
 
-    /// Ends its thread.
     ~entry_client();
 
     entry_client(const entry_client&) = delete;
     entry_client& operator=(const entry_client&) = delete;
 
-    /// Sends a request to an entry and waits for what comes of it.
+    /// Sends a request to an entry and blocks until it completes or fails.
     net::http_result send(net::http_request request, base::millis timeout);
 
-    /// Sends a request to `target` and waits for what comes of it.
+    /// Sends a request to `target` and blocks until it completes or fails.
     net::http_result send_to(const base::endpoint& target,
                              net::http_request request, base::millis timeout);
 
-    /// Sends `body` and returns the answer, or nothing if there is none or it
-    /// is not of the type T.
+    /// Sends `body` and returns the decoded response, or nothing if there is no
+    /// response or it can't be decoded as T.
     template <class T>
     std::optional<T> call(const std::string& method, const std::string& target,
                           std::string body, base::millis timeout) {
@@ -50,20 +49,20 @@
         return decode_response<T>(send(std::move(request), timeout));
     }
 
-    /// Returns the message in a result, or nothing.
+    /// Decodes the body of a response. Returns nothing if there is no response
+    /// or the body can't be decoded as T.
     template <class T>
     static std::optional<T> decode_response(const net::http_result& result) {
         const auto* response = std::get_if<net::http_response>(&result);
         if (response == nullptr) {
             return std::nullopt;
         }
-        auto read = wire::from_json<T>(response->body);
-        auto* value = base::value_if(read);
+        auto decoded = wire::from_json<T>(response->body);
+        auto* value = base::value_if(decoded);
         return value != nullptr ? std::make_optional(std::move(*value))
                                 : std::nullopt;
     }
 
-    /// Returns the time.
     const base::clock& clock() const { return clock_; }
 
 private:
--- a/testing/support/failure_scenario.cpp
+++ b/testing/support/failure_scenario.cpp
@@ -45,8 +45,8 @@
          "--train_ms=" + std::to_string(load.train_ms),
          "--weights=" + base::to_string(cluster_.address_of("weights")),
          "--answers=" + cluster_.file_path("trainer.jsonl")});
-    // A caller whose sync is refused waits; lookups must go on meanwhile, so
-    // they have callers of their own.
+    // An application waits before it retries a rejected sync. A separate
+    // application sends the lookups, so that this wait does not delay them.
     apps_ = {start_app("lookups", 0, load), start_app("syncs", 1, load)};
 }
 
@@ -65,24 +65,24 @@
 }
 
 std::vector<recorded_response> failure_scenario::recorded_responses() const {
-    auto all = read_answers(cluster_.file_path("lookups.jsonl"));
+    auto responses = read_answers(cluster_.file_path("lookups.jsonl"));
     const auto syncs = read_answers(cluster_.file_path("syncs.jsonl"));
-    all.insert(all.end(), syncs.begin(), syncs.end());
-    return all;
+    responses.insert(responses.end(), syncs.begin(), syncs.end());
+    return responses;
 }
 
 int failure_scenario::count_completed(const std::string& prefix) const {
-    const auto all = recorded_responses();
-    return static_cast<int>(
-        std::count_if(all.begin(), all.end(), [&](const recorded_response& a) {
+    const auto responses = recorded_responses();
+    return static_cast<int>(std::count_if(
+        responses.begin(), responses.end(), [&](const recorded_response& a) {
             return a.id.rfind(prefix, 0) == 0 && a.result == "completed";
         }));
 }
 
 bool failure_scenario::wait_for_completions(const std::string& prefix,
                                             int count) {
-    const int wanted = count_completed(prefix) + count;
-    return eventually([&] { return count_completed(prefix) >= wanted; },
+    const int expected = count_completed(prefix) + count;
+    return eventually([&] { return count_completed(prefix) >= expected; },
                       completion_timeout_ms);
 }
 
@@ -91,8 +91,8 @@
     if (trainer_->wait_for_exit(client_timeout_ms) != 0) {
         found.push_back({violation_kind::client_failed, "trainer"});
     }
-    const auto add = [&](const std::vector<violation>& more) {
-        found.insert(found.end(), more.begin(), more.end());
+    const auto add = [&](const std::vector<violation>& added) {
+        found.insert(found.end(), added.begin(), added.end());
     };
     for (auto* app : apps_) {
         if (app->wait_for_exit(client_timeout_ms) != 0) {
@@ -100,17 +100,19 @@
         }
         add(check_app_output(app->output()));
     }
-    const auto kept = recorded_responses();
+    const auto responses = recorded_responses();
     add(check_trainer_output(cluster_, trainer_->output(),
                              cluster_.file_path("trainer.jsonl")));
-    add(check_runs(cluster_, kept));
+    add(check_runs(cluster_, responses));
     std::cout << "measured: longest gap lookup_ms="
-              << longest_gap(kept, "lookup-")
-              << " sync_ms=" << longest_gap(kept, "sync-") << " sample_ms="
+              << longest_gap(responses, "lookup-")
+              << " sync_ms=" << longest_gap(responses, "sync-") << " sample_ms="
               << longest_sample_gap(cluster_.file_path("trainer.jsonl"))
-              << "; longest wait lookup_ms=" << longest_wait(kept, "lookup-")
-              << " sync_ms=" << longest_wait(kept, "sync-") << "; left open "
-              << find_unresolved_requests(kept).size() << std::endl;
+              << "; longest wait lookup_ms="
+              << longest_wait(responses, "lookup-")
+              << " sync_ms=" << longest_wait(responses, "sync-")
+              << "; unresolved " << find_unresolved_requests(responses).size()
+              << std::endl;
     return found;
 }
 
--- a/testing/support/failure_scenario.hpp
+++ b/testing/support/failure_scenario.hpp
@@ -8,58 +8,59 @@
 
 namespace hibiscus::testing {
 
-/// The document that failure runs start with.
+/// The document that failure_scenario::start() publishes.
 extern const char* const failure_scenario_document;
 
-/// How much load a failure run has.
+/// The load of a failure scenario.
 struct load_options {
+    /// How many steps the trainer runs.
     int steps = 5;
-    /// How long callers go on, in s. More than any failure lasts: a caller that
-    /// ends before its test has seen what it waits for fails the test, however
-    /// well the system does.
+    /// How long the applications send requests, in s. Longer than any injected
+    /// failure: if they ended before the test has seen the responses that it
+    /// waits for, the test would fail although the system is correct.
     int duration_s = 20;
+    /// How long the trainer trains on each step, in ms.
     int train_ms = 300;
 };
 
-/// A small whole system under load, for one failure: three nodes in three
-/// zones, three engines, two instances of one plain service, a trainer and an
-/// application.
+/// A small complete system under load, into which a test injects one failure:
+/// three nodes in three availability zones, three engines, two instances of one
+/// plain service, a trainer and two applications.
 class failure_scenario {
 public:
-    /// Constructs a run of the programs in the build folder `programs`.
+    /// Constructs a scenario with the programs in the build folder `programs`.
     explicit failure_scenario(const std::string& programs);
 
-    /// Starts everything, publishes the document, and waits until all nodes
-    /// are ready and a first sync has run. Returns false if that fails.
+    /// Starts the platform, nodes, engines and services, publishes the
+    /// configuration document and waits until all nodes are ready. Returns
+    /// false if that fails.
     bool start();
 
-    /// Starts the trainer and the applications, one for lookups and one for
-    /// syncs.
+    /// Starts the trainer and two applications, one for lookups and one for
+    /// syncs (requests that are not idempotent).
     void start_load(const load_options& load = {});
 
-    /// Switches a fault of a stand-in; `body` is JSON.
+    /// Sets the faults of a stand-in; `body` is JSON.
     void inject_fault(const std::string& stand_in, const std::string& body);
 
-    /// Returns the answers that the application has kept so far.
+    /// Returns the responses that the applications have recorded so far.
     std::vector<recorded_response> recorded_responses() const;
 
     /// Waits until `count` more requests whose ids begin with `prefix` have
-    /// been completed.
+    /// completed. Returns false on timeout.
     bool wait_for_completions(const std::string& prefix, int count = 5);
 
-    /// Waits for the clients, prints the longest gaps and waits, and
-    /// returns everything that was broken.
+    /// Waits until the clients exit, prints the longest gaps between responses
+    /// and the longest waiting times, and returns all violations.
     std::vector<violation> finish_and_check();
 
-    /// Returns the system.
     test_cluster& cluster() { return cluster_; }
 
-    /// Returns the names of the instances of the plain service.
+    /// Returns the names of the plain service's instances.
     const std::vector<std::string>& service_names() const {
         return service_names_;
     }
 
-    /// Returns the names of the engines.
     const std::vector<std::string>& engine_names() const {
         return engine_names_;
     }
@@ -76,7 +77,7 @@
     std::vector<process*> apps_;
 };
 
-/// Returns `violations` as lines, for messages of tests.
+/// Returns one line for each violation, for test failure messages.
 std::string to_string(const std::vector<violation>& violations);
 
 } // namespace hibiscus::testing
--- a/testing/support/fake_server.cpp
+++ b/testing/support/fake_server.cpp
@@ -11,20 +11,21 @@
 
 int run_fake_server(
     const std::string& address,
-    const std::function<net::http_handler(boost::asio::io_context&)>& make) {
+    const std::function<net::http_handler(boost::asio::io_context&)>&
+        make_handler) {
     boost::asio::io_context io(1);
     const auto guard = boost::asio::make_work_guard(io);
     net::http_limits limits;
     limits.read_timeout_ms = 600000;
     limits.max_body_bytes = 64 * 1024 * 1024;
-    net::http_server server(io, limits, make(io));
-    const auto wanted = base::parse_endpoint(address);
-    const auto got = wanted ? server.listen(*wanted) : std::nullopt;
-    if (!got) {
+    net::http_server server(io, limits, make_handler(io));
+    const auto requested = base::parse_endpoint(address);
+    const auto bound = requested ? server.listen(*requested) : std::nullopt;
+    if (!bound) {
         std::cerr << "cannot listen on " << address << '\n';
         return 1;
     }
-    std::cout << "listening on " << base::to_string(*got) << std::endl;
+    std::cout << "listening on " << base::to_string(*bound) << std::endl;
     boost::asio::signal_set signals(io, SIGTERM, SIGINT);
     signals.async_wait(
         [&](const boost::system::error_code&, int) { io.stop(); });
@@ -38,11 +39,12 @@
     if (query == std::string::npos) {
         return fallback;
     }
-    const auto at = ("&" + target.substr(query + 1)).find("&" + key + "=");
-    if (at == std::string::npos) {
+    const auto position =
+        ("&" + target.substr(query + 1)).find("&" + key + "=");
+    if (position == std::string::npos) {
         return fallback;
     }
-    const auto value = target.substr(query + 1 + at + key.size() + 1);
+    const auto value = target.substr(query + 1 + position + key.size() + 1);
     return std::strtoll(value.c_str(), nullptr, 10);
 }
 
--- a/testing/support/fake_server.hpp
+++ b/testing/support/fake_server.hpp
@@ -9,18 +9,21 @@
 
 namespace hibiscus::testing {
 
-/// Runs a stand-in until SIGTERM: listens on `address`, prints the line
-/// "listening on IP:PORT", and answers with what `make` returns. The context
-/// is run by one thread, so handlers need no lock. Returns the exit code.
+/// Runs an HTTP server until SIGTERM or SIGINT: listens on `address`, prints
+/// the line "listening on IP:PORT", and serves requests with the handler that
+/// `make_handler` returns. The server has one thread, so handlers need no
+/// locks. Returns the exit code of the program.
 int run_fake_server(
     const std::string& address,
-    const std::function<net::http_handler(boost::asio::io_context&)>& make);
+    const std::function<net::http_handler(boost::asio::io_context&)>&
+        make_handler);
 
-/// Returns the value of `key` in the query of `target`, or `fallback`.
+/// Returns the number under `key` in the query string of `target`, or
+/// `fallback` if the key is missing.
 std::int64_t parse_query_number(const std::string& target,
                                 const std::string& key, std::int64_t fallback);
 
-/// Returns the path of `target` without its query.
+/// Returns `target` without its query string.
 std::string strip_query(const std::string& target);
 
 } // namespace hibiscus::testing
--- a/testing/support/fuzz.hpp
+++ b/testing/support/fuzz.hpp
@@ -12,26 +12,27 @@
 
 namespace hibiscus::testing {
 
-/// One step of a generated run. The model reads the numbers as it needs them.
+/// One command of a generated sequence. The test decides what the numbers mean.
 struct fuzz_command {
-    /// Below 100: selects what is done.
+    /// Selects the operation; below 100.
     int kind = 0;
+    /// Arguments of the operation; below 1000.
     int a = 0;
     int b = 0;
     int c = 0;
 };
 
-/// Shows a command of a counterexample.
+/// Prints a command of a counterexample.
 inline std::ostream& operator<<(std::ostream& out, const fuzz_command& c) {
     return out << '{' << c.kind << ", " << c.a << ", " << c.b << ", " << c.c
                << '}';
 }
 
-/// Returns a generator of lists of commands.
+/// Returns a generator of command sequences.
 inline rc::Gen<std::vector<fuzz_command>> generate_commands() {
     constexpr int full_range = 100;
-    const auto number = [](int below) {
-        return rc::gen::resize(full_range, rc::gen::inRange(0, below));
+    const auto number = [](int limit) {
+        return rc::gen::resize(full_range, rc::gen::inRange(0, limit));
     };
     return rc::gen::container<std::vector<fuzz_command>>(
         rc::gen::build<fuzz_command>(
@@ -41,35 +42,38 @@
             rc::gen::set(&fuzz_command::c, number(1000))));
 }
 
-/// Checks a property of lists of commands with `cases` lists from a fixed
-/// seed. HIBISCUS_FUZZ_SECONDS makes it go on with other seeds for that time,
-/// HIBISCUS_FUZZ_SEED begins with a seed that was printed before. The property
-/// returns what is wrong, or "".
+/// Checks a property with `cases` generated command sequences from a fixed
+/// seed. If HIBISCUS_FUZZ_SECONDS is set, starts at a random seed and repeats
+/// with further seeds for that time. HIBISCUS_FUZZ_SEED sets the first seed, to
+/// reproduce a failure. The property returns a description of the violation, or
+/// "" if it holds.
 template <class Property>
 void fuzz(const std::string& name, int cases, Property property) {
-    constexpr int longest = 1200;
-    const auto* seconds = std::getenv("HIBISCUS_FUZZ_SECONDS"); // NOLINT
-    const auto* first = std::getenv("HIBISCUS_FUZZ_SEED");      // NOLINT
+    constexpr int max_commands = 1200;
+    const auto* seconds_variable =
+        std::getenv("HIBISCUS_FUZZ_SECONDS");                      // NOLINT
+    const auto* seed_variable = std::getenv("HIBISCUS_FUZZ_SEED"); // NOLINT
     std::uint64_t seed = 1;
-    if (first != nullptr) {
-        seed = std::strtoull(first, nullptr, 10);
-    } else if (seconds != nullptr) {
+    if (seed_variable != nullptr) {
+        seed = std::strtoull(seed_variable, nullptr, 10);
+    } else if (seconds_variable != nullptr) {
         seed = std::random_device()();
     }
-    const auto end =
+    const auto deadline =
         std::chrono::steady_clock::now() +
-        std::chrono::seconds(
-            seconds != nullptr ? std::strtol(seconds, nullptr, 10) : 0);
+        std::chrono::seconds(seconds_variable != nullptr
+                                 ? std::strtol(seconds_variable, nullptr, 10)
+                                 : 0);
     do {
         rc::detail::TestParams params;
         params.seed = seed;
         params.maxSuccess = cases;
-        params.maxSize = longest;
+        params.maxSize = max_commands;
         const auto result = rc::detail::checkTestable(
             [&] {
-                const auto wrong = property(*generate_commands());
-                if (!wrong.empty()) {
-                    RC_FAIL(wrong);
+                const auto violation = property(*generate_commands());
+                if (!violation.empty()) {
+                    RC_FAIL(violation);
                 }
             },
             rc::detail::TestMetadata{name, name}, params);
@@ -79,7 +83,7 @@
             return;
         }
         ++seed;
-    } while (std::chrono::steady_clock::now() < end);
+    } while (std::chrono::steady_clock::now() < deadline);
 }
 
 } // namespace hibiscus::testing
--- a/testing/support/memory_store.hpp
+++ b/testing/support/memory_store.hpp
@@ -13,40 +13,42 @@
 
 namespace hibiscus::testing {
 
-/// How the store treats the next appends.
+/// What happens to the appends that follow.
 enum class append_behavior {
-    succeeds,      ///< Carried out and answered.
-    rejected,      ///< Not carried out, and said so.
-    response_lost, ///< Carried out, but nobody hears of it.
-    request_lost,  ///< Neither carried out nor answered.
-    applied_late   ///< Not answered; carried out by run_late(), if it can be.
+    succeeds,      ///< Carried out; the response is delivered.
+    rejected,      ///< Not carried out; the store says so.
+    response_lost, ///< Carried out, but the response is lost.
+    request_lost,  ///< Not carried out, and no response.
+    /// No response. apply_late_appends() carries it out if its condition still
+    /// holds.
+    applied_late
 };
 
-/// A store in the memory of a test. Answers come when the test says so, by
-/// deliver(), in the order of the calls.
+/// An in-memory store for tests. Responses are delivered one at a time by
+/// deliver_next_response(), in the order of the calls.
 class memory_store {
 public:
     memory_store() {
-        client_.append =
-            [this](const store::partition& p,
-                   const std::vector<store::record>& records,
-                   const store::log_offset* at,
-                   std::function<void(store::append_result)> done) {
-                append({p.topic, p.number}, records, at, std::move(done));
-            };
-        client_.read = [this](const store::partition& p, store::log_offset from,
-                              base::millis,
+        client_.append = [this](
+                             const store::partition& p,
+                             const std::vector<store::record>& records,
+                             const store::log_offset* expected_end,
+                             std::function<void(store::append_result)> done) {
+            append({p.topic, p.number}, records, expected_end, std::move(done));
+        };
+        client_.read = [this](const store::partition& p,
+                              store::log_offset offset, base::millis,
                               std::function<void(store::read_result)> done) {
             enqueue_response(
-                [this, key = partition_key{p.topic, p.number}, from,
-                 done = std::move(done)] { done(read(key, from)); });
+                [this, key = partition_key{p.topic, p.number}, offset,
+                 done = std::move(done)] { done(read(key, offset)); });
         };
         client_.read_latest =
             [this](const store::partition& p, const std::string& after,
                    std::function<void(store::latest_result)> done) {
                 enqueue_response([this, key = partition_key{p.topic, p.number},
                                   after, done = std::move(done)] {
-                    done(read_newest_page(key, after));
+                    done(read_latest_page(key, after));
                 });
             };
     }
@@ -56,37 +58,42 @@
 
     const store::log_store& client() const { return client_; }
 
-    /// Sets how appends are treated from now on.
-    void set_append_behavior(append_behavior fate) { append_behavior_ = fate; }
+    /// Sets what happens to appends from now on.
+    void set_append_behavior(append_behavior behavior) {
+        append_behavior_ = behavior;
+    }
 
-    /// Sets whether reads and snapshots are refused.
-    void set_reads_rejected(bool refusing) { reads_rejected_ = refusing; }
+    /// Sets whether read and read_latest calls are rejected.
+    void set_reads_rejected(bool rejected) { reads_rejected_ = rejected; }
 
-    /// Drops the history: only the newest record of each key stays readable.
+    /// Trims all records of partition 0 of a topic. Only the newest record of
+    /// each key stays readable, by read_latest.
     void compact(const std::string& topic) {
         auto& log = logs_[{topic, 0}];
         log.first_offset = log.records.size();
     }
 
-    /// Gives the oldest waiting answer. Returns false if none waits.
+    /// Delivers the oldest pending response. Returns false if there is none.
     bool deliver_next_response() {
         if (pending_responses_.empty()) {
             return false;
         }
-        const auto next = std::move(pending_responses_.front());
+        const auto deliver = std::move(pending_responses_.front());
         pending_responses_.pop_front();
-        next();
+        deliver();
         return true;
     }
 
-    /// Carries out what was held back, as far as its condition still holds.
+    /// Carries out the appends that were delayed by
+    /// append_behavior::applied_late, if their conditions still hold.
     void apply_late_appends() {
-        for (const auto& late : std::exchange(late_appends_, {})) {
-            late();
+        for (const auto& apply : std::exchange(late_appends_, {})) {
+            apply();
         }
     }
 
-    /// Returns all records of a topic, in their order.
+    /// Returns all records ever appended to partition 0 of a topic, in log
+    /// order.
     const std::vector<store::record>& records(const std::string& topic) {
         return logs_[{topic, 0}].records;
     }
@@ -98,15 +105,15 @@
         std::size_t first_offset = 0;
     };
 
-    void enqueue_response(std::function<void()> give) {
-        pending_responses_.push_back(std::move(give));
+    void enqueue_response(std::function<void()> deliver) {
+        pending_responses_.push_back(std::move(deliver));
     }
 
     store::append_result apply_append(const partition_key& key,
                                       const std::vector<store::record>& records,
-                                      const store::log_offset* at) {
+                                      const store::log_offset* expected_end) {
         auto& l = logs_[key];
-        if (at != nullptr && *at != l.records.size()) {
+        if (expected_end != nullptr && *expected_end != l.records.size()) {
             return store::append_conflict{l.records.size()};
         }
         const auto first = l.records.size();
@@ -116,27 +123,28 @@
 
     void append(const partition_key& key,
                 const std::vector<store::record>& records,
-                const store::log_offset* at,
+                const store::log_offset* expected_end,
                 std::function<void(store::append_result)> done) {
         store::append_result result = store::outcome_unknown{};
         switch (append_behavior_) {
         case append_behavior::succeeds:
-            result = apply_append(key, records, at);
+            result = apply_append(key, records, expected_end);
             break;
         case append_behavior::rejected:
             result = store::rejected{503};
             break;
         case append_behavior::response_lost:
-            apply_append(key, records, at);
+            apply_append(key, records, expected_end);
             break;
         case append_behavior::request_lost:
             break;
         case append_behavior::applied_late: {
-            auto held = at == nullptr
-                            ? nullptr
-                            : std::make_shared<store::log_offset>(*at);
-            late_appends_.push_back([this, key, records, held] {
-                apply_append(key, records, held.get());
+            auto expected_end_copy =
+                expected_end == nullptr
+                    ? nullptr
+                    : std::make_shared<store::log_offset>(*expected_end);
+            late_appends_.push_back([this, key, records, expected_end_copy] {
+                apply_append(key, records, expected_end_copy.get());
             });
             break;
         }
@@ -144,23 +152,24 @@
         enqueue_response([result, done = std::move(done)] { done(result); });
     }
 
-    store::read_result read(const partition_key& key, store::log_offset from) {
+    store::read_result read(const partition_key& key,
+                            store::log_offset offset) {
         if (reads_rejected_) {
             return store::rejected{503};
         }
         const auto& l = logs_[key];
-        if (from < l.first_offset) {
+        if (offset < l.first_offset) {
             return store::records_trimmed{};
         }
-        store::fetched_records out;
-        out.end = l.records.size();
-        for (auto n = from; n < l.records.size(); ++n) {
-            out.records.push_back({n, l.records[n]});
+        store::fetched_records result;
+        result.end = l.records.size();
+        for (auto n = offset; n < l.records.size(); ++n) {
+            result.records.push_back({n, l.records[n]});
         }
-        return out;
+        return result;
     }
 
-    store::latest_result read_newest_page(const partition_key& key,
+    store::latest_result read_latest_page(const partition_key& key,
                                           const std::string& after) {
         if (reads_rejected_) {
             return store::rejected{503};
@@ -184,7 +193,7 @@
         return page;
     }
 
-    /// Small, so that tests come by pages.
+    /// Small, so that tests need several pages.
     static constexpr std::size_t records_per_page = 3;
 
     store::log_store client_;
--- a/testing/support/oracle.cpp
+++ b/testing/support/oracle.cpp
@@ -44,28 +44,30 @@
     return longest;
 }
 
-/// Adds a violation for a count that is not what it should be.
+/// Adds a violation if the count under `key` differs from `expected`.
 void check_count(std::vector<violation>& found, violation_kind kind,
-                 const json& seen, const char* key, int wanted) {
-    const int got = seen.value(key, -1);
-    if (got != wanted) {
-        found.push_back({kind, std::string(key) + "=" + std::to_string(got)});
+                 const json& counts, const char* key, int expected) {
+    const int actual = counts.value(key, -1);
+    if (actual != expected) {
+        found.push_back(
+            {kind, std::string(key) + "=" + std::to_string(actual)});
     }
 }
 
-/// Returns the records of all engines, by their names.
-std::map<std::string, json> fetch_engine_records(test_cluster& s) {
+/// Returns the run records of all engines by engine name.
+std::map<std::string, json> fetch_engine_records(test_cluster& cluster) {
     std::map<std::string, json> records;
-    for (const auto& [name, row] : s.registered_instances()) {
+    for (const auto& [name, row] : cluster.registered_instances()) {
         if (row.role == wire::instance_role::engine) {
-            records[name] = json::parse(
-                s.send_request(name, "GET", "/v1/record"), nullptr, false);
+            records[name] =
+                json::parse(cluster.send_request(name, "GET", "/v1/record"),
+                            nullptr, false);
         }
     }
     return records;
 }
 
-/// Returns true if one of the runs of a stream began with `versions`.
+/// Returns true if one of the recorded runs of a stream began with `versions`.
 bool is_recorded_run(const json& runs, const json& versions) {
     return std::any_of(runs.begin(), runs.end(), [&](const json& run) {
         return run.size() >= versions.size() &&
@@ -76,20 +78,21 @@
 } // namespace
 
 std::vector<recorded_response> read_answers(const std::string& file) {
-    std::vector<recorded_response> answers;
+    std::vector<recorded_response> responses;
     for (const auto& row : parse_json_lines(read_file(file))) {
-        answers.push_back({row.value("id", ""), row.value("at", base::millis{}),
-                           row.value("took_ms", base::millis{}),
-                           row.value("result", ""), row.value("why", ""),
-                           row.value("retry_after_ms", base::millis{})});
+        responses.push_back({row.value("id", ""),
+                             row.value("at", base::millis{}),
+                             row.value("took_ms", base::millis{}),
+                             row.value("result", ""), row.value("why", ""),
+                             row.value("retry_after_ms", base::millis{})});
     }
-    return answers;
+    return responses;
 }
 
-base::millis longest_gap(const std::vector<recorded_response>& answers,
+base::millis longest_gap(const std::vector<recorded_response>& responses,
                          const std::string& prefix) {
     std::vector<base::millis> times;
-    for (const auto& a : answers) {
+    for (const auto& a : responses) {
         if (a.id.rfind(prefix, 0) == 0 && a.result == "completed") {
             times.push_back(a.wall_ms);
         }
@@ -97,15 +100,16 @@
     return longest_interval(std::move(times));
 }
 
-base::millis longest_wait(const std::vector<recorded_response>& answers,
+base::millis longest_wait(const std::vector<recorded_response>& responses,
                           const std::string& prefix) {
-    std::map<std::string, base::millis> begun;
+    std::map<std::string, base::millis> started_at;
     base::millis longest = 0;
-    for (const auto& a : answers) {
+    for (const auto& a : responses) {
         if (a.id.rfind(prefix, 0) == 0) {
-            const auto at = begun.emplace(a.id, a.wall_ms - a.took_ms).first;
+            const auto start =
+                started_at.emplace(a.id, a.wall_ms - a.took_ms).first;
             if (a.result == "completed") {
-                longest = std::max(longest, a.wall_ms - at->second);
+                longest = std::max(longest, a.wall_ms - start->second);
             }
         }
     }
@@ -113,18 +117,18 @@
 }
 
 std::vector<std::string>
-find_unresolved_requests(const std::vector<recorded_response>& answers) {
+find_unresolved_requests(const std::vector<recorded_response>& responses) {
     std::map<std::string, std::string> last;
-    for (const auto& a : answers) {
+    for (const auto& a : responses) {
         last[a.id] = a.result;
     }
-    std::vector<std::string> open;
+    std::vector<std::string> unresolved;
     for (const auto& [id, result] : last) {
         if (result != "completed" && result != "not_run") {
-            open.push_back(id);
+            unresolved.push_back(id);
         }
     }
-    return open;
+    return unresolved;
 }
 
 base::millis longest_sample_gap(const std::string& file) {
@@ -135,7 +139,7 @@
     return longest_interval(std::move(times));
 }
 
-std::vector<violation> check_trainer_output(test_cluster& s,
+std::vector<violation> check_trainer_output(test_cluster& cluster,
                                             const std::string& output,
                                             const std::string& file) {
     std::vector<violation> found;
@@ -143,20 +147,21 @@
     if (lines.empty()) {
         return {{violation_kind::client_failed, "trainer: " + output}};
     }
-    const auto& seen = lines.back();
-    check_count(found, violation_kind::sample_missing, seen, "got",
-                seen.value("wanted", 0));
-    check_count(found, violation_kind::sample_repeated, seen, "duplicates", 0);
-    check_count(found, violation_kind::sample_stale, seen, "stale", 0);
-    check_count(found, violation_kind::sample_untrue, seen, "untrue", 0);
-    const auto records = fetch_engine_records(s);
+    const auto& summary = lines.back();
+    check_count(found, violation_kind::sample_missing, summary, "got",
+                summary.value("wanted", 0));
+    check_count(found, violation_kind::sample_repeated, summary, "duplicates",
+                0);
+    check_count(found, violation_kind::sample_stale, summary, "stale", 0);
+    check_count(found, violation_kind::sample_untrue, summary, "untrue", 0);
+    const auto records = fetch_engine_records(cluster);
     for (const auto& sample : parse_json_lines(read_file(file))) {
         const auto engine = records.find(sample.value("engine", ""));
         const auto stream = sample.value("stream", "");
-        // An engine that was killed has taken its record along.
-        const bool known =
+        // The record of an engine that was killed is lost.
+        const bool has_record =
             engine != records.end() && engine->second.is_object();
-        if (known &&
+        if (has_record &&
             !is_recorded_run(engine->second.value(stream, json::array()),
                              sample.value("versions", json::array()))) {
             found.push_back({violation_kind::version_untrue, sample.dump()});
@@ -177,15 +182,16 @@
 }
 
 std::vector<violation>
-check_runs(test_cluster& s, const std::vector<recorded_response>& answers) {
+check_runs(test_cluster& cluster,
+           const std::vector<recorded_response>& responses) {
     std::map<std::string, int> runs;
-    for (const auto& [name, row] : s.registered_instances()) {
+    for (const auto& [name, row] : cluster.registered_instances()) {
         if (row.role != wire::instance_role::service) {
             continue;
         }
-        const auto seen = json::parse(s.send_request(name, "GET", "/v1/runs"),
-                                      nullptr, false);
-        for (const auto& [key, count] : seen.items()) {
+        const auto run_counts = json::parse(
+            cluster.send_request(name, "GET", "/v1/runs"), nullptr, false);
+        for (const auto& [key, count] : run_counts.items()) {
             runs[key] += count.get<int>();
         }
     }
@@ -195,13 +201,13 @@
             found.push_back({violation_kind::run_twice, key});
         }
     }
-    std::set<std::string> refused;
-    std::set<std::string> others;
-    for (const auto& a : answers) {
-        (a.result == "not_run" ? refused : others).insert(a.id);
+    std::set<std::string> refused_ids;
+    std::set<std::string> other_ids;
+    for (const auto& a : responses) {
+        (a.result == "not_run" ? refused_ids : other_ids).insert(a.id);
     }
-    for (const auto& id : refused) {
-        if (others.count(id) == 0 && runs.count(id) != 0) {
+    for (const auto& id : refused_ids) {
+        if (other_ids.count(id) == 0 && runs.count(id) != 0) {
             found.push_back({violation_kind::run_after_refusal, id});
         }
     }
--- a/testing/support/oracle.hpp
+++ b/testing/support/oracle.hpp
@@ -10,18 +10,18 @@
 
 namespace hibiscus::testing {
 
-/// A promise of the system that was broken.
+/// A guarantee of the system that was broken.
 enum class violation_kind {
-    sample_missing,    ///< A step never became whole.
-    sample_repeated,   ///< A slot was delivered twice.
-    sample_stale,      ///< A sample was older than the bound.
-    sample_untrue,     ///< A sample's text is not what its engine wrote.
-    version_untrue,    ///< A sample names versions that did not produce it.
-    answer_lost,       ///< A request never got an answer, or only refusals.
-    answer_wrong,      ///< An answer belongs to another request.
+    sample_missing,    ///< A step did not get all of its samples.
+    sample_repeated,   ///< Two samples came for one sample slot.
+    sample_stale,      ///< A sample exceeded the staleness bound.
+    sample_untrue,     ///< A sample's text is not its engine's output.
+    version_untrue,    ///< A sample reports versions its run did not use.
+    answer_lost,       ///< A request got no response, or only not_run.
+    answer_wrong,      ///< A response belongs to another request.
     run_twice,         ///< A non-idempotent request ran more than once.
-    run_after_refusal, ///< A request ran although all answers said not_run.
-    client_failed      ///< A client did not end as it should.
+    run_after_refusal, ///< A request ran, but all responses said not_run.
+    client_failed      ///< A client program did not exit with 0.
 };
 
 } // namespace hibiscus::testing
@@ -49,9 +49,10 @@
 
 namespace hibiscus::testing {
 
-/// One broken promise with what it is about.
+/// One broken guarantee.
 struct violation {
     violation_kind kind = violation_kind::client_failed;
+    /// The request, sample, count or client concerned.
     std::string subject;
 
     friend std::ostream& operator<<(std::ostream& out, const violation& v) {
@@ -59,52 +60,55 @@
     }
 };
 
-/// One answer that an application got.
+/// One response that an application stand-in recorded.
 struct recorded_response {
     std::string id;
-    /// By the time of day.
+    /// The wall-clock time of the response, in ms.
     base::millis wall_ms = 0;
     base::millis took_ms = 0;
-    /// The name of the outcome; empty if there was no answer.
+    /// The name of the outcome; empty if there was no response.
     std::string result;
     std::string reason;
     base::millis retry_after_ms = 0;
 };
 
-/// Returns the answers in the file that an application keeps.
+/// Returns the responses that an application recorded in `file`.
 std::vector<recorded_response> read_answers(const std::string& file);
 
-/// Returns the longest time between two completed answers to requests whose
-/// ids begin with `prefix`, in ms.
-base::millis longest_gap(const std::vector<recorded_response>& answers,
+/// Returns the longest time between two consecutive completed responses to
+/// requests whose ids begin with `prefix`, in ms.
+base::millis longest_gap(const std::vector<recorded_response>& responses,
                          const std::string& prefix);
 
-/// Returns the longest time from the first try of a request, whose id begins
-/// with `prefix`, to its completion, in ms.
-base::millis longest_wait(const std::vector<recorded_response>& answers,
+/// Returns the longest time from the first attempt of a request whose id
+/// begins with `prefix` to its completion, in ms.
+base::millis longest_wait(const std::vector<recorded_response>& responses,
                           const std::string& prefix);
 
-/// Returns the requests whose outcome stayed open: their last answer is
-/// unknown, or there is none.
+/// Returns the ids of the requests without a known outcome: their last
+/// response is neither completed nor not_run.
 std::vector<std::string>
-find_unresolved_requests(const std::vector<recorded_response>& answers);
+find_unresolved_requests(const std::vector<recorded_response>& responses);
 
-/// Returns the longest time between two samples in the file that a trainer
-/// keeps, in ms.
+/// Returns the longest time between two consecutive samples that a trainer
+/// recorded in `file`, in ms.
 base::millis longest_sample_gap(const std::string& file);
 
-/// Returns what is wrong with what a trainer printed and kept, by the records
-/// of the engines.
-std::vector<violation> check_trainer_output(test_cluster& s,
+/// Checks the output of a trainer and the samples that it recorded in `file`
+/// against the run records of the engines. Returns all violations.
+std::vector<violation> check_trainer_output(test_cluster& cluster,
                                             const std::string& output,
                                             const std::string& file);
 
-/// Returns what is wrong with what an application printed.
+/// Checks the output of an application for answer_lost and answer_wrong.
+/// Returns all violations, or client_failed if there is no output.
 std::vector<violation> check_app_output(const std::string& output);
 
-/// Returns which of the requests in `answers` ran twice or after a refusal,
-/// by the run records of the instances of services that `s` has started.
+/// Checks `responses` against the run records of the service instances of
+/// `cluster`. Returns the requests that ran twice, or ran although every
+/// response said not_run.
 std::vector<violation>
-check_runs(test_cluster& s, const std::vector<recorded_response>& answers);
+check_runs(test_cluster& cluster,
+           const std::vector<recorded_response>& responses);
 
 } // namespace hibiscus::testing
--- a/testing/support/process.cpp
+++ b/testing/support/process.cpp
@@ -31,8 +31,8 @@
     posix_spawn_file_actions_addopen(&actions, 1, output_path_.c_str(),
                                      O_WRONLY | O_CREAT | O_APPEND, 0644);
     posix_spawn_file_actions_adddup2(&actions, 1, 2);
-    // A socket of the test that the program holds too would stay open after the
-    // test has closed it.
+    // Otherwise the child would inherit the test's sockets and keep them open
+    // after the test has closed them.
     posix_spawn_file_actions_addclosefrom_np(&actions, 3);
     const int error =
         posix_spawn(&pid_, argv[0], &actions, nullptr, argv.data(), environ);
@@ -49,14 +49,14 @@
     }
 }
 
-void process::signal(int number) const {
+void process::signal(int signal_number) const {
     if (!exit_code_) {
-        ::kill(pid_, number);
+        ::kill(pid_, signal_number);
     }
 }
 
-std::optional<int> process::wait_for_exit(base::millis limit) {
-    eventually([this] { return !is_running(); }, limit);
+std::optional<int> process::wait_for_exit(base::millis timeout_ms) {
+    eventually([this] { return !is_running(); }, timeout_ms);
     return exit_code_;
 }
 
@@ -80,21 +80,22 @@
 }
 
 std::optional<base::endpoint>
-process::wait_for_listen_address(base::millis limit) const {
-    const std::string words = "listening on ";
+process::wait_for_listen_address(base::millis timeout_ms) const {
+    const std::string prefix = "listening on ";
     std::optional<base::endpoint> found;
     eventually(
         [&] {
             const auto text = output();
-            const auto at = text.find(words);
-            const auto end = text.find('\n', at);
-            if (at != std::string::npos && end != std::string::npos) {
-                const auto from = at + words.size();
-                found = base::parse_endpoint(text.substr(from, end - from));
+            const auto begin = text.find(prefix);
+            const auto end = text.find('\n', begin);
+            if (begin != std::string::npos && end != std::string::npos) {
+                const auto address_begin = begin + prefix.size();
+                found = base::parse_endpoint(
+                    text.substr(address_begin, end - address_begin));
             }
             return found.has_value();
         },
-        limit);
+        timeout_ms);
     return found;
 }
 
@@ -102,14 +103,15 @@
 public:
     std::uint16_t reserve(const std::string& ip) {
         using tcp = boost::asio::ip::tcp;
-        tcp::acceptor bound(io_, tcp::v4());
-        // The bound socket must allow what the program's socket asks for.
-        bound.set_option(boost::asio::socket_base::reuse_address(true));
-        // A program that inherits the port would keep it from the next one.
-        ::fcntl(bound.native_handle(), F_SETFD, FD_CLOEXEC);
-        bound.bind({boost::asio::ip::make_address(ip), 0});
-        const auto port = bound.local_endpoint().port();
-        sockets_.push_back(std::move(bound));
+        tcp::acceptor socket(io_, tcp::v4());
+        // SO_REUSEADDR must be set on both sockets for the program to listen.
+        socket.set_option(boost::asio::socket_base::reuse_address(true));
+        // A child that inherited the socket would keep the port from the next
+        // program.
+        ::fcntl(socket.native_handle(), F_SETFD, FD_CLOEXEC);
+        socket.bind({boost::asio::ip::make_address(ip), 0});
+        const auto port = socket.local_endpoint().port();
+        sockets_.push_back(std::move(socket));
         return port;
     }
 
--- a/testing/support/process.hpp
+++ b/testing/support/process.hpp
@@ -13,39 +13,39 @@
 
 namespace hibiscus::testing {
 
-/// A program that a test has started. It is killed with the object.
+/// A child process. The destructor kills it if it still runs.
 class process {
 public:
-    /// Starts `arguments[0]` with the others as its arguments. Standard output
-    /// and error are appended to the file `output`.
+    /// Starts the program `arguments[0]` with the remaining arguments. Its
+    /// standard output and error are appended to the file `output`. Throws
+    /// std::runtime_error if the program can't be started.
     process(const std::vector<std::string>& arguments, std::string output);
 
-    /// Kills the program if it still runs.
     ~process();
 
     process(const process&) = delete;
     process& operator=(const process&) = delete;
 
-    /// Sends a signal to the program.
-    void signal(int number) const;
+    /// Sends a signal to the process unless it is known to have ended.
+    void signal(int signal_number) const;
 
-    /// Waits up to `limit` ms for the end. Returns the exit code, -1 if a
-    /// signal ended it, or nothing if it still runs.
-    std::optional<int> wait_for_exit(base::millis limit);
+    /// Waits up to `timeout_ms` for the process to end. Returns its exit code,
+    /// -1 if a signal ended it, or nothing if it still runs.
+    std::optional<int> wait_for_exit(base::millis timeout_ms);
 
-    /// Returns true if the program has not ended.
+    /// Returns true if the process has not ended.
     bool is_running();
 
-    /// Returns the process id.
     pid_t pid() const { return pid_; }
 
-    /// Returns all that the program has written.
+    /// Returns the content of the output file, which includes the output of
+    /// earlier processes with the same file.
     std::string output() const;
 
-    /// Waits for the line "listening on IP:PORT" and returns the address, or
-    /// nothing if it does not come within `limit` ms.
+    /// Waits for the line "listening on IP:PORT" in the output and returns the
+    /// address, or nothing if the line is missing after `timeout_ms`.
     std::optional<base::endpoint>
-    wait_for_listen_address(base::millis limit = 20000) const;
+    wait_for_listen_address(base::millis timeout_ms = 20000) const;
 
 private:
     std::string output_path_;
@@ -53,18 +53,19 @@
     std::optional<int> exit_code_;
 };
 
-/// Ports for programs that a test starts. A port that was found free and let go
-/// may be given to somebody else, as a listener's or as the near end of a
-/// connection, before the program listens on it; the program then ends at its
-/// start. A port of this kind stays bound, so that only who names it gets it,
-/// and a program that was restarted gets it again.
+/// Reserves ports for programs that a test starts. If a free port were closed
+/// again after it was found, the system could assign it to another listener or
+/// outgoing connection before the program listens on it, and the program would
+/// fail at startup. A reserved port stays bound, so the system assigns it to
+/// nobody else, and a restarted program can use it again.
 class port_reservations {
 public:
     port_reservations();
     ~port_reservations();
 
-    /// Returns a free port on `ip` and keeps it for the life of this object.
-    /// Programs that set SO_REUSEADDR can listen on it, one at a time.
+    /// Returns a free port on `ip`, which stays reserved until this object is
+    /// destroyed. Programs that set SO_REUSEADDR can listen on it, one at a
+    /// time.
     std::uint16_t reserve(const std::string& ip);
 
 private:
@@ -72,20 +73,20 @@
     std::unique_ptr<bound_sockets> sockets_;
 };
 
-/// Calls `condition` until it returns true or `limit` ms have passed; returns
-/// what it returned last.
+/// Calls `condition` every 20 ms until it returns true or `timeout_ms` has
+/// passed. Returns true if the condition became true.
 template <class F>
-bool eventually(F condition, base::millis limit = 30000);
+bool eventually(F condition, base::millis timeout_ms = 30000);
 
-/// Waits for `ms` milliseconds.
+/// Blocks the calling thread for `ms` milliseconds.
 void pause_for(base::millis ms);
 
 template <class F>
-bool eventually(F condition, base::millis limit) {
+bool eventually(F condition, base::millis timeout_ms) {
     const base::clock clock;
-    const auto until = clock.now() + limit;
+    const auto deadline = clock.now() + timeout_ms;
     while (!condition()) {
-        if (clock.now() >= until) {
+        if (clock.now() >= deadline) {
             return false;
         }
         pause_for(20);
--- a/testing/support/simulated_store.hpp
+++ b/testing/support/simulated_store.hpp
@@ -13,26 +13,28 @@
 
 namespace hibiscus::testing {
 
-/// Runs functions at their time, which only a test moves.
+/// Runs callbacks in virtual time, which advances only in run_for().
 class virtual_scheduler {
 public:
     base::clock clock() const { return base::clock(time_); }
 
     base::millis now() const { return time_->now(); }
 
-    void run_after(base::millis ms, std::function<void()> f) {
-        pending_.emplace(now() + std::max<base::millis>(ms, 0), std::move(f));
+    void run_after(base::millis delay_ms, std::function<void()> callback) {
+        pending_.emplace(now() + std::max<base::millis>(delay_ms, 0),
+                         std::move(callback));
     }
 
-    /// Runs all that is due within `ms`, in the order of time.
-    void run_for(base::millis ms) {
-        const auto end = now() + ms;
+    /// Advances the time by `duration_ms` and runs the callbacks that become
+    /// due, in the order of their times.
+    void run_for(base::millis duration_ms) {
+        const auto end = now() + duration_ms;
         while (!pending_.empty() && pending_.begin()->first <= end) {
             const auto next = pending_.begin();
             time_->advance(next->first - now());
-            const auto f = std::move(next->second);
+            const auto callback = std::move(next->second);
             pending_.erase(next);
-            f();
+            callback();
         }
         time_->advance(end - now());
     }
@@ -43,24 +45,26 @@
     std::multimap<base::millis, std::function<void()>> pending_;
 };
 
-/// How a timed store treats calls; the shares are in percent.
+/// Latency and failure rates of the calls to a simulated_store.
 struct store_faults {
-    /// The time of one way, in ms.
+    /// Bounds of the one-way network latency, in ms.
     base::millis min_latency_ms = 1;
     base::millis max_latency_ms = 5;
-    /// Nothing was done, and the store says so.
+    /// Calls that the store rejects without carrying them out.
     int rejected_percent = 0;
-    /// The call never arrives; of appends, half are carried out seconds later.
+    /// Calls whose request is lost. Half of the lost appends are carried out up
+    /// to max_late_append_ms later.
     int lost_request_percent = 0;
-    /// The call is carried out, and its answer is lost.
+    /// Calls that are carried out but whose response is lost.
     int lost_response_percent = 0;
 };
 
-/// A store of keyed records in virtual time. Calls take time on both ways, and
-/// answers overtake each other; reads wait for records.
+/// A simulated store of keyed records in virtual time. Each request and each
+/// response has its own random latency, so responses may arrive out of order.
+/// Reads can wait for new records.
 class simulated_store {
 public:
-    /// A record, and when it was appended.
+    /// A record and the virtual time at which it was appended.
     struct log_entry {
         store::record record;
         base::millis appended_at = 0;
@@ -72,53 +76,54 @@
     simulated_store(const simulated_store&) = delete;
     simulated_store& operator=(const simulated_store&) = delete;
 
-    void set_faults(const store_faults& weather) { faults_ = weather; }
+    void set_faults(const store_faults& faults) { faults_ = faults; }
 
-    /// Returns the calls of a process, which gets answers while `alive`.
+    /// Returns a client for one simulated process. Responses are dropped once
+    /// `*alive` is false.
     store::log_store client(const std::shared_ptr<const bool>& alive) {
         store::log_store s;
         s.append = [this,
                     alive](const store::partition& p,
                            const std::vector<store::record>& records,
-                           const store::log_offset* at,
+                           const store::log_offset* expected_end,
                            std::function<void(store::append_result)> done) {
-            const bool anywhere = at == nullptr;
-            const store::log_offset end = anywhere ? 0 : *at;
+            const bool unconditional = expected_end == nullptr;
+            const store::log_offset end = unconditional ? 0 : *expected_end;
             simulate_call<store::append_result>(
-                [this, p, records, anywhere, end](const auto& answer) {
-                    answer(append(p, records, anywhere ? nullptr : &end));
+                [this, p, records, unconditional, end](const auto& respond) {
+                    respond(append(p, records, unconditional ? nullptr : &end));
                 },
                 call_timeout_ms, true, deliver_once(alive, std::move(done)));
         };
         s.read = [this, alive](const store::partition& p,
-                               store::log_offset from, base::millis wait,
+                               store::log_offset offset, base::millis wait_ms,
                                std::function<void(store::read_result)> done) {
             simulate_call<store::read_result>(
-                [this, p, from, wait](const auto& answer) {
-                    read(p, from, wait, answer);
+                [this, p, offset, wait_ms](const auto& respond) {
+                    read(p, offset, wait_ms, respond);
                 },
-                call_timeout_ms + wait, false,
+                call_timeout_ms + wait_ms, false,
                 deliver_once(alive, std::move(done)));
         };
         s.read_latest = [this, alive](
                             const store::partition& p, const std::string& after,
                             std::function<void(store::latest_result)> done) {
             simulate_call<store::latest_result>(
-                [this, p, after](const auto& answer) {
-                    answer(read_newest_page(p, after));
+                [this, p, after](const auto& respond) {
+                    respond(read_latest_page(p, after));
                 },
                 call_timeout_ms, false, deliver_once(alive, std::move(done)));
         };
         return s;
     }
 
-    /// Appends at once, as another writer does.
-    store::append_result append(const store::partition& p,
-                                const std::vector<store::record>& records,
-                                const store::log_offset* at = nullptr) {
+    /// Appends immediately, as another writer would.
+    store::append_result
+    append(const store::partition& p, const std::vector<store::record>& records,
+           const store::log_offset* expected_end = nullptr) {
         auto& l = log_of(p);
         const auto first = l.entries.size();
-        if (at != nullptr && *at != first) {
+        if (expected_end != nullptr && *expected_end != first) {
             return store::append_conflict{first};
         }
         for (const auto& r : records) {
@@ -135,7 +140,8 @@
         return store::appended{first, l.entries.size()};
     }
 
-    /// Drops the history before an offset; the newest records stay readable.
+    /// Trims the log before an offset. The newest record of each key stays
+    /// readable by read_latest().
     void trim(const store::partition& p, store::log_offset before) {
         auto& l = log_of(p);
         l.first_offset =
@@ -143,7 +149,7 @@
                      std::min<store::log_offset>(before, l.entries.size()));
     }
 
-    /// Returns all that was ever appended, in its order.
+    /// Returns all records ever appended, trimmed ones included, in log order.
     const std::vector<log_entry>& entries(const store::partition& p) {
         return log_of(p).entries;
     }
@@ -151,12 +157,12 @@
     /// Returns the newest value of each key.
     std::map<std::string, std::string>
     newest_values(const store::partition& p) {
-        std::map<std::string, std::string> out;
+        std::map<std::string, std::string> values;
         auto& l = log_of(p);
         for (const auto& [key, n] : l.newest_offsets) {
-            out[key] = l.entries[n].record.value;
+            values[key] = l.entries[n].record.value;
         }
-        return out;
+        return values;
     }
 
 private:
@@ -171,9 +177,9 @@
         return logs_[{p.topic, p.number}];
     }
 
-    int draw_between(base::millis least, base::millis most) {
+    int draw_between(base::millis min, base::millis max) {
         return std::uniform_int_distribution<int>(
-            static_cast<int>(least), static_cast<int>(most))(random_);
+            static_cast<int>(min), static_cast<int>(max))(random_);
     }
 
     bool draw_chance(int percent) { return draw_between(0, 99) < percent; }
@@ -182,103 +188,105 @@
         return draw_between(faults_.min_latency_ms, faults_.max_latency_ms);
     }
 
-    /// Passes the first answer on, unless its process is gone.
+    /// Returns a callback that passes only its first result to `done`, and none
+    /// once `*alive` is false.
     template <class Result>
     static std::function<void(Result)>
     deliver_once(const std::shared_ptr<const bool>& alive,
                  std::function<void(Result)> done) {
-        auto open = std::make_shared<bool>(true);
-        return [alive, open, done = std::move(done)](Result r) {
-            if (*alive && std::exchange(*open, false)) {
+        auto pending = std::make_shared<bool>(true);
+        return [alive, pending, done = std::move(done)](Result r) {
+            if (*alive && std::exchange(*pending, false)) {
                 done(std::move(r));
             }
         };
     }
 
     template <class Result>
-    void
-    simulate_call(std::function<void(std::function<void(Result)>)> carry_out,
-                  base::millis patience, bool writes,
-                  std::function<void(Result)> done) {
-        time_.run_after(patience, [done] { done(store::outcome_unknown{}); });
-        const auto there = draw_latency();
+    void simulate_call(std::function<void(std::function<void(Result)>)> execute,
+                       base::millis timeout_ms, bool is_append,
+                       std::function<void(Result)> done) {
+        time_.run_after(timeout_ms, [done] { done(store::outcome_unknown{}); });
+        const auto request_latency_ms = draw_latency();
         if (draw_chance(faults_.rejected_percent)) {
-            time_.run_after(there, [done] { done(store::rejected{503}); });
+            time_.run_after(request_latency_ms,
+                            [done] { done(store::rejected{503}); });
             return;
         }
         if (draw_chance(faults_.lost_request_percent)) {
-            if (writes && draw_chance(50)) {
-                time_.run_after(
-                    draw_between(0, max_late_append_ms),
-                    [carry_out] { carry_out([](const Result&) {}); });
+            if (is_append && draw_chance(50)) {
+                time_.run_after(draw_between(0, max_late_append_ms),
+                                [execute] { execute([](const Result&) {}); });
             }
             return;
         }
-        const bool unanswered = draw_chance(faults_.lost_response_percent);
-        time_.run_after(there, [this, carry_out, done, unanswered] {
-            carry_out([this, done, unanswered](Result r) {
-                if (!unanswered) {
-                    time_.run_after(draw_latency(),
-                                    [done, r = std::move(r)] { done(r); });
-                }
+        const bool response_lost = draw_chance(faults_.lost_response_percent);
+        time_.run_after(
+            request_latency_ms, [this, execute, done, response_lost] {
+                execute([this, done, response_lost](Result r) {
+                    if (!response_lost) {
+                        time_.run_after(draw_latency(),
+                                        [done, r = std::move(r)] { done(r); });
+                    }
+                });
             });
-        });
     }
 
-    void read(const store::partition& p, store::log_offset from,
-              base::millis wait,
-              const std::function<void(store::read_result)>& answer) {
+    void read(const store::partition& p, store::log_offset offset,
+              base::millis wait_ms,
+              const std::function<void(store::read_result)>& respond) {
         auto& l = log_of(p);
-        if (wait <= 0 || from != l.entries.size()) {
-            answer(read_from(l, from));
+        if (wait_ms <= 0 || offset != l.entries.size()) {
+            respond(read_from(l, offset));
             return;
         }
-        auto open = std::make_shared<bool>(true);
-        const auto end_wait = [&l, from, answer, open] {
-            if (std::exchange(*open, false)) {
-                answer(read_from(l, from));
+        auto pending = std::make_shared<bool>(true);
+        const auto respond_once = [&l, offset, respond, pending] {
+            if (std::exchange(*pending, false)) {
+                respond(read_from(l, offset));
             }
         };
-        l.waiting_reads.push_back(end_wait);
-        time_.run_after(wait, end_wait);
+        l.waiting_reads.push_back(respond_once);
+        time_.run_after(wait_ms, respond_once);
     }
 
-    static store::read_result read_from(const log& l, store::log_offset from) {
-        if (from < l.first_offset) {
+    static store::read_result read_from(const log& l,
+                                        store::log_offset offset) {
+        if (offset < l.first_offset) {
             return store::records_trimmed{};
         }
-        store::fetched_records out;
-        out.end = l.entries.size();
+        store::fetched_records result;
+        result.end = l.entries.size();
         const auto end =
-            std::min<store::log_offset>(out.end, from + records_per_read);
-        for (auto n = from; n < end; ++n) {
-            out.records.push_back({n, l.entries[n].record});
+            std::min<store::log_offset>(result.end, offset + records_per_read);
+        for (auto n = offset; n < end; ++n) {
+            result.records.push_back({n, l.entries[n].record});
         }
-        return out;
+        return result;
     }
 
-    store::latest_result read_newest_page(const store::partition& p,
+    store::latest_result read_latest_page(const store::partition& p,
                                           const std::string& after) {
         auto& l = log_of(p);
         store::latest_page page;
         page.end = l.entries.size();
-        for (auto row = l.newest_offsets.upper_bound(after);
-             row != l.newest_offsets.end(); ++row) {
+        for (auto newest = l.newest_offsets.upper_bound(after);
+             newest != l.newest_offsets.end(); ++newest) {
             if (page.records.size() == records_per_page) {
                 page.has_more = true;
                 break;
             }
             page.records.push_back(
-                {row->second, l.entries[row->second].record});
+                {newest->second, l.entries[newest->second].record});
         }
         return page;
     }
 
-    /// How long callers wait for an answer, in ms.
+    /// How long callers wait for a response, in ms.
     static constexpr base::millis call_timeout_ms = 1000;
-    /// When a lost append is carried out at the latest, in ms.
+    /// The maximum delay of a lost append that is carried out late, in ms.
     static constexpr base::millis max_late_append_ms = 4000;
-    /// Small, so that tests come by several pages and reads.
+    /// Small, so that tests need several pages and reads.
     static constexpr std::size_t records_per_page = 3;
     static constexpr std::size_t records_per_read = 5;
 
--- a/testing/support/test_cluster.cpp
+++ b/testing/support/test_cluster.cpp
@@ -14,22 +14,22 @@
 
 std::string make_temp_dir() {
     auto pattern = (fs::temp_directory_path() / "hibiscus-XXXXXX").string();
-    const char* made = mkdtemp(pattern.data());
-    return made != nullptr ? made : "";
+    const char* path = mkdtemp(pattern.data());
+    return path != nullptr ? path : "";
 }
 
 constexpr base::millis request_timeout_ms = 5000;
 
 } // namespace
 
-test_cluster::test_cluster(std::string programs)
-    : build_dir_(std::move(programs)), work_dir_(make_temp_dir()),
+test_cluster::test_cluster(std::string build_dir)
+    : build_dir_(std::move(build_dir)), work_dir_(make_temp_dir()),
       client_({{"127.0.0.1", 1}}) {}
 
 test_cluster::~test_cluster() {
     clients_.clear();
     nodes_.clear();
-    fakes_.clear();
+    programs_.clear();
     if (!keep_files_ && std::getenv("HIBISCUS_KEEP") == nullptr) {
         std::error_code ignored;
         fs::remove_all(work_dir_, ignored);
@@ -40,35 +40,35 @@
     return work_dir_ + "/" + file;
 }
 
-base::endpoint test_cluster::start_fake(const std::string& name,
-                                        const std::string& program,
-                                        const std::vector<std::string>& flags) {
+base::endpoint
+test_cluster::start_program(const std::string& name, const std::string& program,
+                            const std::vector<std::string>& flags) {
     std::vector<std::string> arguments{build_dir_ + "/testing/" + program};
     arguments.insert(arguments.end(), flags.begin(), flags.end());
     auto started =
         std::make_unique<process>(arguments, file_path(name + ".out"));
     const auto address = started->wait_for_listen_address();
-    fakes_[name] = std::move(started);
+    programs_[name] = std::move(started);
     addresses_[name] = address.value_or(base::endpoint{});
     return addresses_[name];
 }
 
 void test_cluster::start_platform(const std::vector<std::string>& log_flags) {
-    start_fake("log", "stand_in_log_service", log_flags);
-    start_fake("instances", "stand_in_instance_list", {});
-    start_fake("weights", "stand_in_weight_store", {});
+    start_program("log", "stand_in_log_service", log_flags);
+    start_program("instances", "stand_in_instance_list", {});
+    start_program("weights", "stand_in_weight_store", {});
 }
 
 const base::endpoint&
 test_cluster::platform_address(const std::string& name) const {
-    const auto at = proxy_addresses_.find(name);
-    return at != proxy_addresses_.end() ? at->second : address_of(name);
+    const auto proxy = proxy_addresses_.find(name);
+    return proxy != proxy_addresses_.end() ? proxy->second : address_of(name);
 }
 
 base::endpoint test_cluster::start_proxy(const std::string& name,
                                          const base::endpoint& target) {
-    start_fake("proxy-" + name, "fault_proxy",
-               {"--target=" + base::to_string(target)});
+    start_program("proxy-" + name, "fault_proxy",
+                  {"--target=" + base::to_string(target)});
     const auto state = nlohmann::json::parse(control_proxy(name, "proxy"));
     return base::parse_endpoint(state.value("address", ""))
         .value_or(base::endpoint{});
@@ -81,26 +81,26 @@
         return proxy_addresses_[name];
     }
     auto changed = row->second;
-    auto& used = changed.role == wire::instance_role::entry
-                     ? changed.peer_address
-                     : changed.address;
+    auto& proxied_address = changed.role == wire::instance_role::entry
+                                ? changed.peer_address
+                                : changed.address;
     auto proxy = start_proxy(
-        name, base::parse_endpoint(used).value_or(base::endpoint{}));
-    used = base::to_string(proxy);
+        name, base::parse_endpoint(proxied_address).value_or(base::endpoint{}));
+    proxied_address = base::to_string(proxy);
     register_instance(changed);
     return proxy;
 }
 
 std::string test_cluster::control_proxy(const std::string& name,
-                                        const std::string& what,
+                                        const std::string& command,
                                         const std::string& body) {
-    return send_request("proxy-" + name, what == "proxy" ? "GET" : "POST",
-                        "/v1/" + what, body);
+    return send_request("proxy-" + name, command == "proxy" ? "GET" : "POST",
+                        "/v1/" + command, body);
 }
 
-void test_cluster::register_instance(const wire::instance& row) {
-    registered_instances_[row.id] = row;
-    send_request("instances", "POST", "/v1/instances", wire::to_json(row));
+void test_cluster::register_instance(const wire::instance& instance) {
+    registered_instances_[instance.id] = instance;
+    send_request("instances", "POST", "/v1/instances", wire::to_json(instance));
 }
 
 void test_cluster::deregister_instance(const std::string& id) {
@@ -110,7 +110,7 @@
 
 std::size_t test_cluster::start_node(const std::string& ip,
                                      const std::string& zone,
-                                     const std::string& more) {
+                                     const std::string& extra_settings) {
     node_process node;
     node.name = "n" + std::to_string(nodes_.size() + 1);
     node.zone = zone;
@@ -124,7 +124,7 @@
         << "\n  instances: " << base::to_string(platform_address("instances"))
         << "\n  weights: " << base::to_string(platform_address("weights"))
         << "\n"
-        << more;
+        << extra_settings;
     start_process(node);
     register_instance({node.name, wire::instance_role::entry,
                        wire::instance_state::live, "", base::zone_id(zone),
@@ -153,10 +153,10 @@
     auto name = "engine" + std::to_string(++last_suffix_);
     auto all = flags;
     all.push_back("--weights=" + base::to_string(address_of("weights")));
-    const auto at = start_fake(name, "stand_in_engine", all);
+    const auto address = start_program(name, "stand_in_engine", all);
     register_instance({name, wire::instance_role::engine,
                        wire::instance_state::live, pool, base::zone_id(zone),
-                       base::to_string(at), ""});
+                       base::to_string(address), ""});
     return name;
 }
 
@@ -164,10 +164,10 @@
                                         const std::string& zone,
                                         const std::vector<std::string>& flags) {
     auto name = service + std::to_string(++last_suffix_);
-    const auto at = start_fake(name, "stand_in_plain_service", flags);
+    const auto address = start_program(name, "stand_in_plain_service", flags);
     register_instance({name, wire::instance_role::service,
                        wire::instance_state::live, service, base::zone_id(zone),
-                       base::to_string(at), ""});
+                       base::to_string(address), ""});
     return name;
 }
 
@@ -216,12 +216,12 @@
     return run_ctl({"publish", file}).first;
 }
 
-bool test_cluster::wait_until_ready(base::millis limit) {
+bool test_cluster::wait_until_ready(base::millis timeout_ms) {
     return eventually(
         [this] {
-            std::size_t alive = 0;
+            std::size_t running_count = 0;
             for (auto& n : nodes_) {
-                alive += n.daemon->is_running() ? 1 : 0;
+                running_count += n.daemon->is_running() ? 1 : 0;
             }
             for (auto& n : nodes_) {
                 if (!n.daemon->is_running()) {
@@ -229,17 +229,17 @@
                 }
                 net::http_request request;
                 request.target = "/v1/entries";
-                const auto answer =
+                const auto response =
                     entry_client::decode_response<wire::entries_response>(
                         client_.send_to(n.caller_address, request,
                                         request_timeout_ms));
-                if (!answer || answer->entries.size() != alive) {
+                if (!response || response->entries.size() != running_count) {
                     return false;
                 }
             }
             return true;
         },
-        limit);
+        timeout_ms);
 }
 
 std::string test_cluster::send_request(const std::string& name,
