--- a/testing/integration/api_pages_test.cpp
+++ b/testing/integration/api_pages_test.cpp
@@ -20,34 +20,38 @@
     return text.str();
 }
 
-/// Returns what the first group of `pattern` matches in the sources under
-/// `folder`.
+/// Returns the matches of the first capture group of `pattern` in the .cpp
+/// files under `folder`.
 std::set<std::string> find_matches(const fs::path& folder,
                                    const std::string& pattern) {
     const std::regex expression(pattern);
-    std::set<std::string> found;
+    std::set<std::string> matches;
     for (const auto& file : fs::recursive_directory_iterator(folder)) {
         if (file.path().extension() != ".cpp") {
             continue;
         }
         const auto text = read_file(file.path());
-        for (std::sregex_iterator at(text.begin(), text.end(), expression), end;
-             at != end; ++at) {
-            found.insert((*at)[1].str());
+        for (std::sregex_iterator match(text.begin(), text.end(), expression),
+             end;
+             match != end; ++match) {
+            matches.insert((*match)[1].str());
         }
     }
-    return found;
+    return matches;
 }
 
-/// The pages and sources of this repository.
+/// Checks that the pages in docs/ agree with the sources.
 class api_pages_test : public ::testing::Test {
 protected:
     void expect_row(const std::string& name) const {
-        EXPECT_NE(page_.find("| `" + name + "` |"), std::string::npos) << name;
+        EXPECT_NE(operations_page_.find("| `" + name + "` |"),
+                  std::string::npos)
+            << name;
     }
 
     const fs::path source_ = HIBISCUS_SOURCE_DIR;
-    const std::string page_ = read_file(source_ / "docs/OPERATIONS.md");
+    const std::string operations_page_ =
+        read_file(source_ / "docs/OPERATIONS.md");
 };
 
 TEST_F(api_pages_test, operations_explains_every_reason) {
@@ -81,8 +85,9 @@
         "(?:in|m)\\.(?:name|address|integer|word)\\(\"([a-z_]+)\"");
     ASSERT_GE(keys.size(), 10U);
     for (const auto& key : keys) {
-        EXPECT_TRUE(page_.find("." + key + "` |") != std::string::npos ||
-                    page_.find("| `" + key + "` |") != std::string::npos)
+        EXPECT_TRUE(
+            operations_page_.find("." + key + "` |") != std::string::npos ||
+            operations_page_.find("| `" + key + "` |") != std::string::npos)
             << key;
     }
 }
@@ -93,40 +98,45 @@
         "in\\.(?:name|number|integer|boolean|enumeration)\\(\"([a-z_]+)\"");
     ASSERT_GE(keys.size(), 15U);
     for (const auto& key : keys) {
-        EXPECT_TRUE(page_.find("." + key + "`") != std::string::npos ||
-                    page_.find("| `" + key + "` |") != std::string::npos)
+        EXPECT_TRUE(
+            operations_page_.find("." + key + "`") != std::string::npos ||
+            operations_page_.find("| `" + key + "` |") != std::string::npos)
             << key;
     }
 }
 
-// The page of guarantees names the test of each promise. After a rename the
-// promise would look proved by a test that is not there.
+// Guards against a guarantee that cites a test which has been renamed or
+// removed.
 TEST_F(api_pages_test, guarantees_names_tests_that_exist) {
     std::string sources;
     for (const char* folder : {"packages", "testing"}) {
         for (const auto& file :
              fs::recursive_directory_iterator(source_ / folder)) {
-            const auto name = file.path().filename().string();
-            if (name.find("_test.cpp") != std::string::npos ||
-                name == "oracle.hpp") {
+            const auto file_name = file.path().filename().string();
+            if (file_name.find("_test.cpp") != std::string::npos ||
+                file_name == "oracle.hpp") {
                 sources += read_file(file.path());
             }
         }
     }
-    const auto page = read_file(source_ / "docs/GUARANTEES.md");
-    const std::regex paragraph("\\*Tests\\.\\*(?:[^\n]|\n[^\n])+");
-    const std::regex name("`(?:([a-z_0-9]+)\\.)?([a-z_0-9]+)`");
-    int names = 0;
-    for (std::sregex_iterator at(page.begin(), page.end(), paragraph), end;
-         at != end; ++at) {
-        const auto text = at->str();
-        for (std::sregex_iterator n(text.begin(), text.end(), name); n != end;
-             ++n, ++names) {
-            const auto test = (*n)[2].str();
-            EXPECT_NE(sources.find(test), std::string::npos) << test;
+    const auto guarantees_page = read_file(source_ / "docs/GUARANTEES.md");
+    const std::regex tests_paragraph("\\*Tests\\.\\*(?:[^\n]|\n[^\n])+");
+    const std::regex test_name("`(?:([a-z_0-9]+)\\.)?([a-z_0-9]+)`");
+    int name_count = 0;
+    for (std::sregex_iterator match(guarantees_page.begin(),
+                                    guarantees_page.end(), tests_paragraph),
+         end;
+         match != end; ++match) {
+        const auto text = match->str();
+        for (std::sregex_iterator name_match(text.begin(), text.end(),
+                                             test_name);
+             name_match != end; ++name_match, ++name_count) {
+            const auto cited_test = (*name_match)[2].str();
+            EXPECT_NE(sources.find(cited_test), std::string::npos)
+                << cited_test;
         }
     }
-    EXPECT_GE(names, 30);
+    EXPECT_GE(name_count, 30);
 }
 
 } // namespace
--- a/testing/integration/config_failures_test.cpp
+++ b/testing/integration/config_failures_test.cpp
@@ -17,7 +17,7 @@
 
 using nlohmann::json;
 
-/// Three nodes with a document in force.
+/// A cluster of three nodes with a document in force.
 class config_failures_test : public ::testing::Test {
 protected:
     config_failures_test() : cluster_(build_dir) {}
@@ -32,14 +32,15 @@
         ASSERT_TRUE(cluster_.wait_until_ready());
     }
 
-    /// Returns a valid document that differs by `bound`.
+    /// Returns a valid document whose staleness bound is `bound`.
     static std::string make_document(int bound) {
-        auto d = json::parse(failure_scenario_document);
-        d["trainers"][0]["staleness_bound"] = bound;
-        return d.dump();
+        auto document = json::parse(failure_scenario_document);
+        document["trainers"][0]["staleness_bound"] = bound;
+        return document.dump();
     }
 
-    /// Starts a publish and returns it while it runs.
+    /// Starts `hibiscusctl publish` with the document `text` and returns the
+    /// running process.
     std::unique_ptr<process> start_publish(const std::string& name,
                                            const std::string& text) {
         std::ofstream(cluster_.file_path(name + ".json")) << text;
@@ -51,21 +52,23 @@
             cluster_.file_path(name + ".out"));
     }
 
-    /// Returns the documents that the nodes have in force; one if they agree.
+    /// Returns the distinct documents that are in force on the nodes: one if
+    /// all nodes agree.
     std::set<std::string> active_documents() {
-        std::set<std::string> found;
+        std::set<std::string> documents;
         for (const auto& entry : cluster_.entry_addresses()) {
             net::http_request request;
             request.target = "/v1/status";
-            entry_client c({entry});
-            const auto result = c.send_to(entry, request, 5000);
-            const auto* answer = std::get_if<net::http_response>(&result);
-            const auto status = answer != nullptr
-                                    ? json::parse(answer->body, nullptr, false)
-                                    : json::object();
-            found.insert(status.value("document", ""));
+            entry_client client({entry});
+            const auto result = client.send_to(entry, request, 5000);
+            const auto* response = std::get_if<net::http_response>(&result);
+            const auto status =
+                response != nullptr
+                    ? json::parse(response->body, nullptr, false)
+                    : json::object();
+            documents.insert(status.value("document", ""));
         }
-        return found;
+        return documents;
     }
 
     bool is_active_on_all_nodes(const std::string& text) {
@@ -73,7 +76,7 @@
             [&] { return active_documents() == std::set<std::string>{text}; });
     }
 
-    /// Appends a record to the config stream, past hibiscusctl.
+    /// Appends a record to the config stream without hibiscusctl.
     void append_config_record(const std::string& data) {
         cluster_.send_request("log", "POST", "/v1/streams/config/records",
                               json{{"id", "raw"}, {"data", data}}.dump());
@@ -82,47 +85,47 @@
     test_cluster cluster_;
 };
 
-// Two operators press publish at the same moment. Both build on the revision
-// that they saw; if both were accepted, the first one's change would be gone
-// without anybody noticing.
+// Two operators publish at the same time, both based on the same revision. If
+// both publishes were accepted, the second would silently undo the change of
+// the first.
 TEST_F(config_failures_test, one_of_two_concurrent_publishes_is_accepted) {
     cluster_.send_request("log", "POST", "/v1/fault",
                           R"({"hold_stream": "config"})");
     auto first = start_publish("first", make_document(2));
     auto second = start_publish("second", make_document(3));
-    // Both have read the revision in force by the time they append.
+    // Both have read the revision in force when their appends are held.
     ASSERT_TRUE(eventually([&] {
         const auto counts = json::parse(
             cluster_.send_request("log", "GET", "/v1/counts"), nullptr, false);
         return counts.is_object() && counts.value("held", 0) == 2;
     }));
     cluster_.send_request("log", "POST", "/v1/fault", R"({"hold_stream": ""})");
-    const auto one = first->wait_for_exit(30000);
-    const auto two = second->wait_for_exit(30000);
-    ASSERT_TRUE(one == 0 || two == 0) << first->output() << second->output();
-    EXPECT_EQ(one.value_or(-1) + two.value_or(-1), 1)
+    const auto first_exit = first->wait_for_exit(30000);
+    const auto second_exit = second->wait_for_exit(30000);
+    ASSERT_TRUE(first_exit == 0 || second_exit == 0)
         << first->output() << second->output();
-    EXPECT_TRUE(is_active_on_all_nodes(make_document(one == 0 ? 2 : 3)));
+    EXPECT_EQ(first_exit.value_or(-1) + second_exit.value_or(-1), 1)
+        << first->output() << second->output();
+    EXPECT_TRUE(is_active_on_all_nodes(make_document(first_exit == 0 ? 2 : 3)));
 }
 
-// The log service takes a publish but its answer is lost. The operator must
-// hear what became of it, and sending it again must not count as a second
-// change.
+// The log service stores a publish but its response is lost. hibiscusctl must
+// report the outcome, and its retry must not count as a second change.
 TEST_F(config_failures_test, a_publish_with_lost_responses_is_accepted) {
-    for (const int lost : {1, 3}) {
+    for (const int lost_count : {1, 3}) {
         cluster_.send_request("log", "POST", "/v1/fault",
-                              json{{"lose_answers", lost}}.dump());
-        EXPECT_EQ(cluster_.publish_document(make_document(10 + lost)), 0);
-        EXPECT_TRUE(is_active_on_all_nodes(make_document(10 + lost)));
+                              json{{"lose_answers", lost_count}}.dump());
+        EXPECT_EQ(cluster_.publish_document(make_document(10 + lost_count)), 0);
+        EXPECT_TRUE(is_active_on_all_nodes(make_document(10 + lost_count)));
     }
 }
 
-// Something else than hibiscusctl has written to the stream: bytes that are
-// no record, a record with a document that is wrong, and one by a program of
-// the future. All nodes must pass over them alike and go on.
+// The stream contains records that hibiscusctl did not write: bytes that are
+// not a record, a record with an invalid document, and one with an unknown
+// schema. All nodes must skip the same records.
 TEST_F(config_failures_test, invalid_records_are_ignored) {
-    const auto before = active_documents();
-    ASSERT_EQ(before.size(), 1U);
+    const auto initial_documents = active_documents();
+    ASSERT_EQ(initial_documents.size(), 1U);
     append_config_record("no record");
     append_config_record("{}");
     append_config_record(json{
@@ -141,9 +144,8 @@
     EXPECT_TRUE(is_active_on_all_nodes(make_document(5)));
 }
 
-// An instance is replaced while the log service is down. The new one cannot
-// read the stream; it gets the document from its peers, and takes no requests
-// before it has it.
+// A node starts during a log outage and cannot read the config stream. It must
+// get the document from its peers, and must not accept requests before that.
 TEST_F(config_failures_test,
        a_new_node_gets_the_document_from_peers_in_a_log_outage) {
     ASSERT_EQ(cluster_.publish_document(make_document(7)), 0);
@@ -157,14 +159,14 @@
     EXPECT_TRUE(is_active_on_all_nodes(make_document(8)));
 }
 
-// A publish is accepted while a node is paused. When the node goes on, it must
-// take the new document over, and must not bring the old one back to others.
+// A publish is accepted while a node is paused. The resumed node must adopt the
+// new document and must not make other nodes return to the old one.
 TEST_F(config_failures_test, a_resumed_node_does_not_restore_an_old_document) {
-    auto& paused = *cluster_.nodes()[1].daemon;
-    paused.signal(SIGSTOP);
+    auto& paused_node = *cluster_.nodes()[1].daemon;
+    paused_node.signal(SIGSTOP);
     EXPECT_EQ(cluster_.publish_document(make_document(3)), 0);
     pause_for(2000);
-    paused.signal(SIGCONT);
+    paused_node.signal(SIGCONT);
     EXPECT_TRUE(is_active_on_all_nodes(make_document(3)));
 }
 
--- a/testing/integration/entry_client_test.cpp
+++ b/testing/integration/entry_client_test.cpp
@@ -10,24 +10,25 @@
 namespace hibiscus::testing {
 namespace {
 
-/// An entry that answers every request with the same list of addresses, which
-/// has no time to live. It is gone, open connections too, with the object.
+/// A fake entry instance that answers every request with the current list of
+/// entry addresses and a time to live of zero. The destructor closes the
+/// listening socket and all connections.
 class static_entry {
 public:
-    /// Starts an entry; `names` returns the addresses that it answers.
+    /// Starts the entry; `get_addresses` returns the addresses to respond with.
     explicit static_entry(
-        const std::function<std::vector<base::endpoint>()>& names)
+        const std::function<std::vector<base::endpoint>()>& get_addresses)
         : server_(std::make_unique<net::http_server>(
               io_, net::http_limits{},
-              [names](const net::http_request&,
-                      const net::http_responder& respond) {
-                  wire::entries_response answer;
-                  for (const auto& n : names()) {
-                      answer.entries.push_back({base::node_id("n"),
-                                                base::zone_id("z"),
-                                                base::to_string(n)});
+              [get_addresses](const net::http_request&,
+                              const net::http_responder& respond) {
+                  wire::entries_response response;
+                  for (const auto& address : get_addresses()) {
+                      response.entries.push_back({base::node_id("n"),
+                                                  base::zone_id("z"),
+                                                  base::to_string(address)});
                   }
-                  respond({200, wire::to_json(answer), "application/json"});
+                  respond({200, wire::to_json(response), "application/json"});
               })),
           address_(*server_->listen({"127.0.0.1", 0})),
           thread_([this] { io_.run(); }) {}
@@ -41,7 +42,7 @@
     static_entry(const static_entry&) = delete;
     static_entry& operator=(const static_entry&) = delete;
 
-    /// Returns where the entry answers.
+    /// Returns the address that the entry listens on.
     const base::endpoint& address() const { return address_; }
 
 private:
@@ -51,32 +52,33 @@
     std::thread thread_;
 };
 
-/// Returns how many of `count` requests got an answer.
-int count_responded(entry_client& c, int count) {
-    int got = 0;
+/// Sends `count` requests and returns how many of them got a response.
+int count_responded(entry_client& client, int count) {
+    int responded = 0;
     for (int i = 0; i < count; ++i) {
-        const auto result = c.send({}, 5000);
-        got += std::holds_alternative<net::http_response>(result) ? 1 : 0;
+        const auto result = client.send({}, 5000);
+        responded += std::holds_alternative<net::http_response>(result) ? 1 : 0;
     }
-    return got;
+    return responded;
 }
 
-// All instances that a caller knew at its start have been replaced. When one
-// that it learnt of does not answer, it must ask the others: a trainer that
-// goes back to its first addresses stands still for ever.
+// All entries that a client knew at its start have been replaced, and one that
+// it learned of later does not respond. A client that returned to its seed
+// addresses would never reach an entry again.
 TEST(entry_client_test, finds_entries_after_its_seed_addresses_are_gone) {
-    port_reservations reserved;
-    const base::endpoint gone{"127.0.0.1", reserved.reserve("127.0.0.1")};
-    std::vector<base::endpoint> named{gone};
-    const auto names = [&named] { return named; };
-    static_entry second(names);
-    named.push_back(second.address());
-    auto first = std::make_unique<static_entry>(names);
-    entry_client c({first->address()});
-    EXPECT_GT(count_responded(c, 6), 0);
+    port_reservations reserved_ports;
+    const base::endpoint unreachable_address{
+        "127.0.0.1", reserved_ports.reserve("127.0.0.1")};
+    std::vector<base::endpoint> addresses{unreachable_address};
+    const auto get_addresses = [&addresses] { return addresses; };
+    static_entry second(get_addresses);
+    addresses.push_back(second.address());
+    auto first = std::make_unique<static_entry>(get_addresses);
+    entry_client client({first->address()});
+    EXPECT_GT(count_responded(client, 6), 0);
     first.reset();
-    count_responded(c, 6);
-    EXPECT_GT(count_responded(c, 6), 0);
+    count_responded(client, 6);
+    EXPECT_GT(count_responded(client, 6), 0);
 }
 
 } // namespace
--- a/testing/integration/fault_proxy_test.cpp
+++ b/testing/integration/fault_proxy_test.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// A plain service behind a fault proxy, without any node.
+/// A plain service behind a fault proxy; no nodes run.
 class fault_proxy_test : public ::testing::Test {
 protected:
     fault_proxy_test() : cluster_(build_dir), client_({{"127.0.0.1", 1}}) {
@@ -18,7 +18,8 @@
         proxy_ = cluster_.insert_proxy(service_);
     }
 
-    /// Runs `key` through the proxy and returns whether an answer came.
+    /// Sends a request for `key` through the proxy and returns whether a
+    /// response arrived.
     bool run_through_proxy(const std::string& key,
                            base::millis timeout = 20000) {
         net::http_request request;
@@ -28,7 +29,7 @@
         return std::holds_alternative<net::http_response>(result);
     }
 
-    /// Returns how often the service ran `key`.
+    /// Returns how many times the service ran `key`.
     int run_count(const std::string& key) {
         const auto runs = nlohmann::json::parse(
             cluster_.send_request(service_, "GET", "/v1/runs"));
@@ -69,8 +70,8 @@
     EXPECT_EQ(run_count("a"), 0);
 }
 
-// Something between the two ends loses track of a connection: it stays open
-// and nothing passes. New connections work.
+// A network device loses track of a connection: the connection stays open but
+// carries no more bytes. New connections work.
 TEST_F(fault_proxy_test, frozen_connections_stay_silent_and_new_ones_work) {
     EXPECT_TRUE(run_through_proxy("a"));
     cluster_.control_proxy(service_, "freeze");
--- a/testing/integration/port_reservations_test.cpp
+++ b/testing/integration/port_reservations_test.cpp
@@ -13,16 +13,16 @@
 
 class port_reservations_test : public ::testing::Test {
 protected:
-    /// Returns what comes of an attempt to listen on the port; `named` as a
-    /// program does that was given the port, else as one that must not share
-    /// it, which is how the kernel chooses ports for others.
-    boost::system::error_code try_listen(bool named) {
+    /// Tries to listen on the reserved port and returns the error. With
+    /// `reuse_address`, binds as a program that was assigned the port; without
+    /// it, as the kernel does when it picks a port for another socket.
+    boost::system::error_code try_listen(bool reuse_address) {
         boost::system::error_code error;
-        tcp::acceptor a(io_, tcp::v4());
-        a.set_option(asio::socket_base::reuse_address(named));
-        a.bind(endpoint_, error);
+        tcp::acceptor acceptor(io_, tcp::v4());
+        acceptor.set_option(asio::socket_base::reuse_address(reuse_address));
+        acceptor.bind(endpoint_, error);
         if (!error) {
-            a.listen(asio::socket_base::max_listen_connections, error);
+            acceptor.listen(asio::socket_base::max_listen_connections, error);
         }
         return error;
     }
@@ -33,7 +33,7 @@
                             reserved_ports_.reserve("127.0.0.1")};
 };
 
-// Guards against nodes that find their port taken by another program.
+// Guards against nodes whose port is taken by another program.
 TEST_F(port_reservations_test, a_reserved_port_is_not_given_to_other_sockets) {
     EXPECT_EQ(try_listen(false), asio::error::address_in_use);
 }
@@ -43,11 +43,12 @@
     EXPECT_FALSE(try_listen(true));
 }
 
-// Callers ask for a node until it is there.
+// Callers poll a node until it listens; until then a connection must be
+// refused, not accepted by the reservation.
 TEST_F(port_reservations_test, a_connection_before_the_start_is_refused) {
     boost::system::error_code error;
-    tcp::socket s(io_);
-    s.connect(endpoint_, error);
+    tcp::socket socket(io_);
+    socket.connect(endpoint_, error);
     EXPECT_EQ(error, asio::error::connection_refused);
 }
 
--- a/testing/integration/retention_test.cpp
+++ b/testing/integration/retention_test.cpp
@@ -19,7 +19,7 @@
     "services": [{"name": "ledger", "owner": "campus"}],
     "limits": {"entries_ttl_ms": 500}})";
 
-/// Two nodes before a log that keeps few records of each stream.
+/// Two nodes and a log service that retains only six records of each stream.
 class retention_test : public ::testing::Test {
 protected:
     retention_test() : cluster_(build_dir) {
@@ -29,29 +29,29 @@
         service_ = cluster_.start_service("ledger", "z1");
     }
 
-    /// Returns the revisions that the nodes report.
+    /// Returns the distinct revisions that the nodes report.
     std::set<int> revisions() {
-        std::set<int> result;
+        std::set<int> revisions_in_force;
         const auto status =
             json::parse(cluster_.run_ctl({"status", "--output=json"}).second,
                         nullptr, false);
         if (status.is_object()) {
             for (const auto& node : status["nodes"]) {
-                result.insert(node.value("revision", 0));
+                revisions_in_force.insert(node.value("revision", 0));
             }
         }
-        return result;
+        return revisions_in_force;
     }
 
-    /// Returns the base that the last publish in the log names.
+    /// Returns the base revision of the last publish record in the log.
     wire::log_offset last_publish_base() {
         const auto page = wire::from_json<wire::log_page>(cluster_.send_request(
             "log", "GET", "/v1/streams/config/records?from=0"));
         wire::log_offset base = -1;
         for (const auto& row : std::get<wire::log_page>(page).records) {
             const auto record = wire::from_json<wire::config_record>(row.data);
-            const auto& content = std::get<wire::config_record>(record);
-            base = content.revision == 0 ? content.base : base;
+            const auto& publish = std::get<wire::config_record>(record);
+            base = publish.revision == 0 ? publish.base : base;
         }
         return base;
     }
@@ -60,52 +60,53 @@
     std::string service_;
 };
 
-// Operators publish more often than the log keeps records. The record that
-// carried the document is gone, and both a fresh node and the next publisher
-// need the revision in force.
+// More documents are published than the log retains records, so the record with
+// the document in force is gone. A new node and the next publisher must still
+// find the revision in force.
 TEST_F(retention_test, a_publish_and_a_fresh_node_find_the_revision_in_force) {
-    wire::log_offset before = -1;
+    wire::log_offset previous_base = -1;
     for (int i = 0; i < 9; ++i) {
         ASSERT_TRUE(eventually(
             [&] { return cluster_.publish_document(small_document) == 0; }));
-        EXPECT_GT(last_publish_base(), before);
-        before = last_publish_base();
+        EXPECT_GT(last_publish_base(), previous_base);
+        previous_base = last_publish_base();
     }
     cluster_.start_node("127.0.0.3", "z3");
     ASSERT_TRUE(cluster_.wait_until_ready());
     ASSERT_TRUE(eventually(
         [&] { return cluster_.publish_document(small_document) == 0; }));
-    EXPECT_GT(last_publish_base(), before);
+    EXPECT_GT(last_publish_base(), previous_base);
     EXPECT_TRUE(eventually([&] {
-        const auto seen = revisions();
-        return seen.size() == 1 && *seen.begin() >= 10;
+        const auto reported_revisions = revisions();
+        return reported_revisions.size() == 1 &&
+               *reported_revisions.begin() >= 10;
     }));
 }
 
-// Retention drops the records of a charge that was made, and every entry is
-// replaced. The caller asks again; a fresh home that took the key for free
-// would charge twice.
+// Retention drops the record of a completed charge, and every node is replaced.
+// When the caller repeats the request, a new home node that took the key for
+// unused would charge twice.
 TEST_F(retention_test, a_charge_is_not_repeated_by_new_homes) {
     ASSERT_TRUE(eventually(
         [&] { return cluster_.publish_document(small_document) == 0; }));
     ASSERT_TRUE(cluster_.wait_until_ready());
-    entry_client c(cluster_.entry_addresses());
-    const auto created = base::clock().wall_time();
-    const auto charge = [&](int number) {
+    entry_client client(cluster_.entry_addresses());
+    const auto created_at = base::clock().wall_time();
+    const auto send_charge = [&](int charge_number) {
         const wire::service_request request{
-            base::request_id("charge-" + std::to_string(number)),
+            base::request_id("charge-" + std::to_string(charge_number)),
             base::service_id("ledger"),
             false,
             3000,
-            created,
+            created_at,
             "body"};
-        return c.call<wire::service_response>("POST", "/v1/requests",
-                                              wire::to_json(request), 5000);
+        return client.call<wire::service_response>(
+            "POST", "/v1/requests", wire::to_json(request), 5000);
     };
     for (int i = 0; i < 80; ++i) {
         ASSERT_TRUE(eventually([&] {
-            const auto answer = charge(i);
-            return answer && answer->result != wire::outcome::not_run;
+            const auto response = send_charge(i);
+            return response && response->result != wire::outcome::not_run;
         }));
     }
     for (std::size_t n = 0; n < cluster_.nodes().size(); ++n) {
@@ -114,8 +115,8 @@
     ASSERT_TRUE(cluster_.wait_until_ready());
     for (int i = 0; i < 80; ++i) {
         EXPECT_TRUE(eventually([&] {
-            const auto answer = charge(i);
-            return answer && answer->result != wire::outcome::not_run;
+            const auto response = send_charge(i);
+            return response && response->result != wire::outcome::not_run;
         }));
     }
     const auto runs =
@@ -123,13 +124,14 @@
     for (const auto& [key, count] : runs.items()) {
         EXPECT_EQ(count.get<int>(), 1) << key;
     }
-    const auto said =
+    const auto ctl_result =
         cluster_.run_ctl({"explain", "charge-0",
                           "--logs=" + cluster_.file_path("n1.log") + "," +
                               cluster_.file_path("n2.log")});
-    EXPECT_EQ(said.first, 0) << said.second;
-    EXPECT_NE(said.second.find("claim charge-0 -> ledger"), std::string::npos)
-        << said.second;
+    EXPECT_EQ(ctl_result.first, 0) << ctl_result.second;
+    EXPECT_NE(ctl_result.second.find("claim charge-0 -> ledger"),
+              std::string::npos)
+        << ctl_result.second;
 }
 
 TEST_F(retention_test, diff_shows_what_a_publish_would_change) {
@@ -137,12 +139,12 @@
         [&] { return cluster_.publish_document(small_document) == 0; }));
     std::ofstream(cluster_.file_path("next.json"))
         << R"({"owners": [{"name": "campus", "weight": 2}]})";
-    const auto said =
+    const auto ctl_result =
         cluster_.run_ctl({"diff", cluster_.file_path("next.json")});
-    EXPECT_EQ(said.first, 0);
-    EXPECT_NE(said.second.find("changed /owners/campus/weight: 1 -> 2"),
+    EXPECT_EQ(ctl_result.first, 0);
+    EXPECT_NE(ctl_result.second.find("changed /owners/campus/weight: 1 -> 2"),
               std::string::npos)
-        << said.second;
+        << ctl_result.second;
     EXPECT_EQ(cluster_.run_ctl({"explain", "nothing"}).first, 5);
 }
 
--- a/testing/integration/samples_failures_test.cpp
+++ b/testing/integration/samples_failures_test.cpp
@@ -16,7 +16,8 @@
 constexpr base::millis run_timeout_ms = 150000;
 constexpr base::millis fault_interval_ms = 700;
 
-/// Three nodes, three engines and one trainer in the middle of its steps.
+/// A cluster of three nodes, to which the tests add three engines and a
+/// trainer.
 class samples_failures_test : public ::testing::Test {
 protected:
     samples_failures_test() : cluster_(build_dir) {
@@ -27,12 +28,14 @@
         }
     }
 
-    /// Starts the engines and the trainer; returns once its first step is
-    /// trained.
-    void start_engines_and_trainer(bool checks_fencing,
-                                   const std::vector<std::string>& flags) {
+    /// Starts the engines and the trainer. Returns when the trainer has
+    /// completed its first step.
+    void
+    start_engines_and_trainer(bool checks_fencing,
+                              const std::vector<std::string>& engine_flags) {
         for (const char* zone : {"z1", "z2", "z3"}) {
-            engines_.push_back(cluster_.start_engine("tagging", zone, flags));
+            engines_.push_back(
+                cluster_.start_engine("tagging", zone, engine_flags));
         }
         const json document{
             {"schema", 1},
@@ -59,16 +62,19 @@
         })) << trainer_->output();
     }
 
-    /// Waits for the trainer's end and judges what it says that it saw.
+    /// Waits until the trainer exits and checks its summary: all samples
+    /// received, none duplicate, stale or with a wrong text.
     void expect_correct_samples() {
         ASSERT_EQ(trainer_->wait_for_exit(run_timeout_ms), 0)
             << trainer_->output();
         const auto output = trainer_->output();
-        const auto saw = json::parse(output.substr(output.find("{\"client\"")));
-        EXPECT_EQ(saw.value("got", 0), saw.value("wanted", -1)) << output;
-        EXPECT_EQ(saw.value("duplicates", -1), 0) << output;
-        EXPECT_EQ(saw.value("stale", -1), 0) << output;
-        EXPECT_EQ(saw.value("untrue", -1), 0) << output;
+        const auto summary =
+            json::parse(output.substr(output.find("{\"client\"")));
+        EXPECT_EQ(summary.value("got", 0), summary.value("wanted", -1))
+            << output;
+        EXPECT_EQ(summary.value("duplicates", -1), 0) << output;
+        EXPECT_EQ(summary.value("stale", -1), 0) << output;
+        EXPECT_EQ(summary.value("untrue", -1), 0) << output;
     }
 
     test_cluster cluster_;
@@ -76,9 +82,9 @@
     process* trainer_ = nullptr;
 };
 
-// Each node's process dies in the middle of a step and comes back empty; one of
-// them is the trainer's home. Samples that it held are gone, and the trainer
-// must still get each slot once.
+// Each node is killed in the middle of a step and restarts without state; one
+// of them is the trainer's home node. The samples that it held are lost, and
+// the trainer must still get each sample slot once.
 TEST_F(samples_failures_test, a_step_completes_although_each_home_is_killed) {
     start_engines_and_trainer(true, {});
     for (std::size_t i = 0; i < cluster_.nodes().size(); ++i) {
@@ -90,9 +96,9 @@
     expect_correct_samples();
 }
 
-// Each node's process stands still for longer than the others wait for it, so
-// that two nodes are home of the trainer at once when it wakes with old pulls
-// and old versions. A user would notice samples that come twice or too old.
+// Each node is paused for longer than the member timeout, so two nodes act as
+// the trainer's home node when it resumes with old pulls and versions. The
+// trainer must not receive duplicate or stale samples.
 TEST_F(samples_failures_test,
        a_resumed_home_delivers_no_stale_or_duplicate_sample) {
     start_engines_and_trainer(true, {});
@@ -105,16 +111,17 @@
     expect_correct_samples();
 }
 
-// An engine dies with all that it runs. Its slots must be generated elsewhere,
-// though the platform's list still names it.
+// An engine is killed with its streams. Their sample slots must be generated on
+// other engines, although the instance list still contains the killed one.
 TEST_F(samples_failures_test, the_streams_of_a_killed_engine_run_elsewhere) {
     start_engines_and_trainer(true, {});
     cluster_.fake_process(engines_[0]).signal(SIGKILL);
     expect_correct_samples();
 }
 
-// A part of the swaps fails and the engines do not look at fencing numbers.
-// They serve what they have, and samples must name just that.
+// Some weight swaps fail, and the engines do not check fencing tokens. The
+// engines keep serving the versions that they have, and the samples must name
+// exactly these.
 TEST_F(samples_failures_test,
        samples_name_their_versions_when_swaps_fail_without_fencing) {
     start_engines_and_trainer(false,
--- a/testing/integration/stop_drain_test.cpp
+++ b/testing/integration/stop_drain_test.cpp
@@ -7,7 +7,7 @@
 namespace hibiscus::testing {
 namespace {
 
-/// Three nodes with two engines and two instances of the ledger.
+/// Three nodes, two engines and two instances of the ledger service.
 class stop_drain_test : public traffic_test {
 protected:
     void SetUp() override {
@@ -22,58 +22,58 @@
         publish_and_wait_until_ready();
     }
 
-    /// Stops a node as an operator does; returns its exit code.
-    std::optional<int> stop(std::size_t node) {
-        auto& running = *cluster_.nodes()[node].daemon;
-        running.signal(SIGTERM);
-        return running.wait_for_exit(60000);
+    /// Stops a node with SIGTERM, as operators do, and returns its exit code.
+    std::optional<int> stop(std::size_t node_index) {
+        auto& daemon = *cluster_.nodes()[node_index].daemon;
+        daemon.signal(SIGTERM);
+        return daemon.wait_for_exit(60000);
     }
 
     std::vector<std::string> services_;
 };
 
-// A node is stopped while a caller goes on to use its address, which it read
-// a moment before. Each request gets its answer, until the node listens no
-// more and the caller knows that its request never left.
+// Callers keep sending to the address of a node that is being stopped. Every
+// request must get a response until the node stops listening; after that
+// connections are refused, so callers know that their requests were not sent.
 TEST_F(stop_drain_test, a_caller_at_the_old_address_loses_no_request) {
-    std::atomic<bool> over{false};
+    std::atomic<bool> stopped{false};
     std::atomic<int> lost{0};
-    std::atomic<int> answered{0};
+    std::atomic<int> responded{0};
     constexpr int caller_count = 4;
     std::vector<std::thread> callers;
     callers.reserve(caller_count);
-    for (int c = 0; c < caller_count; ++c) {
-        callers.emplace_back([&, c] {
-            entry_client own({cluster_.nodes()[0].caller_address});
-            for (int i = 0; !over; ++i) {
-                const auto key =
-                    "lookup-" + std::to_string(c) + "-" + std::to_string(i);
-                net::http_request r;
-                r.method = "POST";
-                r.target = "/v1/requests";
-                r.body = wire::to_json(make_request(key, i % 4 != 0));
-                const auto result =
-                    own.send_to(cluster_.nodes()[0].caller_address, r, 20000);
+    for (int caller = 0; caller < caller_count; ++caller) {
+        callers.emplace_back([&, caller] {
+            entry_client client({cluster_.nodes()[0].caller_address});
+            for (int i = 0; !stopped; ++i) {
+                const auto key = "lookup-" + std::to_string(caller) + "-" +
+                                 std::to_string(i);
+                net::http_request request;
+                request.method = "POST";
+                request.target = "/v1/requests";
+                request.body = wire::to_json(make_request(key, i % 4 != 0));
+                const auto result = client.send_to(
+                    cluster_.nodes()[0].caller_address, request, 20000);
                 const auto* failure = std::get_if<net::http_failure>(&result);
                 if (failure == nullptr) {
-                    ++answered;
+                    ++responded;
                 } else if (failure->status == net::delivery_status::lost) {
                     ++lost;
                 }
             }
         });
     }
-    ASSERT_TRUE(eventually([&] { return answered > 20; }));
+    ASSERT_TRUE(eventually([&] { return responded > 20; }));
     EXPECT_EQ(stop(0), 0) << cluster_.nodes()[0].daemon->output();
-    over = true;
-    for (auto& c : callers) {
-        c.join();
+    stopped = true;
+    for (auto& thread : callers) {
+        thread.join();
     }
     EXPECT_EQ(lost, 0);
 }
 
-// Every instance is replaced, one after the other, under the load of a
-// trainer and an application. Nobody but the operators notices.
+// All nodes are stopped and restarted one after the other under the load of a
+// trainer and an application. Clients must not observe any failure.
 TEST_F(stop_drain_test, a_rolling_replacement_cuts_nothing_off) {
     auto& app = cluster_.start_client("app", "kiosk", {"--seconds=25"});
     auto& trainer = cluster_.start_client(
@@ -86,10 +86,10 @@
         ASSERT_TRUE(cluster_.wait_until_ready());
     }
     EXPECT_EQ(app.wait_for_exit(120000), 0);
-    const auto seen = app.output();
-    EXPECT_NE(seen.find("\"lost\":0"), std::string::npos) << seen;
-    EXPECT_NE(seen.find("\"wrong\":0"), std::string::npos) << seen;
-    EXPECT_NE(seen.find("\"unknown\":0"), std::string::npos) << seen;
+    const auto summary = app.output();
+    EXPECT_NE(summary.find("\"lost\":0"), std::string::npos) << summary;
+    EXPECT_NE(summary.find("\"wrong\":0"), std::string::npos) << summary;
+    EXPECT_NE(summary.find("\"unknown\":0"), std::string::npos) << summary;
     EXPECT_EQ(trainer.wait_for_exit(120000), 0) << trainer.output();
     EXPECT_NE(trainer.output().find("\"untrue\":0"), std::string::npos)
         << trainer.output();
--- a/testing/integration/system_planned_stop_test.cpp
+++ b/testing/integration/system_planned_stop_test.cpp
@@ -12,7 +12,8 @@
 
 constexpr base::millis stop_timeout_ms = 60000;
 
-/// A whole system under load whose instances are replaced on purpose.
+/// A complete cluster under load, whose instances are replaced by planned
+/// stops.
 class system_planned_stop_test : public ::testing::Test {
 protected:
     system_planned_stop_test() : scenario_(build_dir) {}
@@ -24,34 +25,36 @@
     }
 
     void TearDown() override {
-        const auto found = scenario_.finish_and_check();
-        EXPECT_TRUE(found.empty()) << to_string(found);
-        const auto kept = scenario_.recorded_responses();
-        // Nothing failed, so no connection may have broken and nothing may be
-        // unknown.
-        const auto cut = std::count_if(
-            kept.begin(), kept.end(), [](const recorded_response& a) {
-                return a.result != "completed" && a.result != "not_run";
-            });
-        EXPECT_EQ(cut, 0);
+        const auto violations = scenario_.finish_and_check();
+        EXPECT_TRUE(violations.empty()) << to_string(violations);
+        const auto responses = scenario_.recorded_responses();
+        // No failure is injected, so no connection may break and no outcome may
+        // be unknown.
+        const auto failed_count =
+            std::count_if(responses.begin(), responses.end(),
+                          [](const recorded_response& response) {
+                              return response.result != "completed" &&
+                                     response.result != "not_run";
+                          });
+        EXPECT_EQ(failed_count, 0);
     }
 
-    /// Starts an instance on `ip` and stops the one at `index`.
+    /// Starts a node on `ip` and stops the node at `index`.
     void replace(std::size_t index, const std::string& ip) {
-        auto& s = scenario_.cluster();
-        s.start_node(ip, s.nodes()[index].zone);
-        ASSERT_TRUE(s.wait_until_ready());
-        s.nodes()[index].daemon->signal(SIGTERM);
-        EXPECT_EQ(s.nodes()[index].daemon->wait_for_exit(stop_timeout_ms), 0);
-        s.deregister_instance(s.nodes()[index].name);
+        auto& cluster = scenario_.cluster();
+        cluster.start_node(ip, cluster.nodes()[index].zone);
+        ASSERT_TRUE(cluster.wait_until_ready());
+        cluster.nodes()[index].daemon->signal(SIGTERM);
+        EXPECT_EQ(cluster.nodes()[index].daemon->wait_for_exit(stop_timeout_ms),
+                  0);
+        cluster.deregister_instance(cluster.nodes()[index].name);
     }
 
     failure_scenario scenario_;
 };
 
-// Operators upgrade: one instance after the other is replaced while kiosks,
-// ledger syncs and a trainer are served. Callers still hold the addresses of
-// instances that stop; nobody may notice.
+// Operators replace all instances one after the other under load. Callers still
+// hold addresses of stopped instances; none of their requests may fail.
 TEST_F(system_planned_stop_test, a_rolling_replacement_cuts_nothing_off) {
     replace(0, "127.0.0.4");
     replace(1, "127.0.0.5");
--- a/testing/integration/traffic_fixture.hpp
+++ b/testing/integration/traffic_fixture.hpp
@@ -10,10 +10,10 @@
 
 namespace hibiscus::testing {
 
-/// The build folder, from the flag --programs.
+/// The build directory, from the flag --programs.
 extern std::string build_dir; // NOLINT
 
-/// The document of the traffic tests; each service is a plain one.
+/// The document of the traffic tests. All services are plain services.
 constexpr const char* traffic_document = R"({"schema": 1,
     "owners": [{"name": "campus"}],
     "pools": [{"name": "tagging", "owner": "campus"}],
@@ -23,13 +23,13 @@
                  {"name": "hedged", "owner": "campus", "hedge": true}],
     "limits": {"entries_ttl_ms": 500, "pull_wait_ms": 1000}})";
 
-/// What tests of traffic share: a system, callers that speak to one entry,
-/// and the service's own record of what ran.
+/// Fixture of the traffic tests: a cluster, a client that sends requests to a
+/// given node, and access to the run counts of services.
 class traffic_test : public ::testing::Test {
 protected:
     traffic_test() : cluster_(build_dir), client_({{"127.0.0.1", 1}}) {}
 
-    /// Starts `count` nodes, each in a zone of its own.
+    /// Starts `count` nodes, each in its own zone.
     void start_nodes(int count) {
         for (int i = 1; i <= count; ++i) {
             const auto number = std::to_string(i);
@@ -37,51 +37,48 @@
         }
     }
 
-    /// Publishes the document and waits until the nodes follow it and know
-    /// `services` instances of the ledger.
+    /// Publishes the document and waits until every node has adopted it and can
+    /// reach an instance of the ledger service.
     void publish_and_wait_until_ready() {
         ASSERT_EQ(cluster_.publish_document(traffic_document), 0);
         ASSERT_TRUE(cluster_.wait_until_ready());
         for (std::size_t i = 0; i < cluster_.nodes().size(); ++i) {
             ASSERT_TRUE(eventually([&] {
-                const auto a = run_request(i, make_request("warm-up", true));
-                return a && a->result == wire::outcome::completed;
+                const auto response =
+                    run_request(i, make_request("warm-up", true));
+                return response && response->result == wire::outcome::completed;
             }));
         }
     }
 
-    /// Returns a request to the ledger.
+    /// Returns a request to the ledger service.
     static wire::service_request make_request(const std::string& id,
                                               bool idempotent,
-                                              base::millis deadline = 3000) {
-        return {base::request_id(id),
-                base::service_id("ledger"),
-                idempotent,
-                deadline,
-                base::clock().wall_time(),
-                "body"};
+                                              base::millis deadline_ms = 3000) {
+        return {base::request_id(id), base::service_id("ledger"), idempotent,
+                deadline_ms,          base::clock().wall_time(),  "body"};
     }
 
-    /// Sends `body` to the node of that place in the list.
+    /// Sends `body` to the node with the index `node`.
     net::http_result send(std::size_t node, const std::string& method,
                           const std::string& target, std::string body,
                           base::millis timeout = 20000) {
-        net::http_request r;
-        r.method = method;
-        r.target = target;
-        r.body = std::move(body);
+        net::http_request request;
+        request.method = method;
+        request.target = target;
+        request.body = std::move(body);
         return client_.send_to(cluster_.nodes()[node].caller_address,
-                               std::move(r), timeout);
+                               std::move(request), timeout);
     }
 
-    /// Runs a request at a node; returns its answer, if one came.
+    /// Sends a request to a node and returns its response, if any.
     std::optional<wire::service_response>
-    run_request(std::size_t node, const wire::service_request& r) {
+    run_request(std::size_t node, const wire::service_request& request) {
         return entry_client::decode_response<wire::service_response>(
-            send(node, "POST", "/v1/requests", wire::to_json(r)));
+            send(node, "POST", "/v1/requests", wire::to_json(request)));
     }
 
-    /// Returns how often the instance `service` ran `key`.
+    /// Returns how many times the instance `service` ran `key`.
     int run_count(const std::string& service, const std::string& key) {
         const auto runs = nlohmann::json::parse(
             cluster_.send_request(service, "GET", "/v1/runs"), nullptr, false);
--- a/testing/integration/traffic_overload_test.cpp
+++ b/testing/integration/traffic_overload_test.cpp
@@ -7,7 +7,7 @@
 namespace hibiscus::testing {
 namespace {
 
-/// One node that takes one non-idempotent request at a time.
+/// One node that accepts one non-idempotent request at a time.
 class traffic_overload_test : public traffic_test {
 protected:
     traffic_overload_test() {
@@ -18,21 +18,22 @@
         publish_and_wait_until_ready();
     }
 
-    /// Returns how often the service ran `key`.
+    /// Returns how many times the service ran `key`.
     int run_count(const std::string& key) {
-        const auto seen = nlohmann::json::parse(
+        const auto runs = nlohmann::json::parse(
             cluster_.send_request(service_, "GET", "/v1/runs"), nullptr, false);
-        return seen.is_object() ? seen.value(key, 0) : 0;
+        return runs.is_object() ? runs.value(key, 0) : 0;
     }
 
-    /// Returns true if the node has written that it sends `key`.
+    /// Returns true if the log of the node contains the claim of `key`.
     bool was_dispatched(const std::string& key) {
         std::istringstream lines(cluster_.nodes()[0].daemon->output());
         std::string line;
         while (std::getline(lines, line)) {
-            const auto l = nlohmann::json::parse(line, nullptr, false);
-            if (l.is_object() && l.value("kind", "") == "claim" &&
-                l.value("subject", "") == key) {
+            const auto log_event = nlohmann::json::parse(line, nullptr, false);
+            if (log_event.is_object() &&
+                log_event.value("kind", "") == "claim" &&
+                log_event.value("subject", "") == key) {
                 return true;
             }
         }
@@ -42,32 +43,36 @@
     std::string service_;
 };
 
-// More charges come than the node takes. One that is over the limit must not
-// wait behind the others until its deadline: its caller hears at once that it
-// was not run, and when to come back.
+// More charges arrive than the node accepts. A charge over the limit must not
+// wait for the others until its deadline: it must be rejected at once as not
+// run, with a retry time.
 TEST_F(traffic_overload_test, a_charge_over_the_limit_is_refused_at_once) {
-    // The service stands still, so that the first charge stays in work.
+    // The service is paused, so the first charge stays in flight.
     cluster_.fake_process(service_).signal(SIGSTOP);
-    std::optional<wire::service_response> first;
+    std::optional<wire::service_response> first_response;
     std::thread caller([&] {
         eventually([&] {
-            first = run_request(0, make_request("charge-1", false, 60000));
-            return first && first->result == wire::outcome::completed;
+            first_response =
+                run_request(0, make_request("charge-1", false, 60000));
+            return first_response &&
+                   first_response->result == wire::outcome::completed;
         });
     });
-    const bool running = eventually([&] { return was_dispatched("charge-1"); });
-    const auto refused = run_request(0, make_request("charge-2", false, 60000));
+    const bool dispatched =
+        eventually([&] { return was_dispatched("charge-1"); });
+    const auto rejection =
+        run_request(0, make_request("charge-2", false, 60000));
     cluster_.fake_process(service_).signal(SIGCONT);
     caller.join();
-    const int ran_meanwhile = run_count("charge-2");
-    ASSERT_TRUE(running);
-    ASSERT_TRUE(refused.has_value());
-    EXPECT_EQ(base::name_of(refused->result), "not_run");
-    EXPECT_EQ(base::name_of(refused->why), "overloaded");
-    EXPECT_GT(refused->retry_after_ms, 0);
-    EXPECT_EQ(ran_meanwhile, 0);
-    ASSERT_TRUE(first.has_value());
-    EXPECT_EQ(base::name_of(first->result), "completed");
+    const int runs_before_retry = run_count("charge-2");
+    ASSERT_TRUE(dispatched);
+    ASSERT_TRUE(rejection.has_value());
+    EXPECT_EQ(base::name_of(rejection->result), "not_run");
+    EXPECT_EQ(base::name_of(rejection->why), "overloaded");
+    EXPECT_GT(rejection->retry_after_ms, 0);
+    EXPECT_EQ(runs_before_retry, 0);
+    ASSERT_TRUE(first_response.has_value());
+    EXPECT_EQ(base::name_of(first_response->result), "completed");
     EXPECT_EQ(
         base::name_of(run_request(0, make_request("charge-2", false, 20000))
                           .value_or(wire::service_response{})
--- a/testing/integration/whole_path_test.cpp
+++ b/testing/integration/whole_path_test.cpp
@@ -7,7 +7,7 @@
 
 namespace hibiscus::testing {
 
-/// The build folder, from the flag --programs.
+/// The build directory, from the flag --programs.
 std::string build_dir = "build"; // NOLINT
 
 namespace {
@@ -22,7 +22,7 @@
     "services": [{"name": "ledger", "owner": "campus"}],
     "limits": {"entries_ttl_ms": 500}})";
 
-/// Three nodes, two engines and one plain service.
+/// A cluster of three nodes, two engines and one plain service.
 class whole_path_test : public ::testing::Test {
 protected:
     whole_path_test() : cluster_(build_dir) {
@@ -36,19 +36,20 @@
         service_ = cluster_.start_service("ledger", "z1");
     }
 
-    /// Returns the first answer to `request` that is `completed`.
+    /// Repeats `request` until it is completed and returns its response.
     std::optional<wire::service_response>
-    run(entry_client& c, const wire::service_request& request) {
-        std::optional<wire::service_response> answer;
+    run_until_completed(entry_client& client,
+                        const wire::service_request& request) {
+        std::optional<wire::service_response> response;
         eventually([&] {
-            answer = c.call<wire::service_response>(
+            response = client.call<wire::service_response>(
                 "POST", "/v1/requests", wire::to_json(request), 5000);
-            return answer && answer->result == wire::outcome::completed;
+            return response && response->result == wire::outcome::completed;
         });
-        return answer;
+        return response;
     }
 
-    /// Returns a request to the ledger.
+    /// Returns a request to the ledger service.
     static wire::service_request make_request(const std::string& id,
                                               bool idempotent) {
         return {base::request_id(id),
@@ -66,17 +67,20 @@
 TEST_F(whole_path_test, a_step_a_lookup_a_sync_and_a_change_are_served) {
     ASSERT_EQ(cluster_.publish_document(small_document), 0);
     ASSERT_TRUE(cluster_.wait_until_ready());
-    entry_client c(cluster_.entry_addresses());
+    entry_client client(cluster_.entry_addresses());
 
-    const auto lookup = run(c, make_request("lookup-1", true));
+    const auto lookup =
+        run_until_completed(client, make_request("lookup-1", true));
     ASSERT_TRUE(lookup.has_value());
     EXPECT_EQ(lookup->body, "ran lookup-1 with body");
 
-    const auto sync = run(c, make_request("sync-1", false));
+    const auto sync =
+        run_until_completed(client, make_request("sync-1", false));
     ASSERT_TRUE(sync.has_value());
-    const auto again = run(c, make_request("sync-1", false));
-    ASSERT_TRUE(again.has_value());
-    EXPECT_EQ(again->body, sync->body);
+    const auto repeated_sync =
+        run_until_completed(client, make_request("sync-1", false));
+    ASSERT_TRUE(repeated_sync.has_value());
+    EXPECT_EQ(repeated_sync->body, sync->body);
     const auto runs =
         json::parse(cluster_.send_request(service_, "GET", "/v1/runs"));
     EXPECT_EQ(runs.value("sync-1", 0), 1) << runs;
@@ -104,8 +108,8 @@
     }));
 }
 
-// An operator writes a setting wrongly. The process must say where, and must
-// not take traffic first.
+// A settings file lacks a required key. The process must report the position
+// and exit before it accepts requests.
 TEST_F(whole_path_test, an_invalid_setting_exits_with_code_2) {
     std::ofstream(cluster_.file_path("bad.yaml")) << "node: n\nzone: z\n";
     process daemon({build_dir + "/packages/node/hibiscusd",
