--- a/testing/stand_ins/app.cpp
+++ b/testing/stand_ins/app.cpp
@@ -1,8 +1,8 @@
-// Stands in for an application: looks things up and syncs a ledger, several
-// callers at a time. A sync is retried with the same id, as its caller cannot
-// run it twice. It prints what it saw as one line of JSON; with --answers it
-// keeps the answer to each try in a file, for the oracle. It does not model
-// think time that depends on answers.
+// Stand-in for an application: several concurrent callers send lookups to a
+// service and syncs to a ledger. A sync is retried with the same id, which the
+// system runs at most once. Prints a summary as one line of JSON; with
+// --answers it also writes the response to each attempt to a file that the
+// oracle reads. Does not model think time that depends on responses.
 
 #include "support/entry_client.hpp"
 #include "support/process.hpp"
@@ -18,15 +18,16 @@
 #include <thread>
 
 ABSL_FLAG(std::string, name, "app", "name of the application");
-ABSL_FLAG(std::string, entries, "", "addresses to begin with");
+ABSL_FLAG(std::string, entries, "",
+          "addresses of the first entries to call, separated by commas");
 ABSL_FLAG(std::string, service, "ledger", "service to call");
-ABSL_FLAG(int, callers, 4, "callers at a time");
-ABSL_FLAG(int, seconds, 10, "how long to call");
-ABSL_FLAG(int, pause_ms, 20, "time between two calls of a caller");
-ABSL_FLAG(int, sync_every, 5, "one call of so many is a sync; 0 for none");
-ABSL_FLAG(std::string, answers, "", "file that keeps each answer, if set");
-ABSL_FLAG(int, most_tries, 20, "tries of a request before it is given up");
-ABSL_FLAG(int, deadline_ms, 3000, "deadline of a call");
+ABSL_FLAG(int, callers, 4, "number of concurrent callers");
+ABSL_FLAG(int, seconds, 10, "duration of the calls in seconds");
+ABSL_FLAG(int, pause_ms, 20, "pause between two calls of a caller in ms");
+ABSL_FLAG(int, sync_every, 5, "every n-th call is a sync; 0 sends no syncs");
+ABSL_FLAG(std::string, answers, "", "file to write each response to, if set");
+ABSL_FLAG(int, most_tries, 20, "maximum number of attempts of a request");
+ABSL_FLAG(int, deadline_ms, 3000, "deadline of a call in ms");
 
 namespace hibiscus::testing {
 namespace {
@@ -34,10 +35,10 @@
 using nlohmann::json;
 
 constexpr base::millis timeout_margin_ms = 1000;
-/// A sync whose outcome is lost stays so; asking on would tell nothing.
+/// The outcome of a lost sync stays unknown, so further retries learn nothing.
 constexpr int max_unknown_responses = 20;
 
-/// What the callers saw.
+/// Counts and latencies of the calls of one or more callers.
 struct run_stats {
     int lookups = 0;
     int syncs = 0;
@@ -47,57 +48,60 @@
     int refused = 0;
     std::vector<base::millis> lookup_ms;
     std::vector<base::millis> sync_ms;
-    /// Ids of syncs that were refused to the end: none of them may have run.
+    /// Ids of the syncs whose last response was a rejection. None of them may
+    /// have run.
     std::vector<std::string> not_run;
 };
 
-/// The file that keeps each answer. Safe for several threads.
+/// Writes the response to each attempt to a file. Thread-safe.
 class response_log {
 public:
-    /// Opens the file `path`, or keeps nothing if it is empty.
+    /// Opens the file `path`; writes nothing if `path` is empty.
     explicit response_log(const std::string& path) {
         if (!path.empty()) {
-            out_.open(path);
+            file_.open(path);
         }
     }
 
-    /// Adds the answer to one try.
+    /// Appends a line of JSON about one attempt. `response` is empty if none
+    /// arrived.
     void append(const wire::service_request& request,
-                const std::optional<wire::service_response>& answer,
-                base::millis at, base::millis took) {
+                const std::optional<wire::service_response>& response,
+                base::millis received_at, base::millis latency) {
         const std::lock_guard<std::mutex> lock(mutex_);
-        out_ << json{{"id", request.id.str()},
-                     {"at", at},
-                     {"took_ms", took},
-                     {"result", answer ? base::name_of(answer->result) : ""},
-                     {"why", answer ? base::name_of(answer->why) : ""},
-                     {"retry_after_ms", answer ? answer->retry_after_ms : 0}}
-             << std::endl;
+        file_
+            << json{{"id", request.id.str()},
+                    {"at", received_at},
+                    {"took_ms", latency},
+                    {"result", response ? base::name_of(response->result) : ""},
+                    {"why", response ? base::name_of(response->why) : ""},
+                    {"retry_after_ms", response ? response->retry_after_ms : 0}}
+            << std::endl;
     }
 
 private:
     std::mutex mutex_;
-    std::ofstream out_;
+    std::ofstream file_;
 };
 
-/// One caller with a tally of its own.
+/// One caller and its statistics.
 class app_worker {
 public:
-    app_worker(entry_client& shared, response_log& answers, int number)
-        : client_(shared), response_log_(answers), number_(number) {}
+    app_worker(entry_client& client, response_log& responses, int number)
+        : client_(client), response_log_(responses), number_(number) {}
 
-    /// Calls until the time is over.
+    /// Sends requests until --seconds have passed.
     void run() {
-        const auto until =
+        const auto end =
             client_.clock().now() + 1000 * absl::GetFlag(FLAGS_seconds);
-        for (int i = 0; client_.clock().now() < until; ++i) {
-            const int every = absl::GetFlag(FLAGS_sync_every);
-            send_request(i, every > 0 && i % every == 0);
+        for (int i = 0; client_.clock().now() < end; ++i) {
+            const int sync_every = absl::GetFlag(FLAGS_sync_every);
+            send_request(i, sync_every > 0 && i % sync_every == 0);
             pause_for(absl::GetFlag(FLAGS_pause_ms));
         }
     }
 
-    /// Returns what it saw.
+    /// Returns the statistics of this caller.
     const run_stats& stats() const { return stats_; }
 
 private:
@@ -112,61 +116,62 @@
         request.deadline_ms = absl::GetFlag(FLAGS_deadline_ms);
         request.created_ms = client_.clock().wall_time();
         request.body = "body of " + request.id.str();
-        const auto begin = client_.clock().now();
-        const auto answer = retry_until_completed(request);
-        auto& times = sync ? stats_.sync_ms : stats_.lookup_ms;
-        times.push_back(client_.clock().now() - begin);
+        const auto started_at = client_.clock().now();
+        const auto response = retry_until_completed(request);
+        auto& latencies = sync ? stats_.sync_ms : stats_.lookup_ms;
+        latencies.push_back(client_.clock().now() - started_at);
         ++(sync ? stats_.syncs : stats_.lookups);
-        record_outcome(request, answer);
+        record_outcome(request, response);
     }
 
     std::optional<wire::service_response>
     retry_until_completed(const wire::service_request& request) {
-        std::optional<wire::service_response> last;
-        int unknown = 0;
+        std::optional<wire::service_response> last_response;
+        int unknown_count = 0;
         for (int i = 0; i < absl::GetFlag(FLAGS_most_tries); ++i) {
-            const auto begin = client_.clock().now();
-            auto answer = client_.call<wire::service_response>(
+            const auto started_at = client_.clock().now();
+            auto response = client_.call<wire::service_response>(
                 "POST", "/v1/requests", wire::to_json(request),
                 request.deadline_ms + timeout_margin_ms);
-            response_log_.append(request, answer, client_.clock().wall_time(),
-                                 client_.clock().now() - begin);
-            if (answer && answer->result == wire::outcome::completed) {
-                return answer;
+            response_log_.append(request, response, client_.clock().wall_time(),
+                                 client_.clock().now() - started_at);
+            if (response && response->result == wire::outcome::completed) {
+                return response;
             }
-            stats_.refused += answer ? 1 : 0;
-            if (answer) {
-                last = answer;
-                unknown += answer->result == wire::outcome::unknown ? 1 : 0;
+            stats_.refused += response ? 1 : 0;
+            if (response) {
+                last_response = response;
+                unknown_count +=
+                    response->result == wire::outcome::unknown ? 1 : 0;
             }
-            if (!request.idempotent && unknown >= max_unknown_responses) {
-                return last;
+            if (!request.idempotent && unknown_count >= max_unknown_responses) {
+                return last_response;
             }
-            pause_for(answer
-                          ? std::max<base::millis>(answer->retry_after_ms, 20)
+            pause_for(response
+                          ? std::max<base::millis>(response->retry_after_ms, 20)
                           : 50);
         }
-        return last;
+        return last_response;
     }
 
     void record_outcome(const wire::service_request& request,
-                        const std::optional<wire::service_response>& answer) {
-        if (!answer) {
+                        const std::optional<wire::service_response>& response) {
+        if (!response) {
             ++stats_.lost;
             return;
         }
-        if (answer->result == wire::outcome::unknown) {
+        if (response->result == wire::outcome::unknown) {
             ++stats_.unknown;
             return;
         }
-        if (answer->result == wire::outcome::not_run) {
+        if (response->result == wire::outcome::not_run) {
             ++stats_.lost;
             stats_.not_run.push_back(request.id.str());
             return;
         }
         const auto expected =
             "ran " + request.id.str() + " with " + request.body;
-        if (answer->id != request.id || answer->body != expected) {
+        if (response->id != request.id || response->body != expected) {
             ++stats_.mismatched_responses;
         }
     }
@@ -182,40 +187,40 @@
         return 0;
     }
     std::sort(values.begin(), values.end());
-    const auto at = static_cast<std::size_t>(
+    const auto index = static_cast<std::size_t>(
         share * static_cast<double>(values.size() - 1));
-    return values[at];
+    return values[index];
 }
 
 void print(const std::vector<std::unique_ptr<app_worker>>& callers) {
-    run_stats all;
-    for (const auto& c : callers) {
-        const auto& t = c->stats();
-        all.lookups += t.lookups;
-        all.syncs += t.syncs;
-        all.lost += t.lost;
-        all.mismatched_responses += t.mismatched_responses;
-        all.unknown += t.unknown;
-        all.refused += t.refused;
-        all.lookup_ms.insert(all.lookup_ms.end(), t.lookup_ms.begin(),
-                             t.lookup_ms.end());
-        all.sync_ms.insert(all.sync_ms.end(), t.sync_ms.begin(),
-                           t.sync_ms.end());
-        all.not_run.insert(all.not_run.end(), t.not_run.begin(),
-                           t.not_run.end());
+    run_stats total;
+    for (const auto& caller : callers) {
+        const auto& stats = caller->stats();
+        total.lookups += stats.lookups;
+        total.syncs += stats.syncs;
+        total.lost += stats.lost;
+        total.mismatched_responses += stats.mismatched_responses;
+        total.unknown += stats.unknown;
+        total.refused += stats.refused;
+        total.lookup_ms.insert(total.lookup_ms.end(), stats.lookup_ms.begin(),
+                               stats.lookup_ms.end());
+        total.sync_ms.insert(total.sync_ms.end(), stats.sync_ms.begin(),
+                             stats.sync_ms.end());
+        total.not_run.insert(total.not_run.end(), stats.not_run.begin(),
+                             stats.not_run.end());
     }
     std::cout << json{{"client", "app"},
-                      {"lookups", all.lookups},
-                      {"syncs", all.syncs},
-                      {"lost", all.lost},
-                      {"wrong", all.mismatched_responses},
-                      {"unknown", all.unknown},
-                      {"refused", all.refused},
-                      {"lookup_p50_ms", percentile(all.lookup_ms, 0.5)},
-                      {"lookup_p99_ms", percentile(all.lookup_ms, 0.99)},
-                      {"sync_p50_ms", percentile(all.sync_ms, 0.5)},
-                      {"sync_p99_ms", percentile(all.sync_ms, 0.99)},
-                      {"not_run", all.not_run}}
+                      {"lookups", total.lookups},
+                      {"syncs", total.syncs},
+                      {"lost", total.lost},
+                      {"wrong", total.mismatched_responses},
+                      {"unknown", total.unknown},
+                      {"refused", total.refused},
+                      {"lookup_p50_ms", percentile(total.lookup_ms, 0.5)},
+                      {"lookup_p99_ms", percentile(total.lookup_ms, 0.99)},
+                      {"sync_p50_ms", percentile(total.sync_ms, 0.5)},
+                      {"sync_p99_ms", percentile(total.sync_ms, 0.99)},
+                      {"not_run", total.not_run}}
               << std::endl;
 }
 
@@ -225,17 +230,18 @@
 int main(int argc, char** argv) {
     absl::ParseCommandLine(argc, argv);
     using hibiscus::testing::app_worker;
-    hibiscus::testing::entry_client shared(
+    hibiscus::testing::entry_client client(
         hibiscus::testing::parse_addresses(absl::GetFlag(FLAGS_entries)));
-    hibiscus::testing::response_log answers(absl::GetFlag(FLAGS_answers));
+    hibiscus::testing::response_log responses(absl::GetFlag(FLAGS_answers));
     std::vector<std::unique_ptr<app_worker>> callers;
     std::vector<std::thread> threads;
     for (int i = 0; i < absl::GetFlag(FLAGS_callers); ++i) {
-        callers.push_back(std::make_unique<app_worker>(shared, answers, i));
-        threads.emplace_back([c = callers.back().get()] { c->run(); });
+        callers.push_back(std::make_unique<app_worker>(client, responses, i));
+        threads.emplace_back(
+            [caller = callers.back().get()] { caller->run(); });
     }
-    for (auto& t : threads) {
-        t.join();
+    for (auto& thread : threads) {
+        thread.join();
     }
     hibiscus::testing::print(callers);
     return 0;
--- a/testing/stand_ins/cache_event_log.hpp
+++ b/testing/stand_ins/cache_event_log.hpp
@@ -14,7 +14,7 @@
 
 namespace hibiscus::testing {
 
-/// What happened to a prefix in an engine's cache.
+/// A change of a prefix in the cache of an engine.
 enum class cache_event_kind { stored, evicted };
 
 } // namespace hibiscus::testing
@@ -33,22 +33,22 @@
 
 namespace hibiscus::testing {
 
-/// The events of an engine's prefix cache, which are published late. Some are
-/// lost; their sequence numbers are missing, so that a reader sees the gap.
-/// Repeated and reordered events are not modelled.
+/// Publishes the events of an engine's prefix cache with a delay. Lost events
+/// leave gaps in the sequence numbers, which readers can detect. Does not model
+/// repeated or reordered events.
 class cache_event_log {
 public:
-    /// Constructs a list whose events are seen after `lag_ms`, except for
-    /// `gap_percent` of them.
+    /// Constructs a log that publishes events `lag_ms` after they occur and
+    /// loses `gap_percent` of them.
     cache_event_log(base::millis lag_ms, int gap_percent)
         : lag_ms_(lag_ms), gap_percent_(gap_percent) {}
 
-    /// Adds an event.
+    /// Records an event, unless it is one of the lost ones.
     void append(base::millis now, cache_event_kind kind,
                 const std::string& prefix) {
         ++last_sequence_;
-        std::uniform_int_distribution<int> percent(0, 99);
-        if (percent(random_) >= gap_percent_) {
+        std::uniform_int_distribution<int> percent_distribution(0, 99);
+        if (percent_distribution(random_) >= gap_percent_) {
             events_.push_back({last_sequence_, now, kind, prefix});
         }
         if (events_.size() > max_events) {
@@ -56,16 +56,17 @@
         }
     }
 
-    /// Returns the events from the sequence number `from` on that can be seen.
+    /// Returns the published events with a sequence number of at least `from`,
+    /// and the sequence number to continue from.
     nlohmann::json page(std::int64_t from, base::millis now) const {
         auto events = nlohmann::json::array();
         auto next = from;
-        for (const auto& row : events_) {
-            if (row.sequence >= from && row.at + lag_ms_ <= now) {
-                events.push_back({{"sequence", row.sequence},
-                                  {"kind", base::name_of(row.kind)},
-                                  {"prefix", row.prefix}});
-                next = std::max(next, row.sequence + 1);
+        for (const auto& event : events_) {
+            if (event.sequence >= from && event.at + lag_ms_ <= now) {
+                events.push_back({{"sequence", event.sequence},
+                                  {"kind", base::name_of(event.kind)},
+                                  {"prefix", event.prefix}});
+                next = std::max(next, event.sequence + 1);
             }
         }
         return {{"next", next}, {"events", std::move(events)}};
--- a/testing/stand_ins/engine.cpp
+++ b/testing/stand_ins/engine.cpp
@@ -1,15 +1,16 @@
-// Stands in for a model engine: continuous batching over a number of slots by
-// priority, a prefix cache of limited size with events that come late and
-// with gaps, streams that are resumed and cancelled by id and moved by export
-// and import of their KV cache, a role, load reports that lag, orders to serve
-// a version (with or without a check of the fencing number), and swaps that
-// may fail. Lengths of samples come from the stream's seed; a few run far
-// longer than the rest. For the oracle it records which versions produced each
-// stream. Faults are switched by POST /v1/fault: "freeze" (it answers nothing
-// and makes no progress), "crash" (it forgets everything but the record, as a
+// Stand-in for a model engine. It models continuous batching over a number of
+// slots by priority; a prefix cache of limited size whose events are delayed
+// and partly lost; streams that are resumed and cancelled by id and moved by
+// export and import of their KV cache; a role; load reports with a lag; orders
+// to serve a version, with or without a check of the fencing token; and weight
+// swaps that may fail. The length of a sample is drawn from the seed of its
+// stream; a few samples are several times longer than the rest. For the oracle
+// it records which versions produced each stream.
+// POST /v1/fault injects faults: "freeze" (sends no responses and makes no
+// progress), "crash" (drops all state except the record for the oracle, as a
 // restart would), "fail_swaps" (the share of swaps that fail).
-// It does not model memory of the KV cache per token, the time that a batch's
-// size costs, the bytes of an exported cache, or adapters.
+// Does not model the memory of the KV cache per token, the influence of the
+// batch size on the time of a step, the size of an exported cache, or adapters.
 
 #include "hibiscus/net/http_client.hpp"
 #include "hibiscus/wire/codec.hpp"
@@ -29,20 +30,24 @@
 #include <random>
 #include <utility>
 
-ABSL_FLAG(std::string, address, "127.0.0.1:0", "where to listen");
+ABSL_FLAG(std::string, address, "127.0.0.1:0", "address to listen on");
 ABSL_FLAG(std::string, weights, "", "address of the weight store");
-ABSL_FLAG(int, slots, 8, "streams that run at a time");
-ABSL_FLAG(int, chunk_ms, 20, "time for one chunk of each running stream");
-ABSL_FLAG(int, prefill_chunks, 4, "chunk times that a new prefix costs");
-ABSL_FLAG(int, cached_prefixes, 16, "prefixes kept in the cache");
-ABSL_FLAG(bool, check_fencing, true, "refuse orders with an old number");
-ABSL_FLAG(double, fail_swaps, 0.0, "share of the swaps that fail");
+ABSL_FLAG(int, slots, 8, "number of streams that run concurrently");
+ABSL_FLAG(int, chunk_ms, 20,
+          "time in ms to generate one chunk of each running stream");
+ABSL_FLAG(int, prefill_chunks, 4,
+          "prefill time of an uncached prefix, in chunks");
+ABSL_FLAG(int, cached_prefixes, 16,
+          "capacity of the prefix cache, in prefixes");
+ABSL_FLAG(bool, check_fencing, true, "reject orders with an old fencing token");
+ABSL_FLAG(double, fail_swaps, 0.0, "share of the weight swaps that fail");
 ABSL_FLAG(int, straggler_percent, 3,
-          "share of samples that run 5 times longer");
-ABSL_FLAG(int, load_lag_ms, 100, "how old the reported load is");
-ABSL_FLAG(int, event_lag_ms, 200, "how late cache events are published");
-ABSL_FLAG(int, event_gap_percent, 5, "share of cache events that are lost");
-ABSL_FLAG(int, kv_move_ms, 50, "how long an export or import takes");
+          "percentage of samples that are 5 times longer");
+ABSL_FLAG(int, load_lag_ms, 100, "age of the reported load in ms");
+ABSL_FLAG(int, event_lag_ms, 200, "delay of published cache events in ms");
+ABSL_FLAG(int, event_gap_percent, 5,
+          "percentage of cache events that are lost");
+ABSL_FLAG(int, kv_move_ms, 50, "duration of an export or import in ms");
 ABSL_FLAG(std::string, role, "mixed", "mixed, prefill or decode");
 
 namespace hibiscus::testing {
@@ -50,28 +55,29 @@
 
 using nlohmann::json;
 
-/// One stream from its start until it is stopped.
+/// A stream between its start and its stop.
 struct stream_row {
     wire::stream_start start;
     std::vector<wire::chunk> chunks;
     std::uint32_t length = 0;
     int prefill_chunks_left = 0;
-    /// True if its KV cache came with it.
+    /// True if the stream was imported with its KV cache, so it needs no
+    /// prefill.
     bool has_kv_cache = false;
     std::uint64_t arrival = 0;
     wire::stream_state state = wire::stream_state::queued;
 };
 
-/// A poll that waits for news.
+/// A poll that has not been responded to yet.
 struct waiting_poll {
     wire::engine_poll poll;
     base::millis deadline = 0;
     net::http_responder respond;
 };
 
-/// The load at a time.
-struct load_sample {
-    base::millis at = 0;
+/// The number of streams at one time.
+struct load_snapshot {
+    base::millis time = 0;
     int running = 0;
     int queued = 0;
 };
@@ -79,7 +85,7 @@
 constexpr std::uint32_t straggler_factor = 5;
 constexpr base::millis weights_timeout_ms = 20000;
 
-/// The whole engine. Runs in one thread.
+/// Implements the engine. Single-threaded.
 class fake_engine {
 public:
     explicit fake_engine(boost::asio::io_context& io)
@@ -148,25 +154,29 @@
                 streams_.clear();
                 served_versions_.clear();
                 prefix_cache_.clear();
-                highest_order_number_ = {0, 0};
+                highest_fencing_token_ = {0, 0};
             }
         }
         respond(ok_response("{}"));
         if (!frozen_) {
-            for (auto& [held, answer] : std::exchange(held_requests_, {})) {
-                handle_engine_call(strip_query(held.target), held, answer);
+            for (auto& [held, held_respond] :
+                 std::exchange(held_requests_, {})) {
+                handle_engine_call(strip_query(held.target), held,
+                                   held_respond);
             }
         }
     }
 
-    /// Returns true if the number of an order is too old; remembers it if not.
+    /// Returns true if the fencing token of an order is lower than the highest
+    /// one so far, which it otherwise updates. Always returns false if
+    /// --check_fencing is off.
     bool
-    is_stale_order_number(const std::pair<std::int64_t, std::int64_t>& number) {
+    is_stale_fencing_token(const std::pair<std::int64_t, std::int64_t>& token) {
         if (absl::GetFlag(FLAGS_check_fencing) &&
-            number < highest_order_number_) {
+            token < highest_fencing_token_) {
             return true;
         }
-        highest_order_number_ = std::max(highest_order_number_, number);
+        highest_fencing_token_ = std::max(highest_fencing_token_, token);
         return false;
     }
 
@@ -177,46 +187,46 @@
             respond({400, "{}", "application/json"});
             return;
         }
-        const auto number = body.value("number", json::object());
-        const bool old =
-            is_stale_order_number({number.value("epoch", std::int64_t{0}),
-                                   number.value("sequence", std::int64_t{0})});
-        if (!old) {
+        const auto token = body.value("number", json::object());
+        const bool is_stale =
+            is_stale_fencing_token({token.value("epoch", std::int64_t{0}),
+                                    token.value("sequence", std::int64_t{0})});
+        if (!is_stale) {
             role_ = body.value("role", role_);
         }
-        respond_to_order(respond, old ? wire::order_result::fenced
-                                      : wire::order_result::done);
+        respond_to_order(respond, is_stale ? wire::order_result::fenced
+                                           : wire::order_result::done);
     }
 
     void export_stream(const net::http_request& request,
                        const net::http_responder& respond) {
         const auto body = json::parse(request.body, nullptr, false);
-        const auto at = body.is_object()
-                            ? streams_.find(base::stream_id(
-                                  body.value("stream", std::string())))
-                            : streams_.end();
-        if (at == streams_.end() || at->second.prefill_chunks_left > 0) {
+        const auto entry = body.is_object()
+                               ? streams_.find(base::stream_id(
+                                     body.value("stream", std::string())))
+                               : streams_.end();
+        if (entry == streams_.end() || entry->second.prefill_chunks_left > 0) {
             respond({404, "{}", "application/json"});
             return;
         }
         json chunks = json::array();
-        for (const auto& c : at->second.chunks) {
+        for (const auto& c : entry->second.chunks) {
             chunks.push_back(
                 {{"seq", c.seq}, {"version", c.version}, {"text", c.text}});
         }
-        const json moved{{"start", wire::to_json(at->second.start)},
-                         {"length", at->second.length},
-                         {"chunks", std::move(chunks)}};
-        streams_.erase(at);
-        respond_after_transfer(respond, moved.dump());
+        const json exported{{"start", wire::to_json(entry->second.start)},
+                            {"length", entry->second.length},
+                            {"chunks", std::move(chunks)}};
+        streams_.erase(entry);
+        respond_after_transfer(respond, exported.dump());
     }
 
     void import_stream(const net::http_request& request,
                        const net::http_responder& respond) {
         const auto body = json::parse(request.body, nullptr, false);
-        const auto read = wire::from_json<wire::stream_start>(
+        const auto parsed = wire::from_json<wire::stream_start>(
             body.is_object() ? body.value("start", std::string()) : "");
-        const auto* message = base::value_if(read);
+        const auto* message = base::value_if(parsed);
         if (message == nullptr) {
             respond({400, "{}", "application/json"});
             return;
@@ -226,12 +236,12 @@
         row.length = body.value("length", std::uint32_t{1});
         row.has_kv_cache = true;
         row.arrival = ++started_count_;
-        auto& lines = chunk_versions_[message->stream.str()].emplace_back();
+        auto& versions = chunk_versions_[message->stream.str()].emplace_back();
         for (const auto& c : body.value("chunks", json::array())) {
             row.chunks.push_back({c.value("seq", std::uint32_t{0}),
                                   c.value("version", std::int64_t{0}),
                                   c.value("text", std::string())});
-            lines.push_back(row.chunks.back().version);
+            versions.push_back(row.chunks.back().version);
         }
         streams_.insert_or_assign(message->stream, std::move(row));
         respond_after_transfer(respond, "{}");
@@ -255,8 +265,8 @@
 
     void start(const net::http_request& request,
                const net::http_responder& respond) {
-        auto read = wire::from_json<wire::stream_start>(request.body);
-        auto* message = base::value_if(read);
+        auto parsed = wire::from_json<wire::stream_start>(request.body);
+        auto* message = base::value_if(parsed);
         if (message == nullptr) {
             respond({400, "{}", "application/json"});
             return;
@@ -265,9 +275,9 @@
             respond({503, "{}", "application/json"});
             return;
         }
-        const auto known = streams_.find(message->stream);
-        if (known != streams_.end()) {
-            auto& priority = known->second.start.priority;
+        const auto existing = streams_.find(message->stream);
+        if (existing != streams_.end()) {
+            auto& priority = existing->second.start.priority;
             priority = std::max(priority, message->priority);
         } else {
             ++started_count_;
@@ -295,8 +305,8 @@
 
     void stop(const net::http_request& request,
               const net::http_responder& respond) {
-        const auto read = wire::from_json<wire::cancel_streams>(request.body);
-        if (const auto* message = base::value_if(read)) {
+        const auto parsed = wire::from_json<wire::cancel_streams>(request.body);
+        if (const auto* message = base::value_if(parsed)) {
             for (const auto& stream : message->streams) {
                 streams_.erase(stream);
             }
@@ -306,100 +316,104 @@
 
     void poll(const net::http_request& request,
               const net::http_responder& respond) {
-        auto read = wire::from_json<wire::engine_poll>(request.body);
-        auto* message = base::value_if(read);
+        auto parsed = wire::from_json<wire::engine_poll>(request.body);
+        auto* message = base::value_if(parsed);
         if (message == nullptr) {
             respond({400, "{}", "application/json"});
             return;
         }
-        const auto until = clock_.now() + message->wait_ms;
-        polls_.push_back({std::move(*message), until, respond});
+        const auto deadline = clock_.now() + message->wait_ms;
+        polls_.push_back({std::move(*message), deadline, respond});
         respond_to_polls();
     }
 
     void respond_to_polls() {
         for (std::size_t i = 0; i < polls_.size();) {
-            auto news = make_poll_response(polls_[i].poll);
-            if (news.streams.empty() && clock_.now() < polls_[i].deadline) {
+            auto response = make_poll_response(polls_[i].poll);
+            if (response.streams.empty() && clock_.now() < polls_[i].deadline) {
                 ++i;
                 continue;
             }
-            polls_[i].respond(ok_response(wire::to_json(news)));
+            polls_[i].respond(ok_response(wire::to_json(response)));
             polls_.erase(polls_.begin() + static_cast<std::ptrdiff_t>(i));
         }
     }
 
     wire::engine_poll_response
     make_poll_response(const wire::engine_poll& poll) const {
-        wire::engine_poll_response news;
+        wire::engine_poll_response response;
         for (const auto& cursor : poll.streams) {
-            const auto at = streams_.find(cursor.stream);
-            if (at == streams_.end()) {
-                news.streams.push_back(
+            const auto entry = streams_.find(cursor.stream);
+            if (entry == streams_.end()) {
+                response.streams.push_back(
                     {cursor.stream, wire::stream_state::missing, {}});
                 continue;
             }
-            const auto& row = at->second;
+            const auto& row = entry->second;
             if (row.chunks.size() > cursor.from ||
                 row.state == wire::stream_state::done) {
-                const auto from =
+                const auto first_chunk =
                     std::min<std::size_t>(cursor.from, row.chunks.size());
-                news.streams.push_back(
+                response.streams.push_back(
                     {cursor.stream,
                      row.state,
-                     {row.chunks.begin() + static_cast<std::ptrdiff_t>(from),
+                     {row.chunks.begin() +
+                          static_cast<std::ptrdiff_t>(first_chunk),
                       row.chunks.end()}});
             }
         }
-        news.slots = absl::GetFlag(FLAGS_slots);
-        news.running =
+        response.slots = absl::GetFlag(FLAGS_slots);
+        response.running =
             load_history_.empty() ? 0 : load_history_.front().running;
-        news.queued = load_history_.empty() ? 0 : load_history_.front().queued;
+        response.queued =
+            load_history_.empty() ? 0 : load_history_.front().queued;
         for (const auto& [trainer, version] : served_versions_) {
-            news.serving.push_back({trainer, version});
+            response.serving.push_back({trainer, version});
         }
-        return news;
+        return response;
     }
 
     void order(const net::http_request& request,
                const net::http_responder& respond) {
-        const auto read = wire::from_json<wire::version_order>(request.body);
-        const auto* message = base::value_if(read);
+        const auto parsed = wire::from_json<wire::version_order>(request.body);
+        const auto* message = base::value_if(parsed);
         if (message == nullptr) {
             respond({400, "{}", "application/json"});
             return;
         }
-        const auto number =
+        const auto token =
             std::make_pair(message->number.epoch, message->number.sequence);
-        if (is_stale_order_number(number)) {
+        if (is_stale_fencing_token(token)) {
             respond_to_order(respond, wire::order_result::fenced);
             return;
         }
         net::http_request fetch;
         fetch.target = "/v1/weights/" + message->trainer.str() + "/" +
                        std::to_string(message->version);
-        http_.send(weight_store_.value_or(base::endpoint{}), std::move(fetch),
-                   weights_timeout_ms, net::connection_reuse::allowed,
-                   [this, m = *message, respond](const net::http_result& r) {
-                       on_weights_fetched(m, r, respond);
-                   });
+        http_.send(
+            weight_store_.value_or(base::endpoint{}), std::move(fetch),
+            weights_timeout_ms, net::connection_reuse::allowed,
+            [this, m = *message, respond](const net::http_result& result) {
+                on_weights_fetched(m, result, respond);
+            });
     }
 
     void on_weights_fetched(const wire::version_order& order,
                             const net::http_result& result,
                             const net::http_responder& respond) {
         const auto* response = std::get_if<net::http_response>(&result);
-        std::uniform_real_distribution<double> share(0.0, 1.0);
-        // A later home may have ordered while the weights were on their way.
-        const auto number =
+        std::uniform_real_distribution<double> uniform(0.0, 1.0);
+        // A newer home node may have sent an order while the weights were
+        // loading.
+        const auto token =
             std::make_pair(order.number.epoch, order.number.sequence);
         if (absl::GetFlag(FLAGS_check_fencing) &&
-            number < highest_order_number_) {
+            token < highest_fencing_token_) {
             respond_to_order(respond, wire::order_result::fenced);
             return;
         }
         const bool failed = response == nullptr || response->status != 200 ||
-                            share(random_) < fail_swaps_;
+                            uniform(random_) < fail_swaps_;
         if (!failed) {
             served_versions_[order.trainer] = order.version;
         }
@@ -408,8 +422,8 @@
     }
 
     static void respond_to_order(const net::http_responder& respond,
-                                 wire::order_result verdict) {
-        respond(ok_response(wire::to_json(wire::order_response{verdict})));
+                                 wire::order_result result) {
+        respond(ok_response(wire::to_json(wire::order_response{result})));
     }
 
     void tick() {
@@ -433,29 +447,33 @@
         respond_to_polls();
     }
 
-    /// Keeps the loads that are younger than the lag, and one before.
+    /// Keeps the snapshots that are younger than the lag, and the newest older
+    /// one, which is the reported load.
     void record_load() {
-        load_sample now;
-        now.at = clock_.now();
+        load_snapshot snapshot;
+        snapshot.time = clock_.now();
         for (const auto& [id, row] : streams_) {
-            now.running += row.state == wire::stream_state::running ? 1 : 0;
-            now.queued += row.state == wire::stream_state::queued ? 1 : 0;
-        }
-        load_history_.push_back(now);
-        const auto limit = now.at - absl::GetFlag(FLAGS_load_lag_ms);
-        while (load_history_.size() > 1 && load_history_[1].at <= limit) {
+            snapshot.running +=
+                row.state == wire::stream_state::running ? 1 : 0;
+            snapshot.queued += row.state == wire::stream_state::queued ? 1 : 0;
+        }
+        load_history_.push_back(snapshot);
+        const auto visible_until =
+            snapshot.time - absl::GetFlag(FLAGS_load_lag_ms);
+        while (load_history_.size() > 1 &&
+               load_history_[1].time <= visible_until) {
             load_history_.pop_front();
         }
     }
 
     void admit_queued_streams() {
         std::vector<stream_row*> queued;
-        int running = 0;
+        int running_count = 0;
         for (auto& [id, row] : streams_) {
             if (row.state == wire::stream_state::queued) {
                 queued.push_back(&row);
             }
-            running += row.state == wire::stream_state::running ? 1 : 0;
+            running_count += row.state == wire::stream_state::running ? 1 : 0;
         }
         std::sort(queued.begin(), queued.end(),
                   [](const stream_row* a, const stream_row* b) {
@@ -463,7 +481,7 @@
                              std::make_pair(-b->start.priority, b->arrival);
                   });
         for (auto* row : queued) {
-            if (running++ >= absl::GetFlag(FLAGS_slots)) {
+            if (running_count++ >= absl::GetFlag(FLAGS_slots)) {
                 return;
             }
             row->state = wire::stream_state::running;
@@ -474,13 +492,14 @@
         }
     }
 
-    /// Returns true if the prompt's prefix is in the cache, and puts it there.
+    /// Returns true if the prefix of the prompt is cached, and marks it as the
+    /// most recently used one.
     bool touch_prefix(const std::string& prompt) {
-        const auto at =
+        const auto entry =
             std::find(prefix_cache_.begin(), prefix_cache_.end(), prompt);
-        const bool hit = at != prefix_cache_.end();
+        const bool hit = entry != prefix_cache_.end();
         if (hit) {
-            prefix_cache_.erase(at);
+            prefix_cache_.erase(entry);
         }
         prefix_cache_.push_front(prompt);
         if (!hit) {
@@ -502,17 +521,17 @@
             return;
         }
         if (role_ == "prefill") {
-            return; // It waits for its export.
+            return; // Generation continues after the export.
         }
-        const auto version = served_versions_.find(row.start.trainer);
-        const auto number =
-            version == served_versions_.end() ? 0 : version->second;
+        const auto served = served_versions_.find(row.start.trainer);
+        const auto version =
+            served == served_versions_.end() ? 0 : served->second;
         const auto seq = static_cast<std::uint32_t>(row.chunks.size());
-        row.chunks.push_back({seq, number,
+        row.chunks.push_back({seq, version,
                               row.start.stream.str() + ":" +
                                   std::to_string(seq) + ":v" +
-                                  std::to_string(number) + ";"});
-        chunk_versions_[row.start.stream.str()].back().push_back(number);
+                                  std::to_string(version) + ";"});
+        chunk_versions_[row.start.stream.str()].back().push_back(version);
         if (row.chunks.size() >= row.length) {
             row.state = wire::stream_state::done;
             ++finished_count_;
@@ -526,13 +545,12 @@
     std::optional<base::endpoint> weight_store_;
     std::map<base::stream_id, stream_row> streams_;
     std::map<base::trainer_id, wire::weight_version> served_versions_;
-    std::pair<std::int64_t, std::int64_t> highest_order_number_{0, 0};
+    std::pair<std::int64_t, std::int64_t> highest_fencing_token_{0, 0};
     std::list<std::string> prefix_cache_;
     cache_event_log cache_events_{absl::GetFlag(FLAGS_event_lag_ms),
                                   absl::GetFlag(FLAGS_event_gap_percent)};
-    std::deque<load_sample> load_history_;
-    /// For each stream and each time that it was started, the version of each
-    /// chunk.
+    std::deque<load_snapshot> load_history_;
+    /// For each stream and each of its starts, the version of each chunk.
     std::map<std::string, std::vector<std::vector<wire::weight_version>>>
         chunk_versions_;
     std::string role_ = absl::GetFlag(FLAGS_role);
@@ -555,10 +573,10 @@
     using hibiscus::testing::fake_engine;
     return hibiscus::testing::run_fake_server(
         absl::GetFlag(FLAGS_address), [](boost::asio::io_context& io) {
-            auto e = std::make_shared<fake_engine>(io);
-            return [e](const hibiscus::net::http_request& request,
-                       const hibiscus::net::http_responder& respond) {
-                e->handle(request, respond);
+            auto engine = std::make_shared<fake_engine>(io);
+            return [engine](const hibiscus::net::http_request& request,
+                            const hibiscus::net::http_responder& respond) {
+                engine->handle(request, respond);
             };
         });
 }
--- a/testing/stand_ins/instance_list.cpp
+++ b/testing/stand_ins/instance_list.cpp
@@ -1,7 +1,7 @@
-// Stands in for the platform's list of instances, which lags behind the
-// truth. Faults are switched by POST /v1/fault: "outage" (reads are refused
-// with 503) and "lag_ms". It does not model health checks: a row stays until
-// it is changed. Nor does it model lists that differ between readers.
+// Stand-in for the platform's instance list, whose content is published with a
+// lag. POST /v1/fault injects faults: "outage" (reads fail with 503) and
+// "lag_ms". Does not model health checks (an entry stays until it is changed)
+// or lists that differ between readers.
 
 #include "hibiscus/wire/codec.hpp"
 #include "support/fake_server.hpp"
@@ -13,13 +13,13 @@
 #include <deque>
 #include <map>
 
-ABSL_FLAG(std::string, address, "127.0.0.1:0", "where to listen");
-ABSL_FLAG(int, lag_ms, 200, "how long a change takes to be seen");
+ABSL_FLAG(std::string, address, "127.0.0.1:0", "address to listen on");
+ABSL_FLAG(int, lag_ms, 200, "delay in ms until a change is visible to readers");
 
 namespace hibiscus::testing {
 namespace {
 
-/// The whole service. Runs in one thread.
+/// Implements the service. Single-threaded.
 class fake_instance_list {
 public:
     /// Handles one request.
@@ -38,7 +38,7 @@
         } else if (request.method == "POST" && path == "/v1/instances") {
             update_instance(request, respond);
         } else if (request.method == "DELETE" && path.rfind(prefix, 0) == 0) {
-            rows_.erase(path.substr(prefix.size()));
+            instances_.erase(path.substr(prefix.size()));
             record_snapshot();
             respond({200, "{}", "application/json"});
         } else if (request.method == "GET" && path == "/v1/instances") {
@@ -53,38 +53,38 @@
 private:
     void update_instance(const net::http_request& request,
                          const net::http_responder& respond) {
-        const auto read = wire::from_json<wire::instance>(request.body);
-        const auto* row = base::value_if(read);
-        if (row == nullptr) {
+        const auto parsed = wire::from_json<wire::instance>(request.body);
+        const auto* entry = base::value_if(parsed);
+        if (entry == nullptr) {
             respond({400, "{}", "application/json"});
             return;
         }
-        rows_[row->id] = *row;
+        instances_[entry->id] = *entry;
         record_snapshot();
         respond({200, "{}", "application/json"});
     }
 
     void record_snapshot() {
-        wire::instance_list page;
-        for (const auto& [id, row] : rows_) {
-            page.instances.push_back(row);
+        wire::instance_list list;
+        for (const auto& [id, entry] : instances_) {
+            list.instances.push_back(entry);
         }
-        snapshots_.emplace_back(clock_.now(), wire::to_json(page));
+        snapshots_.emplace_back(clock_.now(), wire::to_json(list));
     }
 
     std::string visible_page() {
-        const auto limit = clock_.now() - lag_ms_;
-        while (snapshots_.size() > 1 && snapshots_[1].first <= limit) {
+        const auto visible_until = clock_.now() - lag_ms_;
+        while (snapshots_.size() > 1 && snapshots_[1].first <= visible_until) {
             snapshots_.pop_front();
         }
-        if (snapshots_.empty() || snapshots_.front().first > limit) {
+        if (snapshots_.empty() || snapshots_.front().first > visible_until) {
             return wire::to_json(wire::instance_list{});
         }
         return snapshots_.front().second;
     }
 
     base::clock clock_;
-    std::map<std::string, wire::instance> rows_;
+    std::map<std::string, wire::instance> instances_;
     std::deque<std::pair<base::millis, std::string>> snapshots_;
     bool outage_ = false;
     base::millis lag_ms_ = absl::GetFlag(FLAGS_lag_ms);
--- a/testing/stand_ins/log_service.cpp
+++ b/testing/stand_ins/log_service.cpp
@@ -1,12 +1,13 @@
-// Stands in for the platform's append-only log service: streams with offsets,
-// a limit of appends a second, and retention by count. Faults are switched by
-// POST /v1/fault: "outage" (all is refused with 503), "hold_stream" (its
-// appends wait until another is named), "slow_ms" (each append and read takes
-// so much longer), "lose_answers" (so many appends take effect and are not
-// answered), "drop_appends" (so many neither take effect nor are answered),
-// "rate" (appends a second) and "retention" (records a stream). It keeps all in
-// memory and does not model replication, several writers' clocks, disk, or
-// records that are read out of order.
+// Stand-in for the platform's append-only log service: streams of records with
+// offsets, a rate limit for appends, and retention by record count.
+// POST /v1/fault injects faults: "outage" (all requests fail with 503),
+// "hold_stream" (appends to this stream are held until the value changes),
+// "slow_ms" (latency added to each append and read), "lose_answers" (number of
+// appends that take effect without a response), "drop_appends" (number of
+// appends that neither take effect nor get a response), "rate" (appends a
+// second) and "retention" (records kept in each stream).
+// Keeps all records in memory. Does not model replication, clocks of several
+// writers, disks, or records that are read out of order.
 
 #include "hibiscus/wire/codec.hpp"
 #include "support/fake_server.hpp"
@@ -23,36 +24,36 @@
 #include <set>
 #include <vector>
 
-ABSL_FLAG(std::string, address, "127.0.0.1:0", "where to listen");
-ABSL_FLAG(int, rate, 400, "appends a second before it refuses");
+ABSL_FLAG(std::string, address, "127.0.0.1:0", "address to listen on");
+ABSL_FLAG(int, rate, 400, "appends a second; more are rejected with 429");
 ABSL_FLAG(int, retention, 1000000, "records kept in each stream");
-ABSL_FLAG(int, append_ms, 2, "how long an append takes");
+ABSL_FLAG(int, append_ms, 2, "duration of an append in ms");
 
 namespace hibiscus::testing {
 namespace {
 
 using nlohmann::json;
 
-/// A read that waits for the first record.
+/// A read that waits until the record at offset `from` exists.
 struct waiting_read {
     wire::log_offset from;
-    /// Not answered before this time, unless the service is out.
+    /// The response is sent no earlier than this time, except during an outage.
     base::millis not_before;
     base::millis deadline;
     net::http_responder respond;
 };
 
-/// An append that waits to be let through.
+/// An append that is held by the fault "hold_stream".
 struct held_append {
     net::http_request request;
     net::http_responder respond;
 };
 
-/// One stream and those who wait for it.
+/// A stream and the reads that wait for its next record.
 struct stream_row {
     wire::log_offset first = 0;
     std::deque<wire::log_record> records;
-    std::vector<waiting_read> waiting;
+    std::vector<waiting_read> waiting_reads;
 
     /// Returns the offset after the last record.
     wire::log_offset end() const {
@@ -63,7 +64,7 @@
 constexpr base::millis tick_ms = 5;
 constexpr std::size_t page_records = 500;
 
-/// The whole service. Runs in one thread.
+/// Implements the service. Single-threaded.
 class fake_log_service {
 public:
     explicit fake_log_service(boost::asio::io_context& io)
@@ -127,25 +128,25 @@
         respond({200, "{}", "application/json"});
     }
 
-    /// Holds the appends to `stream` back until it is called again; "" holds
-    /// none. A test that waits for two held ids knows that both writers have
-    /// read what they write on.
+    /// Holds appends to `stream` until the held stream changes; "" holds none.
+    /// Once "held" in /v1/counts reports the ids of two writers, both have read
+    /// the state that their appends build on.
     void set_held_stream(const std::string& stream) {
         if (stream == held_stream_) {
             return;
         }
         const auto released = std::exchange(held_stream_, stream);
-        for (const auto& h : std::exchange(held_appends_, {})) {
-            append(streams_[released], h.request, h.respond);
+        for (const auto& held : std::exchange(held_appends_, {})) {
+            append(streams_[released], held.request, held.respond);
         }
     }
 
     std::size_t count_held_ids() const {
         std::set<base::append_id> ids;
-        for (const auto& h : held_appends_) {
-            const auto read =
-                wire::from_json<wire::append_request>(h.request.body);
-            if (const auto* record = base::value_if(read)) {
+        for (const auto& held : held_appends_) {
+            const auto parsed =
+                wire::from_json<wire::append_request>(held.request.body);
+            if (const auto* record = base::value_if(parsed)) {
                 ids.insert(record->id);
             }
         }
@@ -154,8 +155,8 @@
 
     void append(stream_row& stream, const net::http_request& request,
                 const net::http_responder& respond) {
-        const auto read = wire::from_json<wire::append_request>(request.body);
-        const auto* record = base::value_if(read);
+        const auto parsed = wire::from_json<wire::append_request>(request.body);
+        const auto* record = base::value_if(parsed);
         if (record == nullptr) {
             respond({400, "{}", "application/json"});
             return;
@@ -185,7 +186,7 @@
                             wire::to_json(wire::append_response{offset}));
     }
 
-    /// Takes one append out of the allowance, if there is one.
+    /// Takes a token of the rate limit. Returns false if there is none.
     bool consume_rate_token() {
         const auto now = clock_.now();
         rate_tokens_ = std::min<double>(
@@ -215,24 +216,27 @@
         const auto from = parse_query_number(request.target, "from", 0);
         const auto wait = parse_query_number(request.target, "wait_ms", 0);
         const auto now = clock_.now();
-        stream.waiting.push_back({from, now + added_latency_ms_,
-                                  now + added_latency_ms_ + wait, respond});
+        stream.waiting_reads.push_back({from, now + added_latency_ms_,
+                                        now + added_latency_ms_ + wait,
+                                        respond});
         respond_to_reads(stream);
     }
 
     void respond_to_reads(stream_row& stream) {
-        auto& waiting = stream.waiting;
-        for (std::size_t i = 0; i < waiting.size();) {
+        auto& waiting_reads = stream.waiting_reads;
+        for (std::size_t i = 0; i < waiting_reads.size();) {
             const auto now = clock_.now();
-            const bool early =
-                now < waiting[i].not_before ||
-                (waiting[i].from >= stream.end() && now < waiting[i].deadline);
-            if (early && !outage_) {
+            const bool is_early = now < waiting_reads[i].not_before ||
+                                  (waiting_reads[i].from >= stream.end() &&
+                                   now < waiting_reads[i].deadline);
+            if (is_early && !outage_) {
                 ++i;
                 continue;
             }
-            waiting[i].respond(make_page_response(stream, waiting[i].from));
-            waiting.erase(waiting.begin() + static_cast<std::ptrdiff_t>(i));
+            waiting_reads[i].respond(
+                make_page_response(stream, waiting_reads[i].from));
+            waiting_reads.erase(waiting_reads.begin() +
+                                static_cast<std::ptrdiff_t>(i));
         }
     }
 
@@ -245,10 +249,12 @@
         page.first = stream.first;
         page.end = stream.end();
         const auto start = std::max(from, stream.first);
-        for (auto at = start;
-             at < stream.end() && page.records.size() < page_records; ++at) {
+        for (auto offset = start;
+             offset < stream.end() && page.records.size() < page_records;
+             ++offset) {
             page.records.push_back(
-                stream.records[static_cast<std::size_t>(at - stream.first)]);
+                stream
+                    .records[static_cast<std::size_t>(offset - stream.first)]);
         }
         return {200, wire::to_json(page), "application/json"};
     }
--- a/testing/stand_ins/plain_service.cpp
+++ b/testing/stand_ins/plain_service.cpp
@@ -1,8 +1,8 @@
-// Stands in for a plain service beside the model engines. It records each run
-// of each key, so that a test can tell what ran twice and what ran after a
-// refusal. Faults are switched by POST /v1/fault: "refuse" (all is refused
-// with 503 before it runs), "lose_answers" (so many requests run and are not
-// answered) and "run_ms". It does not model work of uneven length.
+// Stand-in for a plain service, a backend server that is not an engine. It
+// counts the runs of each key, so that tests can detect repeated runs and runs
+// after a rejection. POST /v1/fault injects faults: "refuse" (all requests fail
+// with 503 and do not run), "lose_answers" (number of requests that run without
+// a response) and "run_ms". Does not model runs of different lengths.
 
 #include "support/fake_server.hpp"
 
@@ -16,14 +16,15 @@
 #include <memory>
 #include <vector>
 
-ABSL_FLAG(std::string, address, "127.0.0.1:0", "where to listen");
-ABSL_FLAG(int, run_ms, 5, "how long a run takes");
-ABSL_FLAG(int, capacity, 256, "runs at a time; more are refused with 503");
+ABSL_FLAG(std::string, address, "127.0.0.1:0", "address to listen on");
+ABSL_FLAG(int, run_ms, 5, "duration of a run in ms");
+ABSL_FLAG(int, capacity, 256,
+          "maximum number of concurrent runs; more are rejected with 503");
 
 namespace hibiscus::testing {
 namespace {
 
-/// The whole service. Runs in one thread.
+/// Implements the service. Single-threaded.
 class fake_plain_service {
 public:
     explicit fake_plain_service(boost::asio::io_context& io) : io_(io) {}
--- a/testing/stand_ins/trainer.cpp
+++ b/testing/stand_ins/trainer.cpp
@@ -1,8 +1,8 @@
-// Stands in for a trainer: opens steps, pulls their samples, trains, and
-// publishes a version. It opens the next step before it trains, so that
-// samples are generated meanwhile. It checks each sample and prints what it
-// saw as one line of JSON; with --answers it keeps every sample that it took
-// in a file, for the oracle. It does not model several pullers in parallel.
+// Stand-in for a trainer: opens steps, pulls their samples, trains and
+// publishes versions. It opens the next step before it trains, so that samples
+// are generated during training. It checks each sample and prints a summary as
+// one line of JSON; with --answers it also writes every received sample to a
+// file that the oracle reads. Does not model concurrent pulls.
 
 #include "support/entry_client.hpp"
 #include "support/process.hpp"
@@ -17,16 +17,21 @@
 #include <set>
 
 ABSL_FLAG(std::string, name, "trainer", "name of the trainer");
-ABSL_FLAG(std::string, entries, "", "addresses to begin with");
+ABSL_FLAG(std::string, entries, "",
+          "addresses of the first entries to call, separated by commas");
 ABSL_FLAG(std::string, weights, "", "address of the weight store");
-ABSL_FLAG(int, steps, 5, "steps to train");
-ABSL_FLAG(int, groups, 16, "groups in a step");
-ABSL_FLAG(int, group_size, 4, "samples in a group");
-ABSL_FLAG(int, max_tokens, 40, "longest usual sample, in chunks times two");
-ABSL_FLAG(int, train_ms, 600, "how long training takes");
-ABSL_FLAG(int, bound, 1, "staleness bound of the document");
-ABSL_FLAG(std::string, answers, "", "file that keeps each sample, if set");
-ABSL_FLAG(int, give_up_ms, 120000, "longest time for one step");
+ABSL_FLAG(int, steps, 5, "number of steps");
+ABSL_FLAG(int, groups, 16, "number of groups in a step");
+ABSL_FLAG(int, group_size, 4, "number of samples in a group");
+ABSL_FLAG(int, max_tokens, 40,
+          "token limit of a sample; a chunk counts as two tokens");
+ABSL_FLAG(int, train_ms, 600, "duration of the training of a step in ms");
+ABSL_FLAG(int, bound, 1,
+          "staleness bound in the document; samples beyond it count as stale");
+ABSL_FLAG(std::string, answers, "",
+          "file to write each received sample to, if set");
+ABSL_FLAG(int, give_up_ms, 120000,
+          "maximum time in ms to complete a step or a call");
 
 namespace hibiscus::testing {
 namespace {
@@ -36,7 +41,7 @@
 constexpr base::millis call_timeout_ms = 4000;
 constexpr base::millis pull_wait_ms = 1000;
 
-/// What a trainer saw.
+/// Statistics of a run.
 struct run_stats {
     int steps = 0;
     std::uint32_t received_samples = 0;
@@ -47,11 +52,11 @@
     base::millis idle_ms = 0;
     std::int64_t staleness_sum = 0;
     std::vector<base::millis> step_ms;
-    /// From each step's opening to its last sample.
+    /// Time from the opening of each step to its last sample.
     std::vector<base::millis> completion_ms;
 };
 
-/// One trainer. Runs in the main thread.
+/// Implements the trainer. Single-threaded.
 class fake_trainer {
 public:
     fake_trainer()
@@ -64,18 +69,18 @@
         }
     }
 
-    /// Trains all steps and prints what it saw.
+    /// Trains all steps and prints the summary.
     void run() {
         publish();
-        const auto begin = client_.clock().now();
+        const auto started_at = client_.clock().now();
         const int steps = absl::GetFlag(FLAGS_steps);
-        opened_at_ = begin;
+        opened_at_ = started_at;
         open_step(1);
         for (int step = 1; step <= steps; ++step) {
-            const auto waiting = client_.clock().now();
+            const auto pulling_since = client_.clock().now();
             pull_samples(step);
-            stats_.idle_ms += client_.clock().now() - waiting;
-            stats_.step_ms.push_back(client_.clock().now() - waiting);
+            stats_.idle_ms += client_.clock().now() - pulling_since;
+            stats_.step_ms.push_back(client_.clock().now() - pulling_since);
             stats_.completion_ms.push_back(client_.clock().now() - opened_at_);
             ++stats_.steps;
             opened_at_ = client_.clock().now();
@@ -87,35 +92,38 @@
             std::cout << name_ << ": step " << step << " trained, version "
                       << version_ << std::endl;
         }
-        print(client_.clock().now() - begin);
+        print(client_.clock().now() - started_at);
     }
 
 private:
     void publish() {
         ++version_;
-        net::http_request put;
-        put.method = "PUT";
-        put.target = "/v1/weights/" + name_ + "/" + std::to_string(version_);
-        client_.send_to(weight_store_, put, call_timeout_ms);
+        net::http_request request;
+        request.method = "PUT";
+        request.target =
+            "/v1/weights/" + name_ + "/" + std::to_string(version_);
+        client_.send_to(weight_store_, request, call_timeout_ms);
         const auto target =
             "/v1/trainers/" + name_ + "/versions/" + std::to_string(version_);
         retry_until_completed<wire::version_response>("PUT", target, "{}");
     }
 
-    /// Asks until the answer is `completed`.
+    /// Repeats a request until it is completed or --give_up_ms have passed.
     template <class T>
     void retry_until_completed(const std::string& method,
                                const std::string& target,
                                const std::string& body) {
-        const auto until =
+        const auto give_up_at =
             client_.clock().now() + absl::GetFlag(FLAGS_give_up_ms);
-        while (client_.clock().now() < until) {
-            const auto a =
+        while (client_.clock().now() < give_up_at) {
+            const auto response =
                 client_.call<T>(method, target, body, call_timeout_ms);
-            if (a && a->result == wire::outcome::completed) {
+            if (response && response->result == wire::outcome::completed) {
                 return;
             }
-            pause_for(a ? std::max<base::millis>(a->retry_after_ms, 20) : 50);
+            pause_for(response
+                          ? std::max<base::millis>(response->retry_after_ms, 20)
+                          : 50);
         }
     }
 
@@ -126,9 +134,10 @@
     void open_step(int step) {
         wire::step_request request;
         request.version = version_;
-        for (int g = 0; g < absl::GetFlag(FLAGS_groups); ++g) {
+        for (int group = 0; group < absl::GetFlag(FLAGS_groups); ++group) {
             request.groups.push_back(
-                {name_ + "-" + std::to_string(step) + "-" + std::to_string(g),
+                {name_ + "-" + std::to_string(step) + "-" +
+                     std::to_string(group),
                  static_cast<std::uint32_t>(absl::GetFlag(FLAGS_group_size)),
                  static_cast<std::uint32_t>(absl::GetFlag(FLAGS_max_tokens))});
         }
@@ -137,78 +146,82 @@
     }
 
     void pull_samples(int step) {
-        const auto wanted = static_cast<std::uint32_t>(
+        const auto requested = static_cast<std::uint32_t>(
             absl::GetFlag(FLAGS_groups) * absl::GetFlag(FLAGS_group_size));
-        stats_.requested_samples += wanted;
+        stats_.requested_samples += requested;
         std::set<wire::slot_index> received;
-        const auto until =
+        const auto give_up_at =
             client_.clock().now() + absl::GetFlag(FLAGS_give_up_ms);
-        while (received.size() < wanted && client_.clock().now() < until) {
+        while (received.size() < requested &&
+               client_.clock().now() < give_up_at) {
             const wire::pull_request pull{++last_pull_, version_,
                                           to_slot_ranges(received), 0,
                                           pull_wait_ms};
-            const auto answer = client_.call<wire::pull_response>(
+            const auto response = client_.call<wire::pull_response>(
                 "POST", step_path(step) + "/pull", wire::to_json(pull),
                 pull_wait_ms + call_timeout_ms);
-            if (!answer || answer->pull != last_pull_) {
+            if (!response || response->pull != last_pull_) {
                 pause_for(20);
                 continue;
             }
-            if (answer->why == wire::reason::unknown_step) {
+            if (response->why == wire::reason::unknown_step) {
                 open_step(step);
             }
-            for (const auto& s : answer->samples) {
-                check_sample(s, step, received);
+            for (const auto& sample : response->samples) {
+                check_sample(sample, step, received);
             }
-            if (answer->result != wire::outcome::completed) {
-                pause_for(std::max<base::millis>(answer->retry_after_ms, 20));
+            if (response->result != wire::outcome::completed) {
+                pause_for(std::max<base::millis>(response->retry_after_ms, 20));
             }
         }
     }
 
     static std::vector<wire::slot_range>
     to_slot_ranges(const std::set<wire::slot_index>& slots) {
-        std::vector<wire::slot_range> result;
-        for (const auto s : slots) {
-            if (!result.empty() && result.back().last + 1 == s) {
-                result.back().last = s;
+        std::vector<wire::slot_range> ranges;
+        for (const auto slot : slots) {
+            if (!ranges.empty() && ranges.back().last + 1 == slot) {
+                ranges.back().last = slot;
             } else {
-                result.push_back({s, s});
+                ranges.push_back({slot, slot});
             }
         }
-        return result;
+        return ranges;
     }
 
-    void check_sample(const wire::sample& s, int step,
+    void check_sample(const wire::sample& sample, int step,
                       std::set<wire::slot_index>& received) {
-        if (!received.insert(s.slot).second) {
+        if (!received.insert(sample.slot).second) {
             ++stats_.duplicates;
             return;
         }
         ++stats_.received_samples;
-        auto oldest = version_;
+        auto oldest_version = version_;
         const auto stream = name_ + "/" + std::to_string(step) + "/" +
-                            std::to_string(s.slot) + "/" +
-                            std::to_string(s.attempt);
+                            std::to_string(sample.slot) + "/" +
+                            std::to_string(sample.attempt);
         std::uint32_t seq = 0;
         json versions = json::array();
-        bool told_true = !s.chunks.empty();
-        for (const auto& c : s.chunks) {
-            oldest = std::min(oldest, c.version);
-            versions.push_back(c.version);
-            const auto text = stream + ":" + std::to_string(seq) + ":v" +
-                              std::to_string(c.version) + ";";
-            told_true = told_true && c.seq == seq++ && c.text == text;
+        bool matches = !sample.chunks.empty();
+        for (const auto& chunk : sample.chunks) {
+            oldest_version = std::min(oldest_version, chunk.version);
+            versions.push_back(chunk.version);
+            const auto expected_text = stream + ":" + std::to_string(seq) +
+                                       ":v" + std::to_string(chunk.version) +
+                                       ";";
+            matches =
+                matches && chunk.seq == seq++ && chunk.text == expected_text;
         }
         sample_log_ << json{{"stream", stream},
                             {"at", client_.clock().wall_time()},
-                            {"engine", s.engine.str()},
+                            {"engine", sample.engine.str()},
                             {"at_version", version_},
                             {"versions", std::move(versions)}}
                     << std::endl;
-        stats_.text_mismatches += told_true ? 0 : 1;
-        stats_.staleness_sum += version_ - oldest;
-        stats_.stale += version_ - oldest > absl::GetFlag(FLAGS_bound) ? 1 : 0;
+        stats_.text_mismatches += matches ? 0 : 1;
+        stats_.staleness_sum += version_ - oldest_version;
+        stats_.stale +=
+            version_ - oldest_version > absl::GetFlag(FLAGS_bound) ? 1 : 0;
     }
 
     void print(base::millis total) const {
--- a/testing/stand_ins/weight_store.cpp
+++ b/testing/stand_ins/weight_store.cpp
@@ -1,9 +1,8 @@
-// Stands in for the platform's weight store, which hands out one set of
-// weights after the other at a limited rate. Faults are switched by POST
-// /v1/fault: "outage" (all is refused with 503), "fail_share" (the share of
-// the reads that end with 500) and "read_ms". It keeps only the numbers of the
-// versions, not their bytes, and does not model reads that break in the
-// middle.
+// Stand-in for the platform's weight store, which serves reads at a limited
+// rate. POST /v1/fault injects faults: "outage" (all requests fail with 503),
+// "fail_share" (the share of reads that fail with 500) and "read_ms". Stores
+// only the names of the versions, not their bytes, and does not model reads
+// that fail halfway.
 
 #include "support/fake_server.hpp"
 
@@ -20,14 +19,14 @@
 #include <random>
 #include <set>
 
-ABSL_FLAG(std::string, address, "127.0.0.1:0", "where to listen");
-ABSL_FLAG(int, read_ms, 150, "how long one read takes");
-ABSL_FLAG(int, parallel, 4, "reads at a time; others wait their turn");
+ABSL_FLAG(std::string, address, "127.0.0.1:0", "address to listen on");
+ABSL_FLAG(int, read_ms, 150, "duration of a read in ms");
+ABSL_FLAG(int, parallel, 4, "number of concurrent reads; others are queued");
 
 namespace hibiscus::testing {
 namespace {
 
-/// The whole service. Runs in one thread.
+/// Implements the service. Single-threaded.
 class fake_weight_store {
 public:
     explicit fake_weight_store(boost::asio::io_context& io) : io_(io) {}
@@ -62,13 +61,13 @@
     }
 
     void read(const net::http_responder& respond) {
-        const auto spacing =
+        const auto read_interval =
             read_ms_ / std::max(1, absl::GetFlag(FLAGS_parallel));
-        std::uniform_real_distribution<double> share(0.0, 1.0);
-        const int status = share(random_) < fail_share_ ? 500 : 200;
+        std::uniform_real_distribution<double> uniform(0.0, 1.0);
+        const int status = uniform(random_) < fail_share_ ? 500 : 200;
         const auto now = clock_.now();
         const auto start = std::max(now, next_read_at_);
-        next_read_at_ = start + spacing;
+        next_read_at_ = start + read_interval;
         auto timer = std::make_shared<boost::asio::steady_timer>(io_);
         timer->expires_after(std::chrono::milliseconds(start - now + read_ms_));
         timer->async_wait(
