--- a/testing/demo/main.cpp
+++ b/testing/demo/main.cpp
@@ -1,8 +1,8 @@
-// Runs the main job on the shape of one of the two deployments: nodes in all
-// zones, ten engines, plain services, two trainers that share the engines and
-// an application with lookups and syncs, with a change of the document and a
-// planned stop on the way. The last line is computed from what clients and
-// stand-ins saw.
+// Runs a demo on a cluster in the shape of one of two deployments: nodes in all
+// zones, ten engines, plain services, two trainers that share the engines, and
+// applications that send lookups and syncs. During the run it publishes a
+// changed document and stops a node as planned. The last line of the output
+// summarizes what the clients and stand-ins recorded.
 
 #include "demo/report.hpp"
 
@@ -14,19 +14,21 @@
 #include <fstream>
 #include <iostream>
 
-ABSL_FLAG(std::string, programs, "build", "the build folder");
-ABSL_FLAG(std::string, examples, "examples", "folder of the documents");
-ABSL_FLAG(std::string, deployment, "cascadia", "cascadia or veritas");
-ABSL_FLAG(int, steps, 8, "steps of each trainer");
-ABSL_FLAG(int, seconds, 14, "how long the application calls");
-ABSL_FLAG(bool, keep, false, "keep the logs of all processes");
+ABSL_FLAG(std::string, programs, "build", "build directory");
+ABSL_FLAG(std::string, examples, "examples", "directory of the documents");
+ABSL_FLAG(std::string, deployment, "cascadia",
+          "deployment to run: cascadia or veritas");
+ABSL_FLAG(int, steps, 8, "number of steps of each trainer");
+ABSL_FLAG(int, seconds, 14,
+          "duration of the load of the applications in seconds");
+ABSL_FLAG(bool, keep, false, "keep the logs of all processes after the run");
 
 namespace hibiscus::testing {
 namespace {
 
 using nlohmann::json;
 
-/// The shape of a deployment. Names are those of its document.
+/// The size of a deployment. The service names are those of its document.
 struct deployment {
     const char* name;
     int zones;
@@ -43,9 +45,9 @@
 };
 
 const deployment* find_deployment(const std::string& name) {
-    for (const auto& d : deployments) {
-        if (d.name == name) {
-            return &d;
+    for (const auto& candidate : deployments) {
+        if (candidate.name == name) {
+            return &candidate;
         }
     }
     return nullptr;
@@ -54,11 +56,12 @@
 /// One run of the demo.
 class demo_run {
 public:
-    demo_run(const deployment& shape, json document)
-        : deployment_(shape), document_(std::move(document)),
+    demo_run(const deployment& deployment_size, json document)
+        : deployment_(deployment_size), document_(std::move(document)),
           cluster_(absl::GetFlag(FLAGS_programs)) {}
 
-    /// Runs all of it. Returns the exit code.
+    /// Runs the demo and returns its exit code: 0 if no client or stand-in saw
+    /// a failure.
     int run() {
         if (absl::GetFlag(FLAGS_keep)) {
             cluster_.keep_files();
@@ -67,30 +70,30 @@
         start_processes();
         if (cluster_.publish_document(document_.dump()) != 0 ||
             !cluster_.wait_until_ready()) {
-            log_progress("the system did not become ready");
+            log_progress("the cluster did not become ready");
             return 1;
         }
         log_progress("first document in force on " +
                      std::to_string(deployment_.nodes) + " nodes");
         start_clients();
         report_progress(3);
-        const bool changed = change_document();
+        const bool published = change_document();
         report_progress(2);
-        const bool stopped =
+        const bool stopped_cleanly =
             stop_node(static_cast<std::size_t>(deployment_.nodes) / 2);
         while (has_running_clients()) {
             report_progress(2);
         }
-        run_report r;
+        run_report report;
         for (auto* trainer : trainers_) {
-            add_trainer_output(r, trainer->output());
+            add_trainer_output(report, trainer->output());
         }
         for (auto* app : apps_) {
-            add_app_output(r, app->output());
+            add_app_output(report, app->output());
         }
-        add_duplicate_runs(r, cluster_);
-        print(r);
-        return changed && stopped && is_clean(r) ? 0 : 1;
+        add_duplicate_runs(report, cluster_);
+        print(report);
+        return published && stopped_cleanly && is_clean(report) ? 0 : 1;
     }
 
 private:
@@ -99,8 +102,8 @@
                   << " s: " << text << std::endl;
     }
 
-    std::string zone_name(int i) const {
-        return "z" + std::to_string(i % deployment_.zones + 1);
+    std::string zone_name(int index) const {
+        return "z" + std::to_string(index % deployment_.zones + 1);
     }
 
     void start_processes() {
@@ -116,9 +119,9 @@
             cluster_.start_engine(pool, zone_name(i));
         }
         for (int i = 0; i < deployment_.services; ++i) {
-            const bool lookup = i % 2 == 0;
-            cluster_.start_service(lookup ? deployment_.lookup_service
-                                          : deployment_.sync_service,
+            const bool is_lookup = i % 2 == 0;
+            cluster_.start_service(is_lookup ? deployment_.lookup_service
+                                             : deployment_.sync_service,
                                    zone_name(i));
         }
         log_progress(std::string(deployment_.name) + ": " +
@@ -130,18 +133,18 @@
     }
 
     void start_clients() {
-        const auto number = [](int n) { return std::to_string(n); };
+        const auto to_text = [](int value) { return std::to_string(value); };
         for (const auto& trainer : document_["trainers"]) {
             const std::string name = trainer["name"];
             trainers_.push_back(&cluster_.start_client(
                 "trainer", name,
-                {"--steps=" + number(absl::GetFlag(FLAGS_steps)),
-                 "--bound=" + number(trainer["staleness_bound"]),
+                {"--steps=" + to_text(absl::GetFlag(FLAGS_steps)),
+                 "--bound=" + to_text(trainer["staleness_bound"]),
                  "--weights=" + base::to_string(cluster_.address_of("weights")),
                  "--answers=" + cluster_.file_path(name + ".jsonl")}));
         }
         const auto seconds =
-            "--seconds=" + number(absl::GetFlag(FLAGS_seconds));
+            "--seconds=" + to_text(absl::GetFlag(FLAGS_seconds));
         apps_.push_back(&cluster_.start_client(
             "app", "lookups",
             {seconds, "--sync_every=0", "--callers=3",
@@ -156,10 +159,10 @@
 
     bool change_document() {
         document_["trainers"][0]["weight"] = 4.0;
-        const bool changed = cluster_.publish_document(document_.dump()) == 0;
+        const bool published = cluster_.publish_document(document_.dump()) == 0;
         log_progress(std::string("second document ") +
-                     (changed ? "accepted" : "not accepted"));
-        return changed;
+                     (published ? "accepted" : "not accepted"));
+        return published;
     }
 
     bool stop_node(std::size_t index) {
@@ -173,17 +176,17 @@
     }
 
     bool has_running_clients() {
-        bool any = false;
-        for (auto* p : trainers_) {
-            any = any || p->is_running();
+        bool any_running = false;
+        for (auto* client : trainers_) {
+            any_running = any_running || client->is_running();
         }
-        for (auto* p : apps_) {
-            any = any || p->is_running();
+        for (auto* client : apps_) {
+            any_running = any_running || client->is_running();
         }
-        return any;
+        return any_running;
     }
 
-    /// Waits for some seconds and tells how far the clients are.
+    /// Waits for `seconds` and logs how many responses the clients got.
     void report_progress(int seconds) {
         pause_for(seconds * base::millis{1000});
         std::string text;
@@ -198,10 +201,10 @@
     }
 
     std::size_t count_responses(const std::string& name) const {
-        std::ifstream in(cluster_.file_path(name + ".jsonl"));
+        std::ifstream file(cluster_.file_path(name + ".jsonl"));
         std::string line;
         std::size_t count = 0;
-        while (std::getline(in, line)) {
+        while (std::getline(file, line)) {
             ++count;
         }
         return count;
@@ -218,14 +221,15 @@
 
 int run() {
     const auto name = absl::GetFlag(FLAGS_deployment);
-    const auto* shape = find_deployment(name);
+    const auto* found_deployment = find_deployment(name);
     std::ifstream file(absl::GetFlag(FLAGS_examples) + "/" + name + ".json");
     auto document = json::parse(file, nullptr, false);
-    if (shape == nullptr || !document.is_object()) {
-        std::cerr << "demo: no deployment " << name << '\n';
+    if (found_deployment == nullptr || !document.is_object()) {
+        std::cerr << "demo: unknown deployment or missing document: " << name
+                  << '\n';
         return 2;
     }
-    return demo_run(*shape, std::move(document)).run();
+    return demo_run(*found_deployment, std::move(document)).run();
 }
 
 } // namespace
--- a/testing/demo/report.cpp
+++ b/testing/demo/report.cpp
@@ -18,60 +18,66 @@
 json parse_last_json_object(const std::string& text) {
     std::istringstream lines(text);
     std::string line;
-    json found = json::object();
+    json last_object = json::object();
     while (std::getline(lines, line)) {
         const auto parsed = json::parse(line, nullptr, false);
         if (parsed.is_object()) {
-            found = parsed;
+            last_object = parsed;
         }
     }
-    return found;
+    return last_object;
 }
 
 } // namespace
 
-void add_trainer_output(run_report& r, const std::string& output) {
-    const auto seen = parse_last_json_object(output);
-    r.steps += seen.value("steps", 0);
-    r.received_samples += seen.value("got", 0);
-    r.requested_samples += seen.value("wanted", 0);
-    r.duplicates += seen.value("duplicates", 0);
-    r.stale += seen.value("stale", 0);
-    r.text_mismatches += seen.value("untrue", 1);
-    r.idle_ms += seen.value("idle_ms", 0.0);
-    r.total_ms += seen.value("total_ms", 0.0);
-    r.staleness_sum += seen.value("staleness_sum", 0.0);
+void add_trainer_output(run_report& report, const std::string& output) {
+    const auto summary = parse_last_json_object(output);
+    report.steps += summary.value("steps", 0);
+    report.received_samples += summary.value("got", 0);
+    report.requested_samples += summary.value("wanted", 0);
+    report.duplicates += summary.value("duplicates", 0);
+    report.stale += summary.value("stale", 0);
+    report.text_mismatches += summary.value("untrue", 1);
+    report.idle_ms += summary.value("idle_ms", 0.0);
+    report.total_ms += summary.value("total_ms", 0.0);
+    report.staleness_sum += summary.value("staleness_sum", 0.0);
 }
 
-void add_app_output(run_report& r, const std::string& output) {
-    const auto seen = parse_last_json_object(output);
-    r.lost_responses += seen.value("lost", 1) + seen.value("wrong", 0) +
-                        seen.value("unknown", 0);
-    r.lookup_p99_ms = std::max(r.lookup_p99_ms, seen.value("lookup_p99_ms", 0));
+void add_app_output(run_report& report, const std::string& output) {
+    const auto summary = parse_last_json_object(output);
+    report.lost_responses += summary.value("lost", 1) +
+                             summary.value("wrong", 0) +
+                             summary.value("unknown", 0);
+    report.lookup_p99_ms =
+        std::max(report.lookup_p99_ms, summary.value("lookup_p99_ms", 0));
 }
 
-void add_duplicate_runs(run_report& r, test_cluster& s) {
-    r.double_runs += static_cast<int>(check_runs(s, {}).size());
+void add_duplicate_runs(run_report& report, test_cluster& cluster) {
+    report.double_runs += static_cast<int>(check_runs(cluster, {}).size());
 }
 
-bool is_clean(const run_report& r) {
-    const bool whole =
-        r.received_samples == r.requested_samples && r.requested_samples > 0;
-    return whole && r.duplicates + r.stale + r.text_mismatches +
-                            r.lost_responses + r.double_runs ==
-                        0;
+bool is_clean(const run_report& report) {
+    const bool is_complete =
+        report.received_samples == report.requested_samples &&
+        report.requested_samples > 0;
+    return is_complete && report.duplicates + report.stale +
+                                  report.text_mismatches +
+                                  report.lost_responses + report.double_runs ==
+                              0;
 }
 
-void print(const run_report& r) {
+void print(const run_report& report) {
     std::printf("demo: steps=%d samples=%d/%d duplicates=%d stale=%d "
                 "lost_answers=%d double_runs=%d trainer_idle=%.3f "
                 "staleness_mean=%.3f lookup_p99_ms=%d\n",
-                r.steps, r.received_samples, r.requested_samples, r.duplicates,
-                r.stale, r.lost_responses, r.double_runs,
-                r.total_ms > 0 ? r.idle_ms / r.total_ms : 1.0,
-                r.received_samples > 0 ? r.staleness_sum / r.received_samples
-                                       : 0.0,
-                r.lookup_p99_ms);
+                report.steps, report.received_samples, report.requested_samples,
+                report.duplicates, report.stale, report.lost_responses,
+                report.double_runs,
+                report.total_ms > 0 ? report.idle_ms / report.total_ms : 1.0,
+                report.received_samples > 0
+                    ? report.staleness_sum / report.received_samples
+                    : 0.0,
+                report.lookup_p99_ms);
 }
 
 } // namespace hibiscus::testing
--- a/testing/demo/report.hpp
+++ b/testing/demo/report.hpp
@@ -6,7 +6,7 @@
 
 namespace hibiscus::testing {
 
-/// What the clients and stand-ins of a run saw.
+/// Totals of what the clients and stand-ins of a run recorded.
 struct run_report {
     int steps = 0;
     int received_samples = 0;
@@ -22,19 +22,21 @@
     int lookup_p99_ms = 0;
 };
 
-/// Adds what a trainer printed.
-void add_trainer_output(run_report& r, const std::string& output);
+/// Adds the summary that a trainer printed.
+void add_trainer_output(run_report& report, const std::string& output);
 
-/// Adds what an application printed.
-void add_app_output(run_report& r, const std::string& output);
+/// Adds the summary that an application printed.
+void add_app_output(run_report& report, const std::string& output);
 
-/// Adds the requests that ran twice, by the records of the services.
-void add_duplicate_runs(run_report& r, test_cluster& s);
+/// Adds the number of requests that ran more than once according to the run
+/// counts of the services.
+void add_duplicate_runs(run_report& report, test_cluster& cluster);
 
-/// Returns true if all samples are there and nothing is wrong with any.
-bool is_clean(const run_report& r);
+/// Returns true if all requested samples were received and nothing was
+/// duplicate, stale, mismatched or lost.
+bool is_clean(const run_report& report);
 
-/// Prints the report as one line.
-void print(const run_report& r);
+/// Prints the report as one line of text.
+void print(const run_report& report);
 
 } // namespace hibiscus::testing
