--- a/testing/bench/capacity.cpp
+++ b/testing/bench/capacity.cpp
@@ -1,6 +1,6 @@
-// Measures the slopes of docs/CAPACITY.md: tables filled to full size in this
-// process, sizes of messages, and processor time and memory of real nodes that
-// only watch each other and their engines.
+// Measures the growth rates of docs/CAPACITY.md: the cost of full tables in
+// this process, message sizes, and the processor time and memory of real nodes
+// that exchange only heartbeats and poll their engines.
 
 #include "full_tables.hpp"
 
@@ -12,72 +12,75 @@
 #include <cstdio>
 #include <iostream>
 
-ABSL_FLAG(std::string, programs, "build", "the build folder");
+ABSL_FLAG(std::string, programs, "build", "build directory");
 ABSL_FLAG(std::vector<std::string>, nodes,
           std::vector<std::string>({"3", "9", "20", "30"}),
-          "counts of nodes to run; empty for none");
-ABSL_FLAG(int, engines, 0, "engines beside the nodes");
-ABSL_FLAG(int, seconds, 8, "how long the nodes are watched");
-ABSL_FLAG(bool, fills, true, "fill tables in this process");
+          "node counts to measure, separated by commas; empty for none");
+ABSL_FLAG(int, engines, 0, "number of engines in each measurement");
+ABSL_FLAG(int, seconds, 8, "duration of a measurement in seconds");
+ABSL_FLAG(bool, fills, true, "measure full tables in this process");
 
 namespace hibiscus::testing {
 namespace {
 
-constexpr int zones = 3;
-constexpr base::millis settling_time_ms = 2000;
+constexpr int zone_count = 3;
+constexpr base::millis warm_up_ms = 2000;
 
-void print(const std::vector<measurement>& all) {
-    for (const auto& f : all) {
-        std::printf("| %s | %s | %.4g %s |\n", f.name.c_str(), f.size.c_str(),
-                    f.value, f.unit.c_str());
+void print(const std::vector<measurement>& measurements) {
+    for (const auto& m : measurements) {
+        std::printf("| %s | %s | %.4g %s |\n", m.name.c_str(), m.size.c_str(),
+                    m.value, m.unit.c_str());
     }
 }
 
-std::string zone_name(int i) {
-    return "z" + std::to_string(i % zones + 1);
+std::string zone_name(int index) {
+    return "z" + std::to_string(index % zone_count + 1);
 }
 
-std::string document_text() {
+std::string make_document_text() {
     return R"({"schema":1,"owners":[{"name":"o"}],)"
            R"("pools":[{"name":"shared","owner":"o"}],)"
            R"("trainers":[{"name":"t","owner":"o","pool":"shared"}]})";
 }
 
-/// Runs `count` nodes without requests and prints what one of them takes.
+/// Runs `count` nodes without requests and prints the mean processor time and
+/// memory of a node. Returns false if the nodes do not become ready.
 bool measure_idle_nodes(int count, int engines) {
-    test_cluster s(absl::GetFlag(FLAGS_programs));
-    s.start_platform();
+    test_cluster cluster(absl::GetFlag(FLAGS_programs));
+    cluster.start_platform();
     for (int i = 0; i < count; ++i) {
-        s.start_node("127.1." + std::to_string(i % zones + 1) + "." +
-                         std::to_string(i / zones + 1),
-                     zone_name(i), "log_level: warn\n");
+        cluster.start_node("127.1." + std::to_string(i % zone_count + 1) + "." +
+                               std::to_string(i / zone_count + 1),
+                           zone_name(i), "log_level: warn\n");
     }
     for (int i = 0; i < engines; ++i) {
-        s.start_engine("shared", zone_name(i));
+        cluster.start_engine("shared", zone_name(i));
     }
-    if (s.publish_document(document_text()) != 0 || !s.wait_until_ready()) {
-        std::cerr << "capacity: " << count << " nodes did not get ready\n";
+    if (cluster.publish_document(make_document_text()) != 0 ||
+        !cluster.wait_until_ready()) {
+        std::cerr << "capacity: " << count << " nodes did not become ready\n";
         return false;
     }
-    pause_for(settling_time_ms);
+    pause_for(warm_up_ms);
     const base::clock clock;
-    const auto begin = clock.now();
-    double before = 0;
-    for (auto& n : s.nodes()) {
-        before += cpu_time_ms(n.daemon->pid());
+    const auto started_at = clock.now();
+    double cpu_ms_before = 0;
+    for (auto& node : cluster.nodes()) {
+        cpu_ms_before += cpu_time_ms(node.daemon->pid());
     }
     pause_for(1000 * absl::GetFlag(FLAGS_seconds));
-    double after = 0;
-    double memory = 0;
-    for (auto& n : s.nodes()) {
-        after += cpu_time_ms(n.daemon->pid());
-        memory += resident_bytes(n.daemon->pid());
+    double cpu_ms_after = 0;
+    double total_bytes = 0;
+    for (auto& node : cluster.nodes()) {
+        cpu_ms_after += cpu_time_ms(node.daemon->pid());
+        total_bytes += resident_bytes(node.daemon->pid());
     }
-    const auto passed = static_cast<double>(clock.now() - begin);
+    const auto elapsed_ms = static_cast<double>(clock.now() - started_at);
     std::printf("| idle node | %d nodes, %d engines | %.2f %% of a core, "
                 "%.1f MB |\n",
-                count, engines, 100.0 * (after - before) / passed / count,
-                memory / count / 1e6);
+                count, engines,
+                100.0 * (cpu_ms_after - cpu_ms_before) / elapsed_ms / count,
+                total_bytes / count / 1e6);
     std::fflush(stdout);
     return true;
 }
@@ -92,11 +95,11 @@
         print(measure_heartbeats());
         print(measure_full_tables());
     }
-    bool whole = true;
+    bool all_measured = true;
     for (const auto& count : absl::GetFlag(FLAGS_nodes)) {
-        whole = measure_idle_nodes(std::stoi(count),
-                                   absl::GetFlag(FLAGS_engines)) &&
-                whole;
+        all_measured = measure_idle_nodes(std::stoi(count),
+                                          absl::GetFlag(FLAGS_engines)) &&
+                       all_measured;
     }
-    return whole ? 0 : 1;
+    return all_measured ? 0 : 1;
 }
--- a/testing/bench/full_tables.hpp
+++ b/testing/bench/full_tables.hpp
@@ -6,26 +6,27 @@
 
 namespace hibiscus::testing {
 
-/// One figure that a fill gave.
+/// One measured value.
 struct measurement {
     std::string name;
-    /// What the figure was taken at, for instance "12000 engines".
+    /// The size that the value was measured at, for instance "12000 engines".
     std::string size;
     double value = 0;
     std::string unit;
 };
 
-/// Returns the sizes of heartbeats in CBOR at several counts of engines.
+/// Returns the sizes of heartbeats in CBOR for several engine counts, and the
+/// time to encode and decode them.
 std::vector<measurement> measure_heartbeats();
 
 /// Fills tables to their full size in this process and returns the processor
-/// time and the memory that it took.
+/// time and the memory that this takes.
 std::vector<measurement> measure_full_tables();
 
-/// Returns the resident memory of the process `id` in bytes.
-double resident_bytes(int id);
+/// Returns the resident memory of the process `pid` in bytes.
+double resident_bytes(int pid);
 
-/// Returns the processor time of the process `id` in milliseconds.
-double cpu_time_ms(int id);
+/// Returns the processor time of the process `pid` in milliseconds.
+double cpu_time_ms(int pid);
 
 } // namespace hibiscus::testing
--- a/testing/bench/overload.cpp
+++ b/testing/bench/overload.cpp
@@ -1,6 +1,6 @@
-// Measures goodput at capacity and at twice the capacity, in one run: lookups
-// arrive at a fixed rate whether or not earlier ones were answered, and count
-// only if they were completed within their deadline. Prints one JSON line.
+// Measures goodput at the capacity of a service and at twice that rate in one
+// run. Lookups are sent at a fixed rate without waiting for responses and count
+// only if they complete within their deadline. Prints the results as JSON.
 
 #include "support/test_cluster.hpp"
 
@@ -14,14 +14,14 @@
 #include <iostream>
 #include <thread>
 
-ABSL_FLAG(std::string, programs, "build", "build folder");
-ABSL_FLAG(int, nodes, 3, "entry instances");
-ABSL_FLAG(int, instances, 2, "instances of the service");
-ABSL_FLAG(int, slots, 8, "runs that one instance takes at a time");
-ABSL_FLAG(int, run_ms, 40, "how long a run takes");
-ABSL_FLAG(int, deadline_ms, 500, "deadline of a lookup");
-ABSL_FLAG(int, seconds, 5, "length of a phase");
-ABSL_FLAG(int, rounds, 3, "how often the two phases are repeated");
+ABSL_FLAG(std::string, programs, "build", "build directory");
+ABSL_FLAG(int, nodes, 3, "number of entry instances");
+ABSL_FLAG(int, instances, 2, "number of instances of the service");
+ABSL_FLAG(int, slots, 8, "number of concurrent runs of one instance");
+ABSL_FLAG(int, run_ms, 40, "duration of a run in ms");
+ABSL_FLAG(int, deadline_ms, 500, "deadline of a lookup in ms");
+ABSL_FLAG(int, seconds, 5, "duration of a phase in seconds");
+ABSL_FLAG(int, rounds, 3, "number of rounds of the two phases");
 
 namespace hibiscus::testing {
 namespace {
@@ -33,7 +33,7 @@
     "services": [{"name": "ledger", "owner": "campus"}],
     "limits": {"entries_ttl_ms": 500}})";
 
-/// What became of the lookups of one phase.
+/// Counts of the outcomes of the lookups of one phase.
 struct run_stats {
     std::atomic<int> completed{0};
     std::atomic<int> refused{0};
@@ -43,7 +43,7 @@
     std::atomic<base::millis> refusal_ms{0};
 };
 
-/// Sends lookups at a rate to all entries in turn.
+/// Sends lookups at a fixed rate, round robin over all entries.
 class open_loop_load {
 public:
     explicit open_loop_load(std::vector<base::endpoint> entries)
@@ -58,68 +58,70 @@
     open_loop_load(const open_loop_load&) = delete;
     open_loop_load& operator=(const open_loop_load&) = delete;
 
-    /// Sends `per_second` lookups a second and returns what became of them.
+    /// Sends `per_second` lookups a second for --seconds and returns the counts
+    /// of their outcomes.
     json run(double per_second) {
-        auto seen = std::make_shared<run_stats>();
-        const auto begin = clock_.now();
-        const auto length = 1000 * absl::GetFlag(FLAGS_seconds);
+        auto stats = std::make_shared<run_stats>();
+        const auto started_at = clock_.now();
+        const auto duration_ms = 1000 * absl::GetFlag(FLAGS_seconds);
         int sent = 0;
-        for (auto now = begin; now < begin + length; now = clock_.now()) {
-            const auto due =
-                per_second * static_cast<double>(now - begin) / 1000.0;
-            while (sent < static_cast<int>(due)) {
-                send(seen);
+        for (auto now = started_at; now < started_at + duration_ms;
+             now = clock_.now()) {
+            const auto due_count =
+                per_second * static_cast<double>(now - started_at) / 1000.0;
+            while (sent < static_cast<int>(due_count)) {
+                send(stats);
                 ++sent;
             }
             pause_for(1);
         }
-        eventually([&] { return seen->in_flight == 0; });
-        const int refused = seen->refused;
+        eventually([&] { return stats->in_flight == 0; });
+        const int refused = stats->refused;
         return {
             {"offered_per_s", sent / absl::GetFlag(FLAGS_seconds)},
-            {"goodput_per_s", seen->completed / absl::GetFlag(FLAGS_seconds)},
+            {"goodput_per_s", stats->completed / absl::GetFlag(FLAGS_seconds)},
             {"refused", refused},
-            {"refused_without_retry_after", seen->without_retry_after.load()},
-            {"mean_refusal_ms", refused > 0 ? seen->refusal_ms / refused : 0},
-            {"other", seen->other_outcomes.load()}};
+            {"refused_without_retry_after", stats->without_retry_after.load()},
+            {"mean_refusal_ms", refused > 0 ? stats->refusal_ms / refused : 0},
+            {"other", stats->other_outcomes.load()}};
     }
 
 private:
-    void send(const std::shared_ptr<run_stats>& seen) {
+    void send(const std::shared_ptr<run_stats>& stats) {
         wire::service_request lookup;
         lookup.id =
             base::request_id("lookup-" + std::to_string(++request_count_));
         lookup.service = base::service_id("ledger");
         lookup.deadline_ms = absl::GetFlag(FLAGS_deadline_ms);
         lookup.created_ms = clock_.wall_time();
-        net::http_request r;
-        r.method = "POST";
-        r.target = "/v1/requests";
-        r.body = wire::to_json(lookup);
-        ++seen->in_flight;
-        const auto begun = clock_.now();
+        net::http_request request;
+        request.method = "POST";
+        request.target = "/v1/requests";
+        request.body = wire::to_json(lookup);
+        ++stats->in_flight;
+        const auto sent_at = clock_.now();
         http_.send(entries_[static_cast<std::size_t>(request_count_) %
                             entries_.size()],
-                   std::move(r), 20000, net::connection_reuse::allowed,
-                   [this, seen, begun](const net::http_result& result) {
-                       record_result(*seen, result, clock_.now() - begun);
-                       --seen->in_flight;
+                   std::move(request), 20000, net::connection_reuse::allowed,
+                   [this, stats, sent_at](const net::http_result& result) {
+                       record_result(*stats, result, clock_.now() - sent_at);
+                       --stats->in_flight;
                    });
     }
 
-    static void record_result(run_stats& seen, const net::http_result& result,
-                              base::millis took) {
-        const auto answer =
+    static void record_result(run_stats& stats, const net::http_result& result,
+                              base::millis latency) {
+        const auto response =
             entry_client::decode_response<wire::service_response>(result);
-        if (answer && answer->result == wire::outcome::completed &&
-            took <= absl::GetFlag(FLAGS_deadline_ms)) {
-            ++seen.completed;
-        } else if (answer && answer->result == wire::outcome::not_run) {
-            ++seen.refused;
-            seen.refusal_ms += took;
-            seen.without_retry_after += answer->retry_after_ms > 0 ? 0 : 1;
+        if (response && response->result == wire::outcome::completed &&
+            latency <= absl::GetFlag(FLAGS_deadline_ms)) {
+            ++stats.completed;
+        } else if (response && response->result == wire::outcome::not_run) {
+            ++stats.refused;
+            stats.refusal_ms += latency;
+            stats.without_retry_after += response->retry_after_ms > 0 ? 0 : 1;
         } else {
-            ++seen.other_outcomes;
+            ++stats.other_outcomes;
         }
     }
 
@@ -139,34 +141,36 @@
 }
 
 int run() {
-    test_cluster s(absl::GetFlag(FLAGS_programs));
-    s.start_platform();
+    test_cluster cluster(absl::GetFlag(FLAGS_programs));
+    cluster.start_platform();
     for (int i = 1; i <= absl::GetFlag(FLAGS_nodes); ++i) {
-        s.start_node("127.0.0." + std::to_string(i), "z1");
+        cluster.start_node("127.0.0." + std::to_string(i), "z1");
     }
     for (int i = 0; i < absl::GetFlag(FLAGS_instances); ++i) {
-        s.start_service(
+        cluster.start_service(
             "ledger", "z1",
             {"--capacity=" + std::to_string(absl::GetFlag(FLAGS_slots)),
              "--run_ms=" + std::to_string(absl::GetFlag(FLAGS_run_ms))});
     }
-    if (s.publish_document(document) != 0 || !s.wait_until_ready()) {
-        std::cerr << "the nodes do not get ready\n";
+    if (cluster.publish_document(document) != 0 ||
+        !cluster.wait_until_ready()) {
+        std::cerr << "the nodes did not become ready\n";
         return 1;
     }
     const double capacity = 1000.0 * absl::GetFlag(FLAGS_instances) *
                             absl::GetFlag(FLAGS_slots) /
                             absl::GetFlag(FLAGS_run_ms);
-    open_loop_load load(s.entry_addresses());
+    open_loop_load load(cluster.entry_addresses());
     load.run(capacity / 2);
     json phases = json::array();
     std::vector<double> ratios;
     for (int i = 0; i < absl::GetFlag(FLAGS_rounds); ++i) {
-        const auto at = load.run(capacity);
-        const auto twice = load.run(2 * capacity);
-        ratios.push_back(twice["goodput_per_s"].get<double>() /
-                         at["goodput_per_s"].get<double>());
-        phases.push_back({{"at_capacity", at}, {"at_twice", twice}});
+        const auto at_capacity = load.run(capacity);
+        const auto at_twice = load.run(2 * capacity);
+        ratios.push_back(at_twice["goodput_per_s"].get<double>() /
+                         at_capacity["goodput_per_s"].get<double>());
+        phases.push_back(
+            {{"at_capacity", at_capacity}, {"at_twice", at_twice}});
     }
     std::cout << json{{"capacity_per_s", capacity},
                       {"rounds", phases},
--- a/testing/bench/report.cpp
+++ b/testing/bench/report.cpp
@@ -14,13 +14,13 @@
 constexpr int row_height = 26;
 constexpr int label_width = 150;
 constexpr int panel_width = 300;
-constexpr int top = 50;
+constexpr int rows_top = 50;
 
-/// One of the two panels of the picture.
+/// One of the two panels of the chart.
 struct panel {
-    measure shown;
+    measure shown_measure;
     const char* title;
-    int left;
+    int left_edge;
 };
 
 constexpr std::array<panel, 2> panels{{
@@ -34,20 +34,20 @@
     return text.data();
 }
 
-void draw_row(std::ostream& out, const panel& p, const variant_runs& row,
+void draw_row(std::ostream& svg, const panel& p, const variant_runs& row,
               int y) {
     const auto width = [](double v) {
         return static_cast<int>(v * panel_width);
     };
-    const auto value = row.median_of(p.shown);
-    out << "<rect x='" << p.left << "' y='" << y << "' width='" << width(value)
-        << "' height='14' fill='#7a9cc6'/>\n";
+    const auto value = row.median_of(p.shown_measure);
+    svg << "<rect x='" << p.left_edge << "' y='" << y << "' width='"
+        << width(value) << "' height='14' fill='#7a9cc6'/>\n";
     for (const auto& run : row.runs) {
-        out << "<circle cx='" << p.left + width(run.at(p.shown)) << "' cy='"
-            << y + 7 << "' r='2.5' fill='#333'/>\n";
+        svg << "<circle cx='" << p.left_edge + width(run.at(p.shown_measure))
+            << "' cy='" << y + 7 << "' r='2.5' fill='#333'/>\n";
     }
-    out << "<text x='" << p.left + panel_width + 8 << "' y='" << y + 12 << "'>"
-        << format_decimal(value) << "</text>\n";
+    svg << "<text x='" << p.left_edge + panel_width + 8 << "' y='" << y + 12
+        << "'>" << format_decimal(value) << "</text>\n";
 }
 
 } // namespace
@@ -60,78 +60,83 @@
     return median(std::move(values));
 }
 
-std::string to_table(const std::vector<variant_runs>& all) {
-    std::ostringstream out;
-    std::string rule = "| --- |";
-    out << "| variant |";
+std::string to_table(const std::vector<variant_runs>& results) {
+    std::ostringstream table;
+    std::string separator = "| --- |";
+    table << "| variant |";
     for (const auto& m : base::enum_names<measure>::table) {
-        out << " " << m.name << " |";
-        rule += " ---: |";
+        table << " " << m.name << " |";
+        separator += " ---: |";
     }
-    out << " runs | failed |\n" << rule << " ---: | ---: |\n";
-    for (const auto& row : all) {
-        out << "| " << row.name << " |";
+    table << " runs | failed |\n" << separator << " ---: | ---: |\n";
+    for (const auto& row : results) {
+        table << "| " << row.name << " |";
         for (const auto& m : base::enum_names<measure>::table) {
-            out << " " << format_decimal(row.median_of(m.value)) << " |";
+            table << " " << format_decimal(row.median_of(m.value)) << " |";
         }
-        out << " " << row.runs.size() << " | " << row.failed << " |\n";
+        table << " " << row.runs.size() << " | " << row.failed << " |\n";
     }
-    return out.str();
+    return table.str();
 }
 
-std::string to_json(const bench_settings& how,
-                    const std::vector<variant_runs>& all) {
-    json sides = json::array();
-    for (const auto& row : all) {
+std::string to_json(const bench_settings& settings,
+                    const std::vector<variant_runs>& results) {
+    json variants = json::array();
+    for (const auto& row : results) {
         json medians = json::object();
         json runs = json::array();
         for (const auto& m : base::enum_names<measure>::table) {
             medians[std::string(m.name)] = row.median_of(m.value);
         }
         for (const auto& run : row.runs) {
-            json one = json::object();
+            json run_measures = json::object();
             for (const auto& [m, value] : run) {
-                one[std::string(base::name_of(m))] = value;
+                run_measures[std::string(base::name_of(m))] = value;
             }
-            runs.push_back(std::move(one));
+            runs.push_back(std::move(run_measures));
         }
-        sides.push_back({{"variant", row.name},
-                         {"medians", std::move(medians)},
-                         {"failed", row.failed},
-                         {"runs", std::move(runs)}});
+        variants.push_back({{"variant", row.name},
+                            {"medians", std::move(medians)},
+                            {"failed", row.failed},
+                            {"runs", std::move(runs)}});
     }
-    const json all_json{
-        {"comparison", how.comparison}, {"workload", how.workload},
-        {"commit", how.commit},         {"first_seed", how.first_seed},
-        {"rounds", how.rounds},         {"steps", how.steps},
-        {"variants", std::move(sides)}};
-    return all_json.dump(2) + "\n";
+    const json report{{"comparison", settings.comparison},
+                      {"workload", settings.workload},
+                      {"commit", settings.commit},
+                      {"first_seed", settings.first_seed},
+                      {"rounds", settings.rounds},
+                      {"steps", settings.steps},
+                      {"variants", std::move(variants)}};
+    return report.dump(2) + "\n";
 }
 
-std::string to_svg(const bench_settings& how,
-                   const std::vector<variant_runs>& all) {
-    const int height = top + row_height * static_cast<int>(all.size()) + 10;
+std::string to_svg(const bench_settings& settings,
+                   const std::vector<variant_runs>& results) {
+    const int height =
+        rows_top + row_height * static_cast<int>(results.size()) + 10;
     const int width = label_width + 2 * (panel_width + 60);
-    std::ostringstream out;
-    out << "<svg xmlns='http://www.w3.org/2000/svg' width='" << width
+    std::ostringstream svg;
+    svg << "<svg xmlns='http://www.w3.org/2000/svg' width='" << width
         << "' height='" << height
         << "' font-family='sans-serif' font-size='12'>\n"
-        << "<text x='4' y='16'>" << how.comparison << ", " << how.workload
-        << ", commit " << how.commit << ", seeds from " << how.first_seed
+        << "<text x='4' y='16'>" << settings.comparison << ", "
+        << settings.workload << ", commit " << settings.commit
+        << ", seeds from " << settings.first_seed
         << "; bars are medians, dots are runs, full width is 1</text>\n";
     for (const auto& p : panels) {
-        out << "<text x='" << p.left << "' y='38'>" << p.title << "</text>\n";
+        svg << "<text x='" << p.left_edge << "' y='38'>" << p.title
+            << "</text>\n";
     }
-    int y = top;
-    for (const auto& row : all) {
-        out << "<text x='4' y='" << y + 12 << "'>" << row.name << "</text>\n";
+    int y = rows_top;
+    for (const auto& row : results) {
+        svg << "<text x='4' y='" << y + 12 << "'>" << row.name << "</text>\n";
         for (const auto& p : panels) {
-            draw_row(out, p, row, y);
+            draw_row(svg, p, row, y);
         }
         y += row_height;
     }
-    out << "</svg>\n";
-    return out.str();
+    svg << "</svg>\n";
+    return svg.str();
 }
 
 } // namespace hibiscus::testing
--- a/testing/bench/report.hpp
+++ b/testing/bench/report.hpp
@@ -8,7 +8,7 @@
 
 namespace hibiscus::testing {
 
-/// How the runs of a comparison were made.
+/// The settings of a comparison.
 struct bench_settings {
     std::string comparison;
     std::string workload;
@@ -18,27 +18,27 @@
     int steps = 5;
 };
 
-/// The runs of one variant, a run for each seed.
+/// The runs of one variant, one for each seed.
 struct variant_runs {
     std::string name;
     std::vector<measure_values> runs;
-    /// Runs that lacked a sample or an answer.
+    /// Number of runs with a missing or wrong sample or response.
     int failed = 0;
 
-    /// Returns the median of one measure.
+    /// Returns the median of a measure over all runs.
     double median_of(measure m) const;
 };
 
 /// Returns the medians as a Markdown table.
-std::string to_table(const std::vector<variant_runs>& all);
+std::string to_table(const std::vector<variant_runs>& results);
 
 /// Returns all runs and medians as JSON.
-std::string to_json(const bench_settings& how,
-                    const std::vector<variant_runs>& all);
+std::string to_json(const bench_settings& settings,
+                    const std::vector<variant_runs>& results);
 
-/// Returns an SVG picture of idle share and staleness by variant; small marks
-/// show the single runs.
-std::string to_svg(const bench_settings& how,
-                   const std::vector<variant_runs>& all);
+/// Returns an SVG chart of trainer idle share and staleness of each variant.
+/// Bars show the medians and dots the runs.
+std::string to_svg(const bench_settings& settings,
+                   const std::vector<variant_runs>& results);
 
 } // namespace hibiscus::testing
--- a/testing/bench/run.hpp
+++ b/testing/bench/run.hpp
@@ -9,31 +9,32 @@
 
 namespace hibiscus::testing {
 
-/// What a run measures.
+/// The measures of a run.
 enum class measure {
-    trainer_idle,      ///< Share of the trainers' time without samples.
-    warm_idle,         ///< The same after each trainer's first step.
-    idle_floor,        ///< The share that no placement can improve on.
-    staleness,         ///< Versions that a sample is behind, on average.
-    step_p50_ms,       ///< From a step's opening to its last sample.
-    step_p99_ms,       ///< The same, of the slowest steps.
-    lookup_p50_ms,     ///< An application's lookup.
-    lookup_p99_ms,     ///< The same, of the slowest lookups.
-    sync_p99_ms,       ///< An application's sync, of the slowest.
-    goodput,           ///< Samples that trainers took, each second.
-    engine_busy,       ///< Share of the engines' slot time that was used.
-    regenerated_share, ///< Streams that gave no sample, of all started.
-    first_step_ms,     ///< A step of the first trainer, on average.
-    second_step_ms     ///< A step of the second trainer, on average.
+    trainer_idle,      ///< Share of time that trainers wait for samples.
+    warm_idle,         ///< Idle share without the wait for the first step.
+    idle_floor,        ///< Lower bound of the idle share for any placement.
+    staleness,         ///< Mean staleness of the samples, in versions.
+    step_p50_ms,       ///< Median time from opening a step to its last sample.
+    step_p99_ms,       ///< 99th percentile of the same time.
+    lookup_p50_ms,     ///< Median latency of lookups.
+    lookup_p99_ms,     ///< 99th percentile of the latency of lookups.
+    sync_p99_ms,       ///< 99th percentile of the latency of syncs.
+    goodput,           ///< Samples received by the trainers a second.
+    engine_busy,       ///< Utilization of the engine slots.
+    regenerated_share, ///< Share of started streams without a sample.
+    first_step_ms,     ///< Mean step time of the first trainer.
+    second_step_ms     ///< Mean step time of the second trainer.
 };
 
-/// The measures of one run; empty if a sample or an answer was missing.
+/// The measures of one run; empty if a sample or a response was missing or
+/// wrong.
 using measure_values = std::map<measure, double>;
 
-/// Runs a workload under a variant on fresh processes and returns what the
-/// clients and stand-ins saw.
+/// Runs a workload under a variant on new processes and returns the measures
+/// from the records of clients and stand-ins.
 measure_values run_variant(const std::string& programs, const workload& load,
-                           const variant& side, int steps, int seed);
+                           const variant& tested_variant, int steps, int seed);
 
 /// Returns the median of `values`, or 0 if there are none.
 double median(std::vector<double> values);
--- a/testing/bench/scenario.hpp
+++ b/testing/bench/scenario.hpp
@@ -9,7 +9,7 @@
 
 namespace hibiscus::testing {
 
-/// The demand of one trainer.
+/// The load that one trainer causes.
 struct trainer_load {
     std::string name;
     int groups = 16;
@@ -19,13 +19,13 @@
     double weight = 1.0;
 };
 
-/// A kind of engines; engines of one pool may differ.
+/// Engines of equal speed; a pool may contain several groups.
 struct engine_group {
     int count = 10;
     int chunk_ms = 20;
 };
 
-/// A deployment and what its clients ask for.
+/// A deployment and the load of its clients.
 struct workload {
     std::string name;
     int zones = 3;
@@ -38,9 +38,9 @@
     std::vector<trainer_load> trainers;
 };
 
-/// One side of a comparison.
+/// One variant of a comparison.
 struct variant {
-    /// Constructs the variant that changes nothing.
+    /// Constructs a variant with the default settings.
     explicit variant(std::string name) : name(std::move(name)) {}
 
     std::string name;
@@ -48,34 +48,39 @@
         document::placement_kind::prefix_affinity;
     document::start_version_kind start_version =
         document::start_version_kind::expect_publish;
-    /// Streams that the engines' homes admit beyond the slots, as a share of
-    /// them. A large one means that homes refuse nothing.
+    /// Number of streams that the home node of an engine admits beyond its
+    /// slots, as a fraction of the slots. With a large value no stream is
+    /// rejected.
     double queue_share = 1.0;
-    /// How often nodes tell each other the load of their engines.
+    /// Interval of the heartbeats in which nodes report the load of their
+    /// engines.
     base::millis heartbeat_ms = 500;
-    /// The build folder of the nodes; empty for the bench's own.
+    /// The build directory of the programs; empty for that of --programs.
     std::string build_dir;
-    /// Whether the document has the trainers' weights, or 1 for all.
+    /// If true, the document contains the weights of the trainers; otherwise
+    /// all weights are 1.
     bool uses_trainer_weights = true;
 };
 
-/// Returns the workload of that name ("cascadia", "veritas", "contended"), or
-/// one without a name.
+/// Returns the workload `name` ("cascadia", "veritas" or "contended"), or one
+/// with an empty name if there is none.
 workload make_workload(const std::string& name);
 
-/// Returns the variants of a comparison ("placement", "admission", "weights"),
-/// or none.
+/// Returns the variants of a comparison ("placement", "admission" or
+/// "weights"), or none if it is unknown.
 std::vector<variant> make_variants(const std::string& comparison);
 
-/// Returns the operators' document for a run.
-std::string make_document(const workload& load, const variant& side, int seed);
+/// Returns the document to publish for a run.
+std::string make_document(const workload& load, const variant& tested_variant,
+                          int seed);
 
-/// Returns the name of a trainer in the run of a seed. Lengths of samples
-/// follow from it, so all sides of a comparison get the same samples.
+/// Returns the name of a trainer in the runs with `seed`. The lengths of its
+/// samples are derived from the name, so all variants of a comparison get the
+/// same samples.
 std::string seeded_name(const trainer_load& trainer, int seed);
 
-/// Returns the idle share of a trainer whose samples all begin at once on the
-/// fastest engine without a queue: what no placement can improve on.
+/// Returns the idle share of the trainers if all samples start at once on the
+/// fastest engines without queueing. This is a lower bound for any placement.
 double idle_floor(const workload& load, int steps, int seed);
 
 } // namespace hibiscus::testing
--- a/testing/bench/step_tick.cpp
+++ b/testing/bench/step_tick.cpp
@@ -1,7 +1,7 @@
-// Measures what a tick and a report cost a trainer's home at full size: 23
-// trainers with 2,048 slots each, 12,000 engines, no sockets. It prints one
-// line for each state of the steps. Placement takes the engines in turn, so
-// the figures are those of the home alone.
+// Measures the time of a tick and of a report in the step coordinator at full
+// size: 23 trainers with 2,048 sample slots each and 12,000 engines, without
+// sockets. Prints one line for each state of the steps. Placement is round
+// robin, so the times are those of the step coordinator alone.
 
 #include "hibiscus/cluster/step_coordinator.hpp"
 
@@ -12,70 +12,81 @@
 namespace hibiscus::testing {
 namespace {
 
-constexpr int trainers = 23;
-constexpr std::uint32_t slots = 2048;
-constexpr int engines = 12000;
-constexpr int rounds = 501;
+constexpr int trainer_count = 23;
+constexpr std::uint32_t slots_per_trainer = 2048;
+constexpr int engine_count = 12000;
+constexpr int repetitions = 501;
 constexpr base::millis tick_ms = 20;
 constexpr std::size_t streams_per_report = 16;
 
-/// Returns the engine of a number.
 base::engine_id make_engine_id(int number) {
     return base::engine_id("engine" + std::to_string(number));
 }
 
-/// A home that holds all steps, and what it has placed.
+/// A step coordinator with all steps open, and the streams that it has placed.
 class loaded_step_coordinator {
 public:
     loaded_step_coordinator()
-        : home_(
+        : coordinator_(
               base::node_id("n"), {},
               [this](const cluster::placement_query&) { return place(); },
               [](const base::trainer_id&) { return std::make_optional(1); }) {
-        for (int t = 0; t < trainers; ++t) {
-            const base::trainer_id name("trainer" + std::to_string(t));
-            home_.open_step(now_, {name, 1, {1, {{"prompt", slots, 100}}}});
+        for (int trainer = 0; trainer < trainer_count; ++trainer) {
+            const base::trainer_id trainer_id("trainer" +
+                                              std::to_string(trainer));
+            coordinator_.open_step(
+                now_,
+                {trainer_id, 1, {1, {{"prompt", slots_per_trainer, 100}}}});
         }
     }
 
-    /// Opens or closes all engines.
+    /// Makes placement fail for all streams if `full`.
     void set_engines_full(bool full) { engines_full_ = full; }
 
-    /// Moves the time on and returns how long one tick took, in microseconds.
+    /// Advances the time and returns the duration of one tick in microseconds.
     double tick() {
         now_ += tick_ms;
-        const auto begin = std::chrono::steady_clock::now();
-        home_.tick(now_);
-        const auto end = std::chrono::steady_clock::now();
-        for (auto& effect : home_.take_effects()) {
-            if (auto* p = std::get_if<cluster::place_stream>(&effect)) {
-                streams_.push_back({p->engine, p->start.stream});
+        const auto started_at = std::chrono::steady_clock::now();
+        coordinator_.tick(now_);
+        const auto ended_at = std::chrono::steady_clock::now();
+        for (auto& effect : coordinator_.take_effects()) {
+            if (auto* placed = std::get_if<cluster::place_stream>(&effect)) {
+                streams_.push_back({placed->engine, placed->start.stream});
             }
         }
-        return std::chrono::duration<double, std::micro>(end - begin).count();
+        return std::chrono::duration<double, std::micro>(ended_at - started_at)
+            .count();
     }
 
-    /// Reports `batch` streams as running and returns how long that took.
+    /// Reports up to `streams_per_report` streams as running and returns the
+    /// duration of the call in microseconds.
     double report() {
         wire::sample_report report;
         for (std::size_t i = 0; i < streams_per_report && !streams_.empty();
              ++i) {
-            const auto& s = streams_[next_stream_++ % streams_.size()];
-            report.streams.push_back(
-                {s.first, s.second, wire::stream_state::running, {}, 1, 1});
+            const auto& stream = streams_[next_stream_++ % streams_.size()];
+            report.streams.push_back({stream.first,
+                                      stream.second,
+                                      wire::stream_state::running,
+                                      {},
+                                      1,
+                                      1});
         }
-        const auto begin = std::chrono::steady_clock::now();
-        home_.on_report(now_, report);
-        const auto end = std::chrono::steady_clock::now();
-        return std::chrono::duration<double, std::micro>(end - begin).count();
+        const auto started_at = std::chrono::steady_clock::now();
+        coordinator_.on_report(now_, report);
+        const auto ended_at = std::chrono::steady_clock::now();
+        return std::chrono::duration<double, std::micro>(ended_at - started_at)
+            .count();
     }
 
-    /// Lets a pull wait at each step.
+    /// Adds a waiting pull to each step.
     void add_waiting_pulls() {
-        for (int t = 0; t < trainers; ++t) {
-            const base::trainer_id name("trainer" + std::to_string(t));
-            home_.pull_samples(now_, static_cast<cluster::waiter_id>(t),
-                               {name, 1, {1, 1, {}, 0, 1 << 30}});
+        for (int trainer = 0; trainer < trainer_count; ++trainer) {
+            const base::trainer_id trainer_id("trainer" +
+                                              std::to_string(trainer));
+            coordinator_.pull_samples(now_,
+                                      static_cast<cluster::waiter_id>(trainer),
+                                      {trainer_id, 1, {1, 1, {}, 0, 1 << 30}});
         }
     }
 
@@ -84,7 +95,8 @@
         if (engines_full_) {
             return std::nullopt;
         }
-        return cluster::placement{make_engine_id(placed_count_++ % engines), 0};
+        return cluster::placement{
+            make_engine_id(placed_count_++ % engine_count), 0};
     }
 
     base::millis now_ = 1000;
@@ -92,42 +104,43 @@
     int placed_count_ = 0;
     std::size_t next_stream_ = 0;
     std::vector<std::pair<base::engine_id, base::stream_id>> streams_;
-    cluster::step_coordinator home_;
+    cluster::step_coordinator coordinator_;
 };
 
-/// Calls `measure` many times and prints the median and the 99th percentile.
+/// Calls `measure` repeatedly and prints the median and the 99th percentile of
+/// the returned times.
 template <class F>
-void print(const char* what, F measure) {
-    std::vector<double> all;
-    all.reserve(rounds);
-    for (int i = 0; i < rounds; ++i) {
-        all.push_back(measure());
+void print(const char* title, F measure) {
+    std::vector<double> times;
+    times.reserve(repetitions);
+    for (int i = 0; i < repetitions; ++i) {
+        times.push_back(measure());
     }
-    std::sort(all.begin(), all.end());
-    std::cout << what << ": median_us=" << all[rounds / 2]
-              << " p99_us=" << all[rounds * 99 / 100] << std::endl;
+    std::sort(times.begin(), times.end());
+    std::cout << title << ": median_us=" << times[repetitions / 2]
+              << " p99_us=" << times[repetitions * 99 / 100] << std::endl;
 }
 
 void run() {
-    loaded_step_coordinator waiting;
-    waiting.set_engines_full(true);
+    loaded_step_coordinator waiting_steps;
+    waiting_steps.set_engines_full(true);
     print("tick, all slots wait and all engines are full",
-          [&] { return waiting.tick(); });
-    loaded_step_coordinator running;
-    std::cout << "tick that places all slots: us=" << running.tick()
+          [&] { return waiting_steps.tick(); });
+    loaded_step_coordinator running_steps;
+    std::cout << "tick that places all slots: us=" << running_steps.tick()
               << std::endl;
     print("tick and 235 reports of 16 streams, all slots run, no pull", [&] {
-        // Each stream is told of four times a second: 47,104 streams make
-        // 235 reports of 16 in a tick.
-        double spent = 0;
+        // Each stream is reported four times a second: with 47,104 streams this
+        // makes 235 reports of 16 streams in each tick of 20 ms.
+        double total_us = 0;
         for (int i = 0; i < 235; ++i) {
-            spent += running.report();
+            total_us += running_steps.report();
         }
-        return spent + running.tick();
+        return total_us + running_steps.tick();
     });
-    running.add_waiting_pulls();
+    running_steps.add_waiting_pulls();
     print("report of 16 streams, all slots run, a pull waits at each step",
-          [&] { return running.report(); });
+          [&] { return running_steps.report(); });
 }
 
 } // namespace
