--- a/testing/bench/claim_batching.cpp
+++ b/testing/bench/claim_batching.cpp
@@ -28,7 +28,7 @@
 constexpr base::millis run_ms = 5;
 constexpr base::millis retry_ms = 200;
 constexpr base::millis warm_up_ms = 2000;
-constexpr base::millis run_length_ms = 12000;
+constexpr base::millis simulation_ms = 12000;
 constexpr double appends_per_second = 400;
 constexpr double max_append_burst = 20;
 constexpr unsigned seed = 1;
@@ -45,8 +45,9 @@
 /// The results of one run.
 struct run_result {
     int completed = 0;
-    int refused = 0;
+    int not_completed = 0;
     int appends = 0;
+    /// Time from submission to dispatch of each request.
     std::vector<base::millis> wait_ms;
 };
 
@@ -67,7 +68,7 @@
     run_result run() {
         std::poisson_distribution<int> arrivals(config_.requests_per_second /
                                                 1000.0);
-        for (now_ = 0; now_ < run_length_ms; ++now_) {
+        for (now_ = 0; now_ < simulation_ms; ++now_) {
             rate_tokens_ = std::min(max_append_burst,
                                     rate_tokens_ + appends_per_second / 1000.0);
             for (int remaining = arrivals(random_); remaining > 0;
@@ -166,7 +167,7 @@
         if (is_warmed_up()) {
             const bool completed = response.result == wire::outcome::completed;
             result_.completed += completed ? 1 : 0;
-            result_.refused += completed ? 0 : 1;
+            result_.not_completed += completed ? 0 : 1;
         }
     }
 
@@ -194,7 +195,7 @@
                          .wait_ms[static_cast<std::size_t>(share * last_index)];
     };
     const double seconds =
-        static_cast<double>(run_length_ms - warm_up_ms) / 1000.0;
+        static_cast<double>(simulation_ms - warm_up_ms) / 1000.0;
     const auto per_second = [&](int count) {
         return static_cast<int>(count / seconds);
     };
@@ -203,7 +204,7 @@
                                   : std::to_string(config.window_ms);
     std::cout << "| " << config.requests_per_second << " | " << config.tick_ms
               << " | " << window_label << " | " << per_second(result.completed)
-              << " | " << per_second(result.refused) << " | "
+              << " | " << per_second(result.not_completed) << " | "
               << wait_percentile(0.5) << " | " << wait_percentile(0.99) << " | "
               << per_second(result.appends) << " |\n";
     return {{"offered", config.requests_per_second},
@@ -211,7 +212,7 @@
             {"window_ms", config.window_ms},
             {"one_per_request", config.items_per_append == 1},
             {"completed", per_second(result.completed)},
-            {"refused", per_second(result.refused)},
+            {"refused", per_second(result.not_completed)},
             {"wait_p50_ms", wait_percentile(0.5)},
             {"wait_p99_ms", wait_percentile(0.99)},
             {"appends", per_second(result.appends)}};
--- a/testing/bench/full_tables.hpp
+++ b/testing/bench/full_tables.hpp
@@ -19,8 +19,9 @@
 /// time to encode and decode them.
 std::vector<measurement> measure_heartbeats();
 
-/// Fills tables to their full size in this process and returns the processor
-/// time and the memory that this takes.
+/// Fills the engine, step, configuration and member tables of a node to their
+/// full size in this process and returns the processor time and the memory that
+/// this takes.
 std::vector<measurement> measure_full_tables();
 
 /// Returns the resident memory of the process `pid` in bytes.
--- a/testing/bench/main.cpp
+++ b/testing/bench/main.cpp
@@ -58,8 +58,8 @@
                   << std::endl;
         return;
     }
-    std::cout << " idle " << measures.at(measure::trainer_idle) << " staleness "
-              << measures.at(measure::staleness) << std::endl;
+    std::cout << " idle " << measures.at(measure::trainer_idle_share)
+              << " staleness " << measures.at(measure::staleness) << std::endl;
     results.runs.push_back(std::move(measures));
 }
 
--- a/testing/bench/overload.cpp
+++ b/testing/bench/overload.cpp
@@ -33,14 +33,14 @@
     "services": [{"name": "ledger", "owner": "campus"}],
     "limits": {"entries_ttl_ms": 500}})";
 
-/// Counts of the outcomes of the lookups of one phase.
-struct run_stats {
+/// Outcomes of the lookups of one phase.
+struct phase_stats {
     std::atomic<int> completed{0};
     std::atomic<int> refused{0};
     std::atomic<int> without_retry_after{0};
     std::atomic<int> other_outcomes{0};
     std::atomic<int> in_flight{0};
-    std::atomic<base::millis> refusal_ms{0};
+    std::atomic<base::millis> total_refusal_ms{0};
 };
 
 /// Sends lookups at a fixed rate, round robin over all entries.
@@ -61,7 +61,7 @@
     /// Sends `per_second` lookups a second for --seconds and returns the counts
     /// of their outcomes.
     json run(double per_second) {
-        auto stats = std::make_shared<run_stats>();
+        auto stats = std::make_shared<phase_stats>();
         const auto started_at = clock_.now();
         const auto duration_ms = 1000 * absl::GetFlag(FLAGS_seconds);
         int sent = 0;
@@ -82,12 +82,13 @@
             {"goodput_per_s", stats->completed / absl::GetFlag(FLAGS_seconds)},
             {"refused", refused},
             {"refused_without_retry_after", stats->without_retry_after.load()},
-            {"mean_refusal_ms", refused > 0 ? stats->refusal_ms / refused : 0},
+            {"mean_refusal_ms",
+             refused > 0 ? stats->total_refusal_ms / refused : 0},
             {"other", stats->other_outcomes.load()}};
     }
 
 private:
-    void send(const std::shared_ptr<run_stats>& stats) {
+    void send(const std::shared_ptr<phase_stats>& stats) {
         wire::service_request lookup;
         lookup.id =
             base::request_id("lookup-" + std::to_string(++request_count_));
@@ -109,7 +110,8 @@
                    });
     }
 
-    static void record_result(run_stats& stats, const net::http_result& result,
+    static void record_result(phase_stats& stats,
+                              const net::http_result& result,
                               base::millis latency) {
         const auto response =
             entry_client::decode_response<wire::service_response>(result);
@@ -118,7 +120,7 @@
             ++stats.completed;
         } else if (response && response->result == wire::outcome::not_run) {
             ++stats.refused;
-            stats.refusal_ms += latency;
+            stats.total_refusal_ms += latency;
             stats.without_retry_after += response->retry_after_ms > 0 ? 0 : 1;
         } else {
             ++stats.other_outcomes;
@@ -166,11 +168,11 @@
     std::vector<double> ratios;
     for (int i = 0; i < absl::GetFlag(FLAGS_rounds); ++i) {
         const auto at_capacity = load.run(capacity);
-        const auto at_twice = load.run(2 * capacity);
-        ratios.push_back(at_twice["goodput_per_s"].get<double>() /
+        const auto at_twice_capacity = load.run(2 * capacity);
+        ratios.push_back(at_twice_capacity["goodput_per_s"].get<double>() /
                          at_capacity["goodput_per_s"].get<double>());
         phases.push_back(
-            {{"at_capacity", at_capacity}, {"at_twice", at_twice}});
+            {{"at_capacity", at_capacity}, {"at_twice", at_twice_capacity}});
     }
     std::cout << json{{"capacity_per_s", capacity},
                       {"rounds", phases},
--- a/testing/bench/report.cpp
+++ b/testing/bench/report.cpp
@@ -24,7 +24,7 @@
 };
 
 constexpr std::array<panel, 2> panels{{
-    {measure::trainer_idle, "trainer idle share", label_width},
+    {measure::trainer_idle_share, "trainer idle share", label_width},
     {measure::staleness, "staleness, versions", label_width + panel_width + 60},
 }};
 
--- a/testing/bench/run.cpp
+++ b/testing/bench/run.cpp
@@ -21,6 +21,7 @@
 /// Sums of the counters of all engines.
 struct engine_counters {
     double started = 0;
+    /// Time that the slots ran a stream, summed over the slots.
     double busy_slot_ms = 0;
     double alive_ms = 0;
 };
@@ -32,13 +33,13 @@
     double violations = 0;
     double idle_ms = 0;
     double total_ms = 0;
-    double longest_ms = 0;
+    double max_trainer_total_ms = 0;
     /// Sum of the waits of the trainers for their first steps.
     double first_wait_ms = 0;
     double staleness_sum = 0;
-    std::vector<double> step_ms;
+    std::vector<double> completion_ms;
     /// The mean step time of each trainer.
-    std::vector<double> mean_step_ms;
+    std::vector<double> mean_completion_ms;
 };
 
 /// Returns the last line of `text` that is a JSON object.
@@ -142,13 +143,13 @@
     totals.first_wait_ms += step_waits.empty() ? 0.0 : step_waits.front();
     const auto total = summary.value("total_ms", 0.0);
     totals.total_ms += total;
-    totals.longest_ms = std::max(totals.longest_ms, total);
+    totals.max_trainer_total_ms = std::max(totals.max_trainer_total_ms, total);
     totals.staleness_sum += summary.value("staleness_sum", 0.0);
     const auto completions =
         summary.value("completion_ms", std::vector<double>());
-    totals.step_ms.insert(totals.step_ms.end(), completions.begin(),
-                          completions.end());
-    totals.mean_step_ms.push_back(mean(completions));
+    totals.completion_ms.insert(totals.completion_ms.end(), completions.begin(),
+                                completions.end());
+    totals.mean_completion_ms.push_back(mean(completions));
 }
 
 measure_values compute_measures(const trainer_totals& totals,
@@ -160,24 +161,25 @@
     const auto slot_ms =
         (counters_after.alive_ms - counters_before.alive_ms) * slots;
     return {
-        {measure::trainer_idle, totals.idle_ms / totals.total_ms},
-        {measure::warm_idle, (totals.idle_ms - totals.first_wait_ms) /
-                                 (totals.total_ms - totals.first_wait_ms)},
+        {measure::trainer_idle_share, totals.idle_ms / totals.total_ms},
+        {measure::idle_share_after_first_step,
+         (totals.idle_ms - totals.first_wait_ms) /
+             (totals.total_ms - totals.first_wait_ms)},
         {measure::staleness, totals.staleness_sum / totals.received_samples},
-        {measure::step_p50_ms, percentile(totals.step_ms, 0.5)},
-        {measure::step_p99_ms, percentile(totals.step_ms, 0.99)},
+        {measure::step_p50_ms, percentile(totals.completion_ms, 0.5)},
+        {measure::step_p99_ms, percentile(totals.completion_ms, 0.99)},
         {measure::lookup_p50_ms, app_summary.value("lookup_p50_ms", 0.0)},
         {measure::lookup_p99_ms, app_summary.value("lookup_p99_ms", 0.0)},
         {measure::sync_p99_ms, app_summary.value("sync_p99_ms", 0.0)},
         {measure::goodput,
-         totals.received_samples * 1000.0 / totals.longest_ms},
-        {measure::engine_busy,
+         totals.received_samples * 1000.0 / totals.max_trainer_total_ms},
+        {measure::engine_utilization,
          (counters_after.busy_slot_ms - counters_before.busy_slot_ms) /
              slot_ms},
         {measure::regenerated_share,
          (started - totals.received_samples) / started},
-        {measure::first_step_ms, totals.mean_step_ms.at(0)},
-        {measure::second_step_ms, totals.mean_step_ms.at(1)}};
+        {measure::first_trainer_step_ms, totals.mean_completion_ms.at(0)},
+        {measure::second_trainer_step_ms, totals.mean_completion_ms.at(1)}};
 }
 
 } // namespace
--- a/testing/bench/scenario.cpp
+++ b/testing/bench/scenario.cpp
@@ -24,10 +24,10 @@
                             int straggler_percent) {
     std::mt19937_64 random(base::stable_hash(stream));
     const auto max_length = static_cast<std::uint32_t>(max_tokens);
-    std::uniform_int_distribution<std::uint32_t> chunk_distribution(
+    std::uniform_int_distribution<std::uint32_t> length_distribution(
         1 + max_length / 4, 1 + max_length / 2);
     std::uniform_int_distribution<int> percent_distribution(0, 99);
-    const auto length = chunk_distribution(random);
+    const auto length = length_distribution(random);
     return percent_distribution(random) < straggler_percent
                ? length * straggler_factor
                : length;
@@ -53,10 +53,10 @@
     return static_cast<base::millis>(longest_sample) * chunk_ms;
 }
 
-/// A print tagging deployment: three zones, a trainer with a high load and two
-/// with a low one that together demand more than the engines can run
-/// concurrently, and two slower engines.
-workload cascadia() {
+/// A load on the deployment of examples/cascadia.json: three zones, a trainer
+/// with a high load and two with a low one that together demand more than the
+/// engines can run concurrently, and two slower engines.
+workload cascadia_workload() {
     workload result;
     result.name = "cascadia";
     result.engines = {{8, 20}, {2, 30}};
@@ -68,9 +68,9 @@
     return result;
 }
 
-/// A verdict drafting deployment: four zones, two trainers, longer samples with
-/// more stragglers, and more frequent weight updates.
-workload veritas() {
+/// A load on the deployment of examples/veritas.json: four zones, two trainers,
+/// longer samples with more stragglers, and more frequent weight updates.
+workload veritas_workload() {
     workload result;
     result.name = "veritas";
     result.zones = 4;
@@ -85,7 +85,7 @@
 
 /// Two trainers with the same load, each of which could use the whole pool, and
 /// weights of three to one.
-workload contended() {
+workload contended_workload() {
     workload result;
     result.name = "contended";
     result.nodes = 3;
@@ -152,12 +152,12 @@
 
 workload make_workload(const std::string& name) {
     if (name == "cascadia") {
-        return cascadia();
+        return cascadia_workload();
     }
     if (name == "contended") {
-        return contended();
+        return contended_workload();
     }
-    return name == "veritas" ? veritas() : workload{};
+    return name == "veritas" ? veritas_workload() : workload{};
 }
 
 std::vector<variant> make_variants(const std::string& comparison) {
--- a/testing/demo/main.cpp
+++ b/testing/demo/main.cpp
@@ -1,8 +1,9 @@
 // Runs a demo on a cluster in the shape of one of two deployments: nodes in all
 // zones, ten engines, plain services, two trainers that share the engines, and
-// applications that send lookups and syncs. During the run it publishes a
-// changed document and stops a node as planned. The last line of the output
-// summarizes what the clients and stand-ins recorded.
+// applications that send lookups (idempotent requests) and syncs
+// (non-idempotent requests). During the run it publishes a changed document and
+// performs a planned stop of a node. The last line of the output summarizes
+// what the clients and stand-ins recorded.
 
 #include "demo/report.hpp"
 
@@ -28,7 +29,8 @@
 
 using nlohmann::json;
 
-/// The size of a deployment. The service names are those of its document.
+/// A deployment: the numbers of its processes, and services that its document
+/// declares.
 struct deployment {
     const char* name;
     int zones;
@@ -56,8 +58,8 @@
 /// One run of the demo.
 class demo_run {
 public:
-    demo_run(const deployment& deployment_size, json document)
-        : deployment_(deployment_size), document_(std::move(document)),
+    demo_run(const deployment& selected_deployment, json document)
+        : deployment_(selected_deployment), document_(std::move(document)),
           cluster_(absl::GetFlag(FLAGS_programs)) {}
 
     /// Runs the demo and returns its exit code: 0 if no client or stand-in saw
@@ -84,7 +86,7 @@
         while (has_running_clients()) {
             report_progress(2);
         }
-        run_report report;
+        demo_report report;
         for (auto* trainer : trainers_) {
             add_trainer_output(report, trainer->output());
         }
--- a/testing/integration/entry_client_test.cpp
+++ b/testing/integration/entry_client_test.cpp
@@ -10,13 +10,13 @@
 namespace hibiscus::testing {
 namespace {
 
-/// A fake entry instance that answers every request with the current list of
-/// entry addresses and a time to live of zero. The destructor closes the
+/// A fake entry instance that responds to every request with the current list
+/// of entry addresses and a time to live of zero. The destructor closes the
 /// listening socket and all connections.
-class static_entry {
+class fake_entry {
 public:
     /// Starts the entry; `get_addresses` returns the addresses to respond with.
-    explicit static_entry(
+    explicit fake_entry(
         const std::function<std::vector<base::endpoint>()>& get_addresses)
         : server_(std::make_unique<net::http_server>(
               io_, net::http_limits{},
@@ -33,14 +33,14 @@
           address_(*server_->listen({"127.0.0.1", 0})),
           thread_([this] { io_.run(); }) {}
 
-    ~static_entry() {
+    ~fake_entry() {
         server_.reset();
         io_.stop();
         thread_.join();
     }
 
-    static_entry(const static_entry&) = delete;
-    static_entry& operator=(const static_entry&) = delete;
+    fake_entry(const fake_entry&) = delete;
+    fake_entry& operator=(const fake_entry&) = delete;
 
     /// Returns the address that the entry listens on.
     const base::endpoint& address() const { return address_; }
@@ -71,9 +71,9 @@
         "127.0.0.1", reserved_ports.reserve("127.0.0.1")};
     std::vector<base::endpoint> addresses{unreachable_address};
     const auto get_addresses = [&addresses] { return addresses; };
-    static_entry second(get_addresses);
+    fake_entry second(get_addresses);
     addresses.push_back(second.address());
-    auto first = std::make_unique<static_entry>(get_addresses);
+    auto first = std::make_unique<fake_entry>(get_addresses);
     entry_client client({first->address()});
     EXPECT_GT(count_responded(client, 6), 0);
     first.reset();
--- a/testing/integration/input_test.cpp
+++ b/testing/integration/input_test.cpp
@@ -63,7 +63,7 @@
     /// `preceding_input` is printed on failure.
     void expect_serving(const std::string& preceding_input) {
         const auto key = "after-" + std::to_string(++counter_);
-        const auto response = run_request(0, make_request(key, true, 10000));
+        const auto response = send_request(0, make_request(key, true, 10000));
         ASSERT_TRUE(response.has_value()) << preceding_input;
         EXPECT_EQ(response->result, wire::outcome::completed)
             << preceding_input;
@@ -163,10 +163,10 @@
 
 // One sync is sent 20 times and one pull 50 times. The sync must run once, and
 // every pull must get a response.
-TEST_F(input_test, a_repeated_sync_runs_once_and_repeated_pulls_are_answered) {
+TEST_F(input_test, a_repeated_sync_runs_once_and_repeated_pulls_get_responses) {
     const auto sync = make_request("sync-1", false, 10000);
     for (int i = 0; i < 20; ++i) {
-        const auto response = run_request(0, sync);
+        const auto response = send_request(0, sync);
         ASSERT_TRUE(response.has_value());
         EXPECT_EQ(response->result, wire::outcome::completed);
     }
--- a/testing/integration/retention_test.cpp
+++ b/testing/integration/retention_test.cpp
@@ -43,7 +43,8 @@
         return revisions_in_force;
     }
 
-    /// Returns the base revision of the last publish record in the log.
+    /// Returns the base revision of the last publish in the log. Records with a
+    /// revision other than 0 repeat a document and are skipped.
     wire::log_offset last_publish_base() {
         const auto page = wire::from_json<wire::log_page>(cluster_.send_request(
             "log", "GET", "/v1/streams/config/records?from=0"));
@@ -63,7 +64,7 @@
 // More documents are published than the log retains records, so the record with
 // the document in force is gone. A new node and the next publisher must still
 // find the revision in force.
-TEST_F(retention_test, a_publish_and_a_fresh_node_find_the_revision_in_force) {
+TEST_F(retention_test, a_publish_and_a_new_node_find_the_revision_in_force) {
     wire::log_offset previous_base = -1;
     for (int i = 0; i < 9; ++i) {
         ASSERT_TRUE(eventually(
@@ -84,7 +85,7 @@
 }
 
 // Retention drops the record of a completed charge, and every node is replaced.
-// When the caller repeats the request, a new home node that took the key for
+// When the caller repeats the request, a new home node that considered the key
 // unused would charge twice.
 TEST_F(retention_test, a_charge_is_not_repeated_by_new_homes) {
     ASSERT_TRUE(eventually(
--- a/testing/integration/samples_failures_test.cpp
+++ b/testing/integration/samples_failures_test.cpp
@@ -120,8 +120,8 @@
 }
 
 // Some weight swaps fail, and the engines do not check fencing tokens. The
-// engines keep serving the versions that they have, and the samples must name
-// exactly these.
+// engines keep serving the versions that they have, and the samples must be
+// reported with exactly these versions.
 TEST_F(samples_failures_test,
        samples_name_their_versions_when_swaps_fail_without_fencing) {
     start_engines_and_trainer(false,
--- a/testing/integration/system_failures_test.cpp
+++ b/testing/integration/system_failures_test.cpp
@@ -73,7 +73,7 @@
     }
 
     /// Returns how many requests the instance `service` has run.
-    std::size_t run_count(const std::string& service) {
+    std::size_t run_request_count(const std::string& service) {
         return json::parse(
                    scenario_.cluster().send_request(service, "GET", "/v1/runs"))
             .size();
@@ -185,14 +185,14 @@
     const auto& leaving_service = scenario_.service_names().front();
     mark_leaving(leaving_service);
     EXPECT_TRUE(eventually([&] {
-        const auto runs_before = run_count(leaving_service);
+        const auto runs_before = run_request_count(leaving_service);
         return scenario_.wait_for_completions("lookup-", 30) &&
-               run_count(leaving_service) == runs_before;
+               run_request_count(leaving_service) == runs_before;
     }));
-    const auto runs_after = run_count(leaving_service);
+    const auto runs_after = run_request_count(leaving_service);
     EXPECT_TRUE(scenario_.wait_for_completions("lookup-", 30));
     EXPECT_TRUE(scenario_.wait_for_completions("sync-", 10));
-    EXPECT_EQ(run_count(leaving_service), runs_after);
+    EXPECT_EQ(run_request_count(leaving_service), runs_after);
 }
 
 // An engine is marked as leaving. The streams that it runs must complete, and
@@ -281,7 +281,8 @@
 }
 
 // A home node resumes from a pause during a log outage. It still considers its
-// claims valid and cannot learn from the log that another node holds the epoch.
+// claims valid and cannot learn from the log that another node has taken over
+// with a newer epoch.
 TEST_F(system_failures_test, a_home_that_wakes_in_a_log_outage_does_no_harm) {
     auto& home = find_step_home();
     home.daemon->signal(SIGSTOP);
--- a/testing/integration/traffic_fixture.hpp
+++ b/testing/integration/traffic_fixture.hpp
@@ -24,7 +24,8 @@
     "limits": {"entries_ttl_ms": 500, "pull_wait_ms": 1000}})";
 
 /// Fixture of the traffic tests: a cluster, a client that sends requests to a
-/// given node, and access to the run counts of services.
+/// given node, and access to the run counts of services. The tests call an
+/// idempotent request a lookup and a non-idempotent one a sync or a charge.
 class traffic_test : public ::testing::Test {
 protected:
     traffic_test() : cluster_(build_dir), client_({{"127.0.0.1", 1}}) {}
@@ -45,7 +46,7 @@
         for (std::size_t i = 0; i < cluster_.nodes().size(); ++i) {
             ASSERT_TRUE(eventually([&] {
                 const auto response =
-                    run_request(i, make_request("warm-up", true));
+                    send_request(i, make_request("warm-up", true));
                 return response && response->result == wire::outcome::completed;
             }));
         }
@@ -73,7 +74,7 @@
 
     /// Sends a request to a node and returns its response, if any.
     std::optional<wire::service_response>
-    run_request(std::size_t node, const wire::service_request& request) {
+    send_request(std::size_t node, const wire::service_request& request) {
         return entry_client::decode_response<wire::service_response>(
             send(node, "POST", "/v1/requests", wire::to_json(request)));
     }
--- a/testing/integration/traffic_isolation_test.cpp
+++ b/testing/integration/traffic_isolation_test.cpp
@@ -11,7 +11,7 @@
     /// Sends a lookup and returns its response, or an empty one if none
     /// arrived.
     wire::service_response lookup(std::size_t node, const std::string& key) {
-        return run_request(node, make_request(key, true))
+        return send_request(node, make_request(key, true))
             .value_or(wire::service_response{});
     }
 
@@ -68,7 +68,7 @@
 
 // An instance is marked as leaving. After a short time no entry may send
 // requests to it, although it would still respond.
-TEST_F(traffic_isolation_test, a_leaving_instance_gets_no_new_work) {
+TEST_F(traffic_isolation_test, a_leaving_instance_gets_no_new_requests) {
     cluster_.start_platform();
     start_nodes(1);
     const auto leaving_service = cluster_.start_service("ledger", "z1");
@@ -103,7 +103,7 @@
     node.signal(SIGCONT);
     for (int i = 0; i < 30; ++i) {
         const auto key = "woken-" + std::to_string(i);
-        run_request(0, make_request(key, true));
+        send_request(0, make_request(key, true));
         EXPECT_EQ(run_count(leaving_service, key), 0) << key;
     }
     EXPECT_TRUE(eventually(
--- a/testing/integration/traffic_overload_test.cpp
+++ b/testing/integration/traffic_overload_test.cpp
@@ -25,8 +25,8 @@
         return runs.is_object() ? runs.value(key, 0) : 0;
     }
 
-    /// Returns true if the log of the node contains the claim of `key`.
-    bool was_dispatched(const std::string& key) {
+    /// Returns true if the node has logged a claim of `key`.
+    bool has_logged_claim(const std::string& key) {
         std::istringstream lines(cluster_.nodes()[0].daemon->output());
         std::string line;
         while (std::getline(lines, line)) {
@@ -53,19 +53,19 @@
     std::thread caller([&] {
         eventually([&] {
             first_response =
-                run_request(0, make_request("charge-1", false, 60000));
+                send_request(0, make_request("charge-1", false, 60000));
             return first_response &&
                    first_response->result == wire::outcome::completed;
         });
     });
-    const bool dispatched =
-        eventually([&] { return was_dispatched("charge-1"); });
+    const bool claim_logged =
+        eventually([&] { return has_logged_claim("charge-1"); });
     const auto rejection =
-        run_request(0, make_request("charge-2", false, 60000));
+        send_request(0, make_request("charge-2", false, 60000));
     cluster_.fake_process(service_).signal(SIGCONT);
     caller.join();
     const int runs_before_retry = run_count("charge-2");
-    ASSERT_TRUE(dispatched);
+    ASSERT_TRUE(claim_logged);
     ASSERT_TRUE(rejection.has_value());
     EXPECT_EQ(base::name_of(rejection->result), "not_run");
     EXPECT_EQ(base::name_of(rejection->why), "overloaded");
@@ -74,7 +74,7 @@
     ASSERT_TRUE(first_response.has_value());
     EXPECT_EQ(base::name_of(first_response->result), "completed");
     EXPECT_EQ(
-        base::name_of(run_request(0, make_request("charge-2", false, 20000))
+        base::name_of(send_request(0, make_request("charge-2", false, 20000))
                           .value_or(wire::service_response{})
                           .result),
         "completed");
--- a/testing/integration/traffic_refusal_test.cpp
+++ b/testing/integration/traffic_refusal_test.cpp
@@ -3,8 +3,9 @@
 namespace hibiscus::testing {
 namespace {
 
-/// The point at which a connection to a backend server fails, as a rule of the
-/// fault proxy.
+/// A point at which a connection to a backend server fails, as a rule of the
+/// fault proxy. `to_target` and `to_client` are the numbers of bytes that the
+/// proxy forwards in that direction before the fault.
 struct failure_point {
     const char* name;
     const char* rule;
@@ -43,8 +44,8 @@
         cluster_.control_proxy(service_, "cut");
     }
 
-    /// Returns a request with a body so long that the byte offsets of the
-    /// failure points lie in the parts that their names say.
+    /// Returns a request with a body long enough that each failure point falls
+    /// into the part of the message that it is named after.
     static wire::service_request make_long_request(const std::string& id,
                                                    bool idempotent) {
         auto request = make_request(id, idempotent, 1500);
@@ -65,7 +66,7 @@
             set_fault_rule(point.rule);
             const auto key = "cut-" + std::to_string(++number);
             const auto response =
-                run_request(0, make_long_request(key, idempotent));
+                send_request(0, make_long_request(key, idempotent));
             ASSERT_TRUE(response.has_value()) << point.name;
             EXPECT_NE(response->result, wire::outcome::completed) << point.name;
             const auto runs = run_count(service_, key);
@@ -92,7 +93,7 @@
         rule["times"] = 1;
         set_fault_rule(rule.dump());
         const auto key = "again-" + std::to_string(++number);
-        const auto response = run_request(0, make_long_request(key, true));
+        const auto response = send_request(0, make_long_request(key, true));
         ASSERT_TRUE(response.has_value()) << point.name;
         EXPECT_EQ(response->result, wire::outcome::completed) << point.name;
         EXPECT_EQ(response->body,
--- a/testing/integration/traffic_silence_test.cpp
+++ b/testing/integration/traffic_silence_test.cpp
@@ -3,8 +3,7 @@
 namespace hibiscus::testing {
 namespace {
 
-/// Nodes, the ledger service and the log behind fault proxies that silence
-/// connections.
+/// Each test puts some connections behind a fault proxy and silences them.
 class traffic_silence_test : public traffic_test {};
 
 // The network loses track of every open connection between an entry and a
@@ -19,7 +18,7 @@
         for (int i = 0; i < 3; ++i) {
             const auto key = std::to_string(round) + "-" + std::to_string(i);
             const auto response =
-                run_request(0, make_request("lookup-" + key, true, 10000));
+                send_request(0, make_request("lookup-" + key, true, 10000));
             ASSERT_TRUE(response.has_value());
             EXPECT_EQ(response->result, wire::outcome::completed) << key;
         }
@@ -35,7 +34,7 @@
     cluster_.insert_proxy(service);
     publish_and_wait_until_ready();
     cluster_.control_proxy(service, "freeze");
-    const auto response = run_request(0, make_request("sync-1", false, 10000));
+    const auto response = send_request(0, make_request("sync-1", false, 10000));
     ASSERT_TRUE(response.has_value());
     EXPECT_EQ(response->result, wire::outcome::completed);
     EXPECT_EQ(run_count(service, "sync-1"), 1);
@@ -54,7 +53,7 @@
                            R"({"to_client": 0, "action": "freeze"})");
     cluster_.control_proxy(silent_service, "freeze");
     for (int i = 0; i < 10; ++i) {
-        const auto response = run_request(
+        const auto response = send_request(
             0, make_request("lookup-" + std::to_string(i), true, 10000));
         ASSERT_TRUE(response.has_value());
         EXPECT_EQ(response->result, wire::outcome::completed) << i;
@@ -64,7 +63,7 @@
 // The connections between the nodes go silent. Syncs whose key has another home
 // node are forwarded over them; they must get new connections, and no key may
 // run twice.
-TEST_F(traffic_silence_test, syncs_survive_silent_links_between_nodes) {
+TEST_F(traffic_silence_test, syncs_survive_silent_connections_between_nodes) {
     cluster_.start_platform();
     start_nodes(3);
     const auto service = cluster_.start_service("ledger", "z1");
@@ -79,7 +78,7 @@
         const auto key = "sync-" + std::to_string(i);
         std::optional<wire::service_response> response;
         EXPECT_TRUE(eventually([&] {
-            response = run_request(0, make_request(key, false, 10000));
+            response = send_request(0, make_request(key, false, 10000));
             return response && response->result == wire::outcome::completed;
         })) << key;
         EXPECT_EQ(run_count(service, key), 1) << key;
--- a/testing/stand_ins/app.cpp
+++ b/testing/stand_ins/app.cpp
@@ -35,21 +35,23 @@
 using nlohmann::json;
 
 constexpr base::millis timeout_margin_ms = 1000;
-/// The outcome of a lost sync stays unknown, so further retries learn nothing.
+/// Number of `unknown` responses after which a sync is not retried, because its
+/// outcome stays unknown.
 constexpr int max_unknown_responses = 20;
 
 /// Counts and latencies of the calls of one or more callers.
-struct run_stats {
+struct call_stats {
     int lookups = 0;
     int syncs = 0;
+    /// Requests without a response, or whose last response was `not_run`.
     int lost = 0;
     int mismatched_responses = 0;
     int unknown = 0;
+    /// Responses with an outcome other than `completed`, over all attempts.
     int refused = 0;
     std::vector<base::millis> lookup_ms;
     std::vector<base::millis> sync_ms;
-    /// Ids of the syncs whose last response was a rejection. None of them may
-    /// have run.
+    /// Ids of the requests whose last response was `not_run`.
     std::vector<std::string> not_run;
 };
 
@@ -85,10 +87,11 @@
 };
 
 /// One caller and its statistics.
-class app_worker {
+class app_caller {
 public:
-    app_worker(entry_client& client, response_log& responses, int number)
-        : client_(client), response_log_(responses), number_(number) {}
+    app_caller(entry_client& client, response_log& responses, int caller_number)
+        : client_(client), response_log_(responses),
+          caller_number_(caller_number) {}
 
     /// Sends requests until --seconds have passed.
     void run() {
@@ -102,15 +105,15 @@
     }
 
     /// Returns the statistics of this caller.
-    const run_stats& stats() const { return stats_; }
+    const call_stats& stats() const { return stats_; }
 
 private:
     void send_request(int i, bool sync) {
         wire::service_request request;
-        request.id =
-            base::request_id(std::string(sync ? "sync-" : "lookup-") +
-                             absl::GetFlag(FLAGS_name) + "-" +
-                             std::to_string(number_) + "-" + std::to_string(i));
+        request.id = base::request_id(std::string(sync ? "sync-" : "lookup-") +
+                                      absl::GetFlag(FLAGS_name) + "-" +
+                                      std::to_string(caller_number_) + "-" +
+                                      std::to_string(i));
         request.service = base::service_id(absl::GetFlag(FLAGS_service));
         request.idempotent = !sync;
         request.deadline_ms = absl::GetFlag(FLAGS_deadline_ms);
@@ -178,8 +181,8 @@
 
     entry_client& client_;
     response_log& response_log_;
-    int number_;
-    run_stats stats_;
+    int caller_number_;
+    call_stats stats_;
 };
 
 base::millis percentile(std::vector<base::millis> values, double share) {
@@ -192,8 +195,8 @@
     return values[index];
 }
 
-void print(const std::vector<std::unique_ptr<app_worker>>& callers) {
-    run_stats total;
+void print(const std::vector<std::unique_ptr<app_caller>>& callers) {
+    call_stats total;
     for (const auto& caller : callers) {
         const auto& stats = caller->stats();
         total.lookups += stats.lookups;
@@ -229,14 +232,14 @@
 
 int main(int argc, char** argv) {
     absl::ParseCommandLine(argc, argv);
-    using hibiscus::testing::app_worker;
+    using hibiscus::testing::app_caller;
     hibiscus::testing::entry_client client(
         hibiscus::testing::parse_addresses(absl::GetFlag(FLAGS_entries)));
     hibiscus::testing::response_log responses(absl::GetFlag(FLAGS_answers));
-    std::vector<std::unique_ptr<app_worker>> callers;
+    std::vector<std::unique_ptr<app_caller>> callers;
     std::vector<std::thread> threads;
     for (int i = 0; i < absl::GetFlag(FLAGS_callers); ++i) {
-        callers.push_back(std::make_unique<app_worker>(client, responses, i));
+        callers.push_back(std::make_unique<app_caller>(client, responses, i));
         threads.emplace_back(
             [caller = callers.back().get()] { caller->run(); });
     }
--- a/testing/stand_ins/cache_event_log.hpp
+++ b/testing/stand_ins/cache_event_log.hpp
@@ -39,16 +39,16 @@
 class cache_event_log {
 public:
     /// Constructs a log that publishes events `lag_ms` after they occur and
-    /// loses `gap_percent` of them.
-    cache_event_log(base::millis lag_ms, int gap_percent)
-        : lag_ms_(lag_ms), gap_percent_(gap_percent) {}
+    /// loses `loss_percent` of them.
+    cache_event_log(base::millis lag_ms, int loss_percent)
+        : lag_ms_(lag_ms), loss_percent_(loss_percent) {}
 
     /// Records an event, unless it is one of the lost ones.
     void append(base::millis now, cache_event_kind kind,
                 const std::string& prefix) {
         ++last_sequence_;
         std::uniform_int_distribution<int> percent_distribution(0, 99);
-        if (percent_distribution(random_) >= gap_percent_) {
+        if (percent_distribution(random_) >= loss_percent_) {
             events_.push_back({last_sequence_, now, kind, prefix});
         }
         if (events_.size() > max_events) {
@@ -83,7 +83,7 @@
     };
 
     base::millis lag_ms_;
-    int gap_percent_;
+    int loss_percent_;
     std::int64_t last_sequence_ = 0;
     std::deque<cache_event> events_;
     std::mt19937_64 random_{2};
--- a/testing/stand_ins/engine.cpp
+++ b/testing/stand_ins/engine.cpp
@@ -10,7 +10,8 @@
 // progress), "crash" (drops all state except the record for the oracle, as a
 // restart would), "fail_swaps" (the share of swaps that fail).
 // Does not model the memory of the KV cache per token, the influence of the
-// batch size on the time of a step, the size of an exported cache, or adapters.
+// batch size on the time of a decoding step, the size of an exported cache, or
+// adapters.
 
 #include "hibiscus/net/http_client.hpp"
 #include "hibiscus/wire/codec.hpp"
@@ -56,7 +57,7 @@
 using nlohmann::json;
 
 /// A stream between its start and its stop.
-struct stream_row {
+struct engine_stream {
     wire::stream_start start;
     std::vector<wire::chunk> chunks;
     std::uint32_t length = 0;
@@ -86,9 +87,9 @@
 constexpr base::millis weights_timeout_ms = 20000;
 
 /// Implements the engine. Single-threaded.
-class fake_engine {
+class engine_stand_in {
 public:
-    explicit fake_engine(boost::asio::io_context& io)
+    explicit engine_stand_in(boost::asio::io_context& io)
         : timer_(io), http_(io, 1000),
           weight_store_(base::parse_endpoint(absl::GetFlag(FLAGS_weights))) {
         tick();
@@ -126,7 +127,7 @@
         } else if (path == "/v1/streams/import") {
             import_stream(request, respond);
         } else if (path == "/v1/orders") {
-            order(request, respond);
+            handle_order(request, respond);
         } else if (path == "/v1/role") {
             change_role(request, respond);
         } else if (path == "/v1/cache_events") {
@@ -231,7 +232,7 @@
             respond({400, "{}", "application/json"});
             return;
         }
-        stream_row row;
+        engine_stream row;
         row.start = *message;
         row.length = body.value("length", std::uint32_t{1});
         row.has_kv_cache = true;
@@ -282,7 +283,7 @@
         } else {
             ++started_count_;
             chunk_versions_[message->stream.str()].emplace_back();
-            stream_row row;
+            engine_stream row;
             row.length = draw_length(*message);
             row.arrival = started_count_;
             row.start = std::move(*message);
@@ -292,6 +293,8 @@
         respond(ok_response("{}"));
     }
 
+    /// Draws the number of chunks of a stream. Must match sample_length() in
+    /// bench/scenario.cpp.
     static std::uint32_t draw_length(const wire::stream_start& start) {
         std::mt19937_64 random(start.seed);
         std::uniform_int_distribution<std::uint32_t> chunks(
@@ -373,8 +376,8 @@
         return response;
     }
 
-    void order(const net::http_request& request,
-               const net::http_responder& respond) {
+    void handle_order(const net::http_request& request,
+                      const net::http_responder& respond) {
         const auto parsed = wire::from_json<wire::version_order>(request.body);
         const auto* message = base::value_if(parsed);
         if (message == nullptr) {
@@ -393,8 +396,8 @@
         http_.send(
             weight_store_.value_or(base::endpoint{}), std::move(fetch),
             weights_timeout_ms, net::connection_reuse::allowed,
-            [this, m = *message, respond](const net::http_result& result) {
-                on_weights_fetched(m, result, respond);
+            [this, order = *message, respond](const net::http_result& result) {
+                on_weights_fetched(order, result, respond);
             });
     }
 
@@ -467,7 +470,7 @@
     }
 
     void admit_queued_streams() {
-        std::vector<stream_row*> queued;
+        std::vector<engine_stream*> queued;
         int running_count = 0;
         for (auto& [id, row] : streams_) {
             if (row.state == wire::stream_state::queued) {
@@ -476,7 +479,7 @@
             running_count += row.state == wire::stream_state::running ? 1 : 0;
         }
         std::sort(queued.begin(), queued.end(),
-                  [](const stream_row* a, const stream_row* b) {
+                  [](const engine_stream* a, const engine_stream* b) {
                       return std::make_pair(-a->start.priority, a->arrival) <
                              std::make_pair(-b->start.priority, b->arrival);
                   });
@@ -486,15 +489,16 @@
             }
             row->state = wire::stream_state::running;
             row->prefill_chunks_left =
-                row->has_kv_cache || touch_prefix(row->start.prompt)
+                row->has_kv_cache || use_prefix(row->start.prompt)
                     ? 0
                     : absl::GetFlag(FLAGS_prefill_chunks);
         }
     }
 
-    /// Returns true if the prefix of the prompt is cached, and marks it as the
-    /// most recently used one.
-    bool touch_prefix(const std::string& prompt) {
+    /// Returns true if the prefix of the prompt is cached. Inserts it or marks
+    /// it as the most recently used one, and evicts the least recently used
+    /// prefix if the cache is full.
+    bool use_prefix(const std::string& prompt) {
         const auto entry =
             std::find(prefix_cache_.begin(), prefix_cache_.end(), prompt);
         const bool hit = entry != prefix_cache_.end();
@@ -515,7 +519,7 @@
         return hit;
     }
 
-    void produce_chunk(stream_row& row) {
+    void produce_chunk(engine_stream& row) {
         if (row.prefill_chunks_left > 0) {
             --row.prefill_chunks_left;
             return;
@@ -543,7 +547,7 @@
     boost::asio::steady_timer timer_;
     net::http_client http_;
     std::optional<base::endpoint> weight_store_;
-    std::map<base::stream_id, stream_row> streams_;
+    std::map<base::stream_id, engine_stream> streams_;
     std::map<base::trainer_id, wire::weight_version> served_versions_;
     std::pair<std::int64_t, std::int64_t> highest_fencing_token_{0, 0};
     std::list<std::string> prefix_cache_;
@@ -570,10 +574,10 @@
 
 int main(int argc, char** argv) {
     absl::ParseCommandLine(argc, argv);
-    using hibiscus::testing::fake_engine;
+    using hibiscus::testing::engine_stand_in;
     return hibiscus::testing::run_fake_server(
         absl::GetFlag(FLAGS_address), [](boost::asio::io_context& io) {
-            auto engine = std::make_shared<fake_engine>(io);
+            auto engine = std::make_shared<engine_stand_in>(io);
             return [engine](const hibiscus::net::http_request& request,
                             const hibiscus::net::http_responder& respond) {
                 engine->handle(request, respond);
--- a/testing/stand_ins/instance_list.cpp
+++ b/testing/stand_ins/instance_list.cpp
@@ -20,7 +20,7 @@
 namespace {
 
 /// Implements the service. Single-threaded.
-class fake_instance_list {
+class instance_list_stand_in {
 public:
     /// Handles one request.
     void handle(const net::http_request& request,
@@ -95,7 +95,7 @@
 
 int main(int argc, char** argv) {
     absl::ParseCommandLine(argc, argv);
-    auto list = std::make_shared<hibiscus::testing::fake_instance_list>();
+    auto list = std::make_shared<hibiscus::testing::instance_list_stand_in>();
     return hibiscus::testing::run_fake_server(
         absl::GetFlag(FLAGS_address), [&](boost::asio::io_context&) {
             return [list](const hibiscus::net::http_request& request,
--- a/testing/stand_ins/log_service.cpp
+++ b/testing/stand_ins/log_service.cpp
@@ -4,10 +4,10 @@
 // "hold_stream" (appends to this stream are held until the value changes),
 // "slow_ms" (latency added to each append and read), "lose_answers" (number of
 // appends that take effect without a response), "drop_appends" (number of
-// appends that neither take effect nor get a response), "rate" (appends a
-// second) and "retention" (records kept in each stream).
-// Keeps all records in memory. Does not model replication, clocks of several
-// writers, disks, or records that are read out of order.
+// appends that neither take effect nor get a response), "rate" (appends
+// per second) and "retention" (records kept in each stream).
+// Keeps all records in memory. Does not model replication, clock skew of
+// several writers, disks, or records that are read out of order.
 
 #include "hibiscus/wire/codec.hpp"
 #include "support/fake_server.hpp"
@@ -25,7 +25,7 @@
 #include <vector>
 
 ABSL_FLAG(std::string, address, "127.0.0.1:0", "address to listen on");
-ABSL_FLAG(int, rate, 400, "appends a second; more are rejected with 429");
+ABSL_FLAG(int, rate, 400, "appends per second; more are rejected with 429");
 ABSL_FLAG(int, retention, 1000000, "records kept in each stream");
 ABSL_FLAG(int, append_ms, 2, "duration of an append in ms");
 
@@ -50,7 +50,7 @@
 };
 
 /// A stream and the reads that wait for its next record.
-struct stream_row {
+struct log_stream {
     wire::log_offset first = 0;
     std::deque<wire::log_record> records;
     std::vector<waiting_read> waiting_reads;
@@ -65,9 +65,9 @@
 constexpr std::size_t page_records = 500;
 
 /// Implements the service. Single-threaded.
-class fake_log_service {
+class log_service_stand_in {
 public:
-    explicit fake_log_service(boost::asio::io_context& io)
+    explicit log_service_stand_in(boost::asio::io_context& io)
         : timer_(io), io_(io) {
         tick();
     }
@@ -129,8 +129,8 @@
     }
 
     /// Holds appends to `stream` until the held stream changes; "" holds none.
-    /// Once "held" in /v1/counts reports the ids of two writers, both have read
-    /// the state that their appends build on.
+    /// Once "held" in /v1/counts is 2, two writers have read the state that
+    /// their appends build on.
     void set_held_stream(const std::string& stream) {
         if (stream == held_stream_) {
             return;
@@ -153,7 +153,7 @@
         return ids.size();
     }
 
-    void append(stream_row& stream, const net::http_request& request,
+    void append(log_stream& stream, const net::http_request& request,
                 const net::http_responder& respond) {
         const auto parsed = wire::from_json<wire::append_request>(request.body);
         const auto* record = base::value_if(parsed);
@@ -211,7 +211,7 @@
             });
     }
 
-    void read(stream_row& stream, const net::http_request& request,
+    void read(log_stream& stream, const net::http_request& request,
               const net::http_responder& respond) {
         const auto from = parse_query_number(request.target, "from", 0);
         const auto wait = parse_query_number(request.target, "wait_ms", 0);
@@ -222,7 +222,7 @@
         respond_to_reads(stream);
     }
 
-    void respond_to_reads(stream_row& stream) {
+    void respond_to_reads(log_stream& stream) {
         auto& waiting_reads = stream.waiting_reads;
         for (std::size_t i = 0; i < waiting_reads.size();) {
             const auto now = clock_.now();
@@ -240,7 +240,7 @@
         }
     }
 
-    net::http_response make_page_response(const stream_row& stream,
+    net::http_response make_page_response(const log_stream& stream,
                                           wire::log_offset from) const {
         if (outage_) {
             return {503, "{}", "application/json"};
@@ -270,7 +270,7 @@
     base::clock clock_;
     boost::asio::steady_timer timer_;
     boost::asio::io_context& io_;
-    std::map<std::string, stream_row> streams_;
+    std::map<std::string, log_stream> streams_;
     std::vector<net::http_responder> unresponded_;
     std::string held_stream_;
     std::vector<held_append> held_appends_;
@@ -290,11 +290,11 @@
 
 int main(int argc, char** argv) {
     absl::ParseCommandLine(argc, argv);
-    using hibiscus::testing::fake_log_service;
-    std::shared_ptr<fake_log_service> service;
+    using hibiscus::testing::log_service_stand_in;
+    std::shared_ptr<log_service_stand_in> service;
     return hibiscus::testing::run_fake_server(
         absl::GetFlag(FLAGS_address), [&](boost::asio::io_context& io) {
-            service = std::make_shared<fake_log_service>(io);
+            service = std::make_shared<log_service_stand_in>(io);
             return [service](const hibiscus::net::http_request& request,
                              const hibiscus::net::http_responder& respond) {
                 service->handle(request, respond);
--- a/testing/stand_ins/plain_service.cpp
+++ b/testing/stand_ins/plain_service.cpp
@@ -25,9 +25,9 @@
 namespace {
 
 /// Implements the service. Single-threaded.
-class fake_plain_service {
+class plain_service_stand_in {
 public:
-    explicit fake_plain_service(boost::asio::io_context& io) : io_(io) {}
+    explicit plain_service_stand_in(boost::asio::io_context& io) : io_(io) {}
 
     /// Handles one request.
     void handle(const net::http_request& request,
@@ -94,10 +94,10 @@
 
 int main(int argc, char** argv) {
     absl::ParseCommandLine(argc, argv);
-    using hibiscus::testing::fake_plain_service;
+    using hibiscus::testing::plain_service_stand_in;
     return hibiscus::testing::run_fake_server(
         absl::GetFlag(FLAGS_address), [](boost::asio::io_context& io) {
-            auto service = std::make_shared<fake_plain_service>(io);
+            auto service = std::make_shared<plain_service_stand_in>(io);
             return [service](const hibiscus::net::http_request& request,
                              const hibiscus::net::http_responder& respond) {
                 service->handle(request, respond);
--- a/testing/stand_ins/trainer.cpp
+++ b/testing/stand_ins/trainer.cpp
@@ -42,7 +42,7 @@
 constexpr base::millis pull_wait_ms = 1000;
 
 /// Statistics of a run.
-struct run_stats {
+struct trainer_stats {
     int steps = 0;
     std::uint32_t received_samples = 0;
     std::uint32_t requested_samples = 0;
@@ -51,15 +51,16 @@
     int text_mismatches = 0;
     base::millis idle_ms = 0;
     std::int64_t staleness_sum = 0;
-    std::vector<base::millis> step_ms;
+    /// Time that the trainer pulled the samples of each step.
+    std::vector<base::millis> pull_ms;
     /// Time from the opening of each step to its last sample.
     std::vector<base::millis> completion_ms;
 };
 
 /// Implements the trainer. Single-threaded.
-class fake_trainer {
+class trainer_stand_in {
 public:
-    fake_trainer()
+    trainer_stand_in()
         : name_(absl::GetFlag(FLAGS_name)),
           client_(parse_addresses(absl::GetFlag(FLAGS_entries))),
           weight_store_(base::parse_endpoint(absl::GetFlag(FLAGS_weights))
@@ -80,7 +81,7 @@
             const auto pulling_since = client_.clock().now();
             pull_samples(step);
             stats_.idle_ms += client_.clock().now() - pulling_since;
-            stats_.step_ms.push_back(client_.clock().now() - pulling_since);
+            stats_.pull_ms.push_back(client_.clock().now() - pulling_since);
             stats_.completion_ms.push_back(client_.clock().now() - opened_at_);
             ++stats_.steps;
             opened_at_ = client_.clock().now();
@@ -235,7 +236,7 @@
                           {"idle_ms", stats_.idle_ms},
                           {"total_ms", total},
                           {"staleness_sum", stats_.staleness_sum},
-                          {"step_ms", stats_.step_ms},
+                          {"step_ms", stats_.pull_ms},
                           {"completion_ms", stats_.completion_ms}}
                   << std::endl;
     }
@@ -247,7 +248,7 @@
     std::int64_t last_pull_ = 0;
     std::ofstream sample_log_;
     base::millis opened_at_ = 0;
-    run_stats stats_;
+    trainer_stats stats_;
 };
 
 } // namespace
@@ -255,7 +256,7 @@
 
 int main(int argc, char** argv) {
     absl::ParseCommandLine(argc, argv);
-    hibiscus::testing::fake_trainer trainer;
+    hibiscus::testing::trainer_stand_in trainer;
     trainer.run();
     return 0;
 }
--- a/testing/stand_ins/weight_store.cpp
+++ b/testing/stand_ins/weight_store.cpp
@@ -27,9 +27,9 @@
 namespace {
 
 /// Implements the service. Single-threaded.
-class fake_weight_store {
+class weight_store_stand_in {
 public:
-    explicit fake_weight_store(boost::asio::io_context& io) : io_(io) {}
+    explicit weight_store_stand_in(boost::asio::io_context& io) : io_(io) {}
 
     /// Handles one request.
     void handle(const net::http_request& request,
@@ -91,10 +91,10 @@
 
 int main(int argc, char** argv) {
     absl::ParseCommandLine(argc, argv);
-    using hibiscus::testing::fake_weight_store;
+    using hibiscus::testing::weight_store_stand_in;
     return hibiscus::testing::run_fake_server(
         absl::GetFlag(FLAGS_address), [](boost::asio::io_context& io) {
-            auto store = std::make_shared<fake_weight_store>(io);
+            auto store = std::make_shared<weight_store_stand_in>(io);
             return [store](const hibiscus::net::http_request& request,
                            const hibiscus::net::http_responder& respond) {
                 store->handle(request, respond);
