--- a/packages/cluster/test/claim_coordinator_test.cpp
+++ b/packages/cluster/test/claim_coordinator_test.cpp
@@ -55,7 +55,7 @@
 };
 
 /// Two coordinators, a and b, and the log of one shard.
-class claim_home_test : public ::testing::Test {
+class claim_coordinator_test : public ::testing::Test {
 protected:
     /// Appends the last record that `node` sent to the log and reports success.
     void append_last_sent(coordinator_harness& node) {
@@ -117,7 +117,7 @@
 
 // The log refuses one append and then recovers. Callers that retry after the
 // delay must be served, and not be rejected forever.
-TEST_F(claim_home_test, a_shard_serves_again_after_a_refused_append) {
+TEST_F(claim_coordinator_test, a_shard_serves_again_after_a_refused_append) {
     acquire_shard(a_, 0);
     a_.submit(10, 1, "k");
     a_.tick(20);
@@ -131,7 +131,8 @@
 // Another node becomes the holder while a claim is in flight. The claim cannot
 // become valid, and its caller must get a response when it is read back, not at
 // its deadline.
-TEST_F(claim_home_test, a_claim_under_an_old_epoch_is_rejected_when_read_back) {
+TEST_F(claim_coordinator_test,
+       a_claim_under_an_old_epoch_is_rejected_when_read_back) {
     acquire_shard(a_, 0);
     acquire_shard(b_, 0);
     a_.submit(10, 1, "k");
@@ -145,7 +146,7 @@
 
 // A node appends two epoch records because the response to the first is late. A
 // claim that was sent between the two belongs to an epoch that has ended.
-TEST_F(claim_home_test,
+TEST_F(claim_coordinator_test,
        a_claim_between_two_own_epochs_is_rejected_when_read_back) {
     a_.coordinator.assign_shards({shard});
     a_.tick(0);
@@ -165,7 +166,7 @@
 
 // A claim is queued when the node's second epoch record is read. It must be
 // sent under the new epoch, or it is rejected for no reason.
-TEST_F(claim_home_test, a_claim_carries_the_epoch_held_when_it_is_sent) {
+TEST_F(claim_coordinator_test, a_claim_carries_the_epoch_held_when_it_is_sent) {
     acquire_shard(a_, 0);
     a_.submit(5, 1, "k");
     auto second_epoch = log_.front();
@@ -181,7 +182,7 @@
 // refused during an outage. If the release were queued again under a new
 // sequence number, it would free the key after another claim, and a charge
 // would be made twice.
-TEST_F(claim_home_test, an_uncertain_release_keeps_its_sequence_number) {
+TEST_F(claim_coordinator_test, an_uncertain_release_keeps_its_sequence_number) {
     acquire_shard(a_, 0);
     start(a_, 10, 1, "k");
     finish(a_, "k", wire::outcome::not_run);
@@ -198,7 +199,8 @@
 // A caller's deadline passes while the release of its earlier attempt is
 // queued. Without the release, callers of the key would receive `unknown`
 // forever.
-TEST_F(claim_home_test, an_expired_request_keeps_the_release_of_its_key) {
+TEST_F(claim_coordinator_test,
+       an_expired_request_keeps_the_release_of_its_key) {
     acquire_shard(a_, 0);
     start(a_, 10, 1, "k");
     finish(a_, "k", wire::outcome::not_run);
@@ -211,7 +213,7 @@
 // The request has run, the response to the caller is lost, and the caller
 // retries before the outcome is in the log. The retry must receive the outcome
 // of the first run.
-TEST_F(claim_home_test, a_retry_gets_an_outcome_that_is_not_yet_logged) {
+TEST_F(claim_coordinator_test, a_retry_gets_an_outcome_that_is_not_yet_logged) {
     acquire_shard(a_, 0);
     start(a_, 10, 1, "k");
     finish(a_, "k", wire::outcome::completed);
@@ -224,7 +226,7 @@
 // An attempt was rejected before the request was sent, and the caller retries
 // at once, before the release is in the log. The request can run, so the
 // response must not be `unknown`.
-TEST_F(claim_home_test, a_retry_runs_before_the_release_is_appended) {
+TEST_F(claim_coordinator_test, a_retry_runs_before_the_release_is_appended) {
     acquire_shard(a_, 0);
     start(a_, 10, 1, "k");
     finish(a_, "k", wire::outcome::not_run);
@@ -235,7 +237,8 @@
 
 // A second caller joins a running request with an earlier deadline. It must
 // receive `unknown` instead of waiting past its deadline.
-TEST_F(claim_home_test, each_waiter_gets_a_response_by_its_own_deadline) {
+TEST_F(claim_coordinator_test,
+       each_waiter_gets_a_response_by_its_own_deadline) {
     acquire_shard(a_, 0);
     start(a_, 10, 1, "k", 60000);
     a_.submit(20, 2, "k", 100);
@@ -250,7 +253,8 @@
 // Operators increase the claim retention after some claims were dropped. A
 // request that was too old under the old retention is within the new one and
 // would run again.
-TEST_F(claim_home_test, a_longer_retention_does_not_admit_dropped_claims) {
+TEST_F(claim_coordinator_test,
+       a_longer_retention_does_not_admit_dropped_claims) {
     acquire_shard(a_, 0);
     a_.coordinator.set_claim_retention(1000);
     start(a_, 10, 1, "k");
@@ -269,7 +273,7 @@
 // The home node changes while a claim is in flight, and the caller receives
 // `not_run`. The old node must still read the claim back and release it, or the
 // key stays claimed without a run.
-TEST_F(claim_home_test,
+TEST_F(claim_coordinator_test,
        a_claim_appended_after_the_home_node_changed_is_released) {
     acquire_shard(a_, 0);
     a_.submit(10, 1, "k");
@@ -288,7 +292,7 @@
 
 // A caller retries after the claim retention. Whether its first attempt ran is
 // unknown, so `not_run` could be false.
-TEST_F(claim_home_test, a_request_older_than_the_window_is_unknown) {
+TEST_F(claim_coordinator_test, a_request_older_than_the_window_is_unknown) {
     acquire_shard(a_, 0);
     a_.submit(700000, 1, "k");
     ASSERT_EQ(a_.responses[1].size(), 1U);
@@ -300,7 +304,8 @@
 // When the old holder resumes, it reads its claim, which came first, and may
 // run the request. The new holder never does, and learns the outcome from the
 // log.
-TEST_F(claim_home_test, only_the_paused_holder_runs_the_claim_it_made_in_time) {
+TEST_F(claim_coordinator_test,
+       only_the_paused_holder_runs_the_claim_it_made_in_time) {
     acquire_shard(a_, 0);
     a_.submit(10, 1, "k", 60000);
     a_.tick(20);
--- a/packages/cluster/test/claim_state_machine_test.cpp
+++ b/packages/cluster/test/claim_state_machine_test.cpp
@@ -8,7 +8,7 @@
 const base::request_id key("sync-1");
 
 /// Applies records as the holders a and b would write them.
-class claim_fold_test : public ::testing::Test {
+class claim_state_machine_test : public ::testing::Test {
 protected:
     /// Applies a record of `node` and returns the keys that it claimed.
     std::vector<base::request_id> apply(const std::string& node,
@@ -31,7 +31,7 @@
 // A caller retries at another entry node while its first attempt is being
 // claimed, so the log contains two claims for one key. If both were valid, a
 // charge would be made twice.
-TEST_F(claim_fold_test, only_the_first_claim_of_a_key_counts) {
+TEST_F(claim_state_machine_test, only_the_first_claim_of_a_key_counts) {
     apply("a", 1, true, {});
     const auto first = apply("a", 2, false, {item(wire::claim_kind::claim, 0)});
     const auto second =
@@ -43,7 +43,7 @@
 // The old holder is paused between building its append and sending it. When it
 // resumes, the shard has a new holder, which may have responded that the key is
 // not claimed.
-TEST_F(claim_fold_test, a_claim_under_an_old_epoch_is_ignored) {
+TEST_F(claim_state_machine_test, a_claim_under_an_old_epoch_is_ignored) {
     apply("a", 1, true, {});
     apply("b", 1, true, {});
     const auto late = apply("a", 2, false, {item(wire::claim_kind::claim, 0)});
@@ -52,7 +52,7 @@
 
 // The holder lost the shard after it dispatched the request. Without its
 // outcome, callers would receive `unknown` forever.
-TEST_F(claim_fold_test, an_outcome_is_applied_after_an_epoch_change) {
+TEST_F(claim_state_machine_test, an_outcome_is_applied_after_an_epoch_change) {
     apply("a", 1, true, {});
     apply("a", 2, false, {item(wire::claim_kind::claim, 0)});
     apply("b", 1, true, {});
@@ -65,7 +65,7 @@
 // The response to the append of a release is lost and the append is sent again.
 // In the meantime the key was claimed again, and that request runs. The
 // duplicate must not free the key for a third request.
-TEST_F(claim_fold_test, a_duplicate_release_does_not_free_the_key) {
+TEST_F(claim_state_machine_test, a_duplicate_release_does_not_free_the_key) {
     apply("a", 1, true, {});
     apply("a", 2, false, {item(wire::claim_kind::claim, 0)});
     apply("a", 3, false, {item(wire::claim_kind::release, 0)});
@@ -76,7 +76,7 @@
 
 // Retention drops the records of a claim whose request has run. A new home node
 // that treated the key as free would run the request again.
-TEST_F(claim_fold_test, a_snapshot_replaces_dropped_records) {
+TEST_F(claim_state_machine_test, a_snapshot_replaces_dropped_records) {
     apply("a", 1, true, {});
     apply("a", 2, false, {item(wire::claim_kind::claim, 0)});
     apply("a", 3, false, {item(wire::claim_kind::outcome, 0)});
@@ -99,7 +99,8 @@
 
 // The log dropped records and has no complete snapshot of them. Any request
 // created earlier may have run, so its key must not be treated as free.
-TEST_F(claim_fold_test, lost_records_without_a_snapshot_reject_older_requests) {
+TEST_F(claim_state_machine_test,
+       lost_records_without_a_snapshot_reject_older_requests) {
     claim_state_machine restored;
     restored.handle_truncation(3, 4, 5000, {base::node_id("b"), 1, 0, 0});
     EXPECT_EQ(restored.claims_dropped_before_ms(), 0);
@@ -113,7 +114,8 @@
 // copy before it is read. Nodes that read the first copy ignore the second; a
 // node that accepted it would hold the shard at the same time as the actual
 // holder.
-TEST_F(claim_fold_test, after_a_loss_a_duplicate_epoch_record_starts_no_epoch) {
+TEST_F(claim_state_machine_test,
+       after_a_loss_a_duplicate_epoch_record_starts_no_epoch) {
     claim_state_machine restored;
     restored.handle_truncation(3, 4, 5000, {base::node_id("b"), 1, 7, 0});
     restored.apply(3, {base::node_id("b"), 1, 7, true, {}, std::nullopt});
--- a/packages/cluster/test/engine_coordinator_test.cpp
+++ b/packages/cluster/test/engine_coordinator_test.cpp
@@ -12,9 +12,9 @@
 const base::stream_id stream("t/1/0/0");
 
 /// The coordinator of one engine with two slots and a queue of one.
-class engine_home_test : public ::testing::Test {
+class engine_coordinator_test : public ::testing::Test {
 protected:
-    engine_home_test() : coordinator_(self, {}) {
+    engine_coordinator_test() : coordinator_(self, {}) {
         traits_.slots = 2;
         traits_.queue_limit = 1;
         traits_.trainers = {trainer};
@@ -102,7 +102,8 @@
     engine_coordinator coordinator_;
 };
 
-TEST_F(engine_home_test, streams_beyond_the_slots_and_the_queue_are_refused) {
+TEST_F(engine_coordinator_test,
+       streams_beyond_the_slots_and_the_queue_are_refused) {
     for (int i = 0; i < 3; ++i) {
         EXPECT_EQ(place(base::stream_id("s" + std::to_string(i))).result,
                   wire::outcome::completed);
@@ -114,7 +115,7 @@
 // The response to a placement is lost, and the trainer's new home node repeats
 // the placement. The engine must not run the sample twice, and the reports must
 // go to the latest requester.
-TEST_F(engine_home_test, a_repeated_placement_finds_its_stream) {
+TEST_F(engine_coordinator_test, a_repeated_placement_finds_its_stream) {
     start_stream();
     EXPECT_EQ(place(stream, base::node_id("n3")).result,
               wire::outcome::completed);
@@ -125,7 +126,7 @@
 
 // The engine's queue is full, and the trainer's new home node requests a stream
 // that is running there. A refusal would make the sample run a second time.
-TEST_F(engine_home_test,
+TEST_F(engine_coordinator_test,
        a_known_stream_is_accepted_even_if_the_engine_is_full) {
     start_stream();
     place(base::stream_id("s1"));
@@ -135,7 +136,8 @@
 
 // The report of a finished sample or its acknowledgement is lost. The sample
 // must be reported until it is acknowledged, and not after that.
-TEST_F(engine_home_test, a_finished_sample_is_reported_until_acknowledged) {
+TEST_F(engine_coordinator_test,
+       a_finished_sample_is_reported_until_acknowledged) {
     start_stream();
     respond_to_poll({make_update(done, {{0, 1, "a"}, {1, 1, "b"}})});
     advance_time(600);
@@ -149,7 +151,8 @@
 
 // The engine keeps the text of a finished sample until the stream is stopped.
 // Without that, its memory would grow with each step.
-TEST_F(engine_home_test, an_acknowledged_stream_is_dropped_at_the_engine) {
+TEST_F(engine_coordinator_test,
+       an_acknowledged_stream_is_dropped_at_the_engine) {
     start_stream();
     respond_to_poll({make_update(done, {{0, 1, "a"}})});
     coordinator_.acknowledge_reports({{stream}});
@@ -161,7 +164,7 @@
 // This node becomes the engine's home node in the middle of a stream, while the
 // response to an earlier poll is in flight. Taken from that response alone, the
 // sample would lack its first chunks.
-TEST_F(engine_home_test, a_sample_without_its_beginning_is_read_again) {
+TEST_F(engine_coordinator_test, a_sample_without_its_beginning_is_read_again) {
     start_stream();
     respond_to_poll({make_update(done, {{2, 1, "c"}})});
     advance_time(300);
@@ -179,7 +182,7 @@
 
 // An engine restarts and runs the same stream again with other weights. Chunks
 // of the two runs combined would form a text that no engine generated.
-TEST_F(engine_home_test, chunks_of_two_runs_are_not_mixed) {
+TEST_F(engine_coordinator_test, chunks_of_two_runs_are_not_mixed) {
     start_stream();
     respond_to_poll({make_update(running, {{0, 1, "old0"}, {1, 1, "old1"}})});
     respond_to_poll({make_update(done, {{2, 2, "new2"}})});
@@ -193,7 +196,7 @@
 
 // The engine's process is killed. If its home node kept reporting the streams
 // as running, the trainer's home node would wait for them forever.
-TEST_F(engine_home_test, streams_of_a_dead_engine_are_reported_missing) {
+TEST_F(engine_coordinator_test, streams_of_a_dead_engine_are_reported_missing) {
     start_stream();
     coordinator_.on_poll_failed(engine);
     coordinator_.on_poll_failed(engine);
@@ -206,7 +209,8 @@
 // The response to a start request is lost although the engine has the stream.
 // If it were reported as missing at once, it would keep running and occupy a
 // slot.
-TEST_F(engine_home_test, a_stream_is_polled_after_a_start_without_a_response) {
+TEST_F(engine_coordinator_test,
+       a_stream_is_polled_after_a_start_without_a_response) {
     place(stream);
     coordinator_.on_start_result(engine, stream, false);
     ASSERT_EQ(coordinator_.next_poll(engine).streams.size(), 1U);
@@ -217,7 +221,7 @@
 
 // The previous home node of a trainer resumes after a pause and cancels a
 // stream that now belongs to the latest requester.
-TEST_F(engine_home_test, a_cancel_of_a_previous_home_node_is_ignored) {
+TEST_F(engine_coordinator_test, a_cancel_of_a_previous_home_node_is_ignored) {
     start_stream();
     place(stream, base::node_id("n3"));
     wire::cancel_streams cancel;
@@ -231,7 +235,7 @@
     EXPECT_EQ(coordinator_.engines().at(engine).streams.size(), 0U);
 }
 
-TEST_F(engine_home_test, a_leaving_engine_gets_no_new_stream) {
+TEST_F(engine_coordinator_test, a_leaving_engine_gets_no_new_stream) {
     start_stream();
     traits_.leaving = true;
     assign();
@@ -239,14 +243,15 @@
     EXPECT_EQ(coordinator_.engines().at(engine).streams.size(), 1U);
 }
 
-TEST_F(engine_home_test, a_placement_on_an_unassigned_engine_is_refused) {
+TEST_F(engine_coordinator_test,
+       a_placement_on_an_unassigned_engine_is_refused) {
     coordinator_.assign_engines(now_, {});
     EXPECT_EQ(place(stream).why, wire::reason::home_moved);
 }
 
 // The engine has executed an order, but its reported version lags behind.
 // Repeating the order would load the same weights twice.
-TEST_F(engine_home_test, an_executed_order_is_not_repeated_at_once) {
+TEST_F(engine_coordinator_test, an_executed_order_is_not_repeated_at_once) {
     wanted_ = {{trainer, 2}};
     advance_time(40);
     coordinator_.on_epoch_appended(9);
@@ -262,7 +267,8 @@
 
 // An engine reports a swap as done but keeps serving the old version. It must
 // be ordered again, but not with every tick.
-TEST_F(engine_home_test, an_engine_that_serves_another_version_is_reordered) {
+TEST_F(engine_coordinator_test,
+       an_engine_that_serves_another_version_is_reordered) {
     wanted_ = {{trainer, 2}};
     advance_time(40);
     coordinator_.on_epoch_appended(9);
@@ -274,7 +280,7 @@
 
 // A swap fails repeatedly. The delay between the attempts must grow, so that
 // the engine has time for the streams that it can serve.
-TEST_F(engine_home_test, a_failed_swap_backs_off) {
+TEST_F(engine_coordinator_test, a_failed_swap_backs_off) {
     wanted_ = {{trainer, 2}};
     advance_time(40);
     coordinator_.on_epoch_appended(9);
@@ -293,7 +299,7 @@
 // Two nodes consider themselves the home node of an engine. The later epoch
 // must win, and an engine that rejected an order must receive the next one
 // under a newer epoch.
-TEST_F(engine_home_test, a_fenced_node_requests_a_new_epoch) {
+TEST_F(engine_coordinator_test, a_fenced_node_requests_a_new_epoch) {
     wanted_ = {{trainer, 2}};
     advance_time(40);
     EXPECT_EQ(epoch_requests_, 1);
@@ -311,7 +317,7 @@
 
 // The log refuses the epoch. It must be requested again, or the engine would
 // keep its version forever.
-TEST_F(engine_home_test, a_failed_epoch_is_requested_again) {
+TEST_F(engine_coordinator_test, a_failed_epoch_is_requested_again) {
     wanted_ = {{trainer, 2}};
     advance_time(40);
     coordinator_.on_epoch_append_failed(now_ + 300);
@@ -323,7 +329,7 @@
 
 // The log is unavailable when another engine is assigned to this node. The
 // engines that it had before must still follow new versions.
-TEST_F(engine_home_test, a_pending_epoch_does_not_delay_other_engines) {
+TEST_F(engine_coordinator_test, a_pending_epoch_does_not_delay_other_engines) {
     wanted_ = {{trainer, 2}};
     advance_time(40);
     coordinator_.on_epoch_appended(9);
@@ -346,7 +352,7 @@
 // The previous home node of an engine that ignores fencing tokens may have an
 // order in flight. An order of this node must come after it, or the engine ends
 // up with the old version.
-TEST_F(engine_home_test,
+TEST_F(engine_coordinator_test,
        an_engine_that_ignores_fencing_is_ordered_after_a_delay) {
     traits_.checks_fencing = false;
     coordinator_.assign_engines(now_, {});
@@ -363,7 +369,8 @@
 // The response to an order is lost and the order may still arrive. The engine
 // does not check fencing tokens, so the old order could overtake a newer one
 // that is sent now.
-TEST_F(engine_home_test, a_lost_order_delays_the_next_one_without_fencing) {
+TEST_F(engine_coordinator_test,
+       a_lost_order_delays_the_next_one_without_fencing) {
     traits_.checks_fencing = false;
     assign();
     wanted_ = {{trainer, 2}};
--- a/packages/cluster/test/step_coordinator_test.cpp
+++ b/packages/cluster/test/step_coordinator_test.cpp
@@ -12,9 +12,9 @@
 const base::trainer_id trainer("t");
 
 /// The coordinator of one trainer. Slots are placed on `next_engine_`.
-class step_home_test : public ::testing::Test {
+class step_coordinator_test : public ::testing::Test {
 protected:
-    step_home_test()
+    step_coordinator_test()
         : coordinator_(
               self, {},
               [this](const placement_query&) -> std::optional<placement> {
@@ -117,7 +117,7 @@
     step_coordinator coordinator_;
 };
 
-TEST_F(step_home_test, a_step_is_placed_finished_and_received) {
+TEST_F(step_coordinator_test, a_step_is_placed_finished_and_received) {
     EXPECT_EQ(open(1, 2).slots, 2U);
     advance_time(20);
     ASSERT_EQ(placed_.size(), 2U);
@@ -138,7 +138,7 @@
 
 // The response to a pull is lost, so the trainer pulls again and still lists
 // the slot as missing. It must receive the same sample.
-TEST_F(step_home_test, a_lost_pull_answer_is_given_again) {
+TEST_F(step_coordinator_test, a_lost_pull_answer_is_given_again) {
     open(1, 1);
     advance_time(20);
     report(stream(0), done, {{0, 5, "a"}});
@@ -149,7 +149,8 @@
 // A trainer process crashes after it listed a slot as received, and its
 // successor starts the step again. Unless the sample is generated again, the
 // successor waits for it forever.
-TEST_F(step_home_test, a_slot_that_is_no_longer_listed_is_generated_again) {
+TEST_F(step_coordinator_test,
+       a_slot_that_is_no_longer_listed_is_generated_again) {
     open(1, 1);
     advance_time(20);
     report(stream(0), done, {{0, 5, "a"}});
@@ -165,7 +166,7 @@
 
 // Two pulls of one step are pending at the same time. Only the trainer's latest
 // is served; the other one must end at once and not occupy a connection.
-TEST_F(step_home_test, a_later_pull_supersedes_a_waiting_one) {
+TEST_F(step_coordinator_test, a_later_pull_supersedes_a_waiting_one) {
     open(1, 1);
     advance_time(20);
     const auto first = pull(1);
@@ -177,7 +178,7 @@
 
 // An earlier pull arrives after a later one through another entry node. If it
 // replaced the later one, the trainer would lose its pending pull.
-TEST_F(step_home_test, an_earlier_pull_does_not_supersede_a_later_one) {
+TEST_F(step_coordinator_test, an_earlier_pull_does_not_supersede_a_later_one) {
     open(1, 1);
     advance_time(20);
     const auto later = pull(1);
@@ -191,7 +192,7 @@
 // New weights are published while a sample is running whose first chunk is then
 // two versions old. It would be discarded at its end, so it must be cancelled
 // at once.
-TEST_F(step_home_test, a_running_sample_that_became_stale_is_cancelled) {
+TEST_F(step_coordinator_test, a_running_sample_that_became_stale_is_cancelled) {
     open(1, 1);
     advance_time(20);
     report(stream(0), running, {{0, 5, "a"}});
@@ -204,7 +205,8 @@
 
 // A finished sample waits for a pull when a new version is published. The
 // trainer would learn from a sample outside its staleness bound.
-TEST_F(step_home_test, a_finished_sample_that_became_stale_is_not_delivered) {
+TEST_F(step_coordinator_test,
+       a_finished_sample_that_became_stale_is_not_delivered) {
     open(1, 1);
     advance_time(20);
     report(stream(0), done, {{0, 5, "a"}});
@@ -214,7 +216,7 @@
 
 // A new version is published while a pull waits, and then a sample of the old
 // version is reported. The pull names the old version, but the sample is stale.
-TEST_F(step_home_test, a_version_learnt_while_a_pull_waits_counts) {
+TEST_F(step_coordinator_test, a_version_learnt_while_a_pull_waits_counts) {
     open(1, 1);
     advance_time(20);
     const auto waiter = pull(1);
@@ -225,7 +227,7 @@
 
 // An operator lowers the staleness bound while a sample waits for a pull. From
 // then on the trainer must not receive it.
-TEST_F(step_home_test, the_bound_in_force_at_delivery_counts) {
+TEST_F(step_coordinator_test, the_bound_in_force_at_delivery_counts) {
     open(1, 1);
     advance_time(20);
     report(stream(0), done, {{0, 5, "a"}});
@@ -238,7 +240,8 @@
 // it because the pull has timed out. When the node resumes, it first reads a
 // report that arrived during the pause and does not know the newest version. It
 // must not deliver the sample.
-TEST_F(step_home_test, a_home_that_wakes_after_a_pulls_end_delivers_nothing) {
+TEST_F(step_coordinator_test,
+       a_home_that_wakes_after_a_pulls_end_delivers_nothing) {
     open(1, 1);
     advance_time(20);
     const auto waiter = pull(1, {}, 1000);
@@ -251,7 +254,8 @@
 // The home node is paused, its peers stop waiting for it, and a version is
 // published. When it resumes, it reads an old pull from its socket. It must not
 // deliver samples until its peers have sent the newest versions.
-TEST_F(step_home_test, a_resumed_node_waits_for_the_versions_of_its_peers) {
+TEST_F(step_coordinator_test,
+       a_resumed_node_waits_for_the_versions_of_its_peers) {
     open(1, 1);
     advance_time(20);
     report(stream(0), done, {{0, 5, "a"}});
@@ -263,7 +267,7 @@
     EXPECT_EQ(response_to(pull(1)).samples.size(), 1U);
 }
 
-TEST_F(step_home_test, a_pull_ends_without_samples_at_its_deadline) {
+TEST_F(step_coordinator_test, a_pull_ends_without_samples_at_its_deadline) {
     open(1, 1);
     const auto waiter = pull(1, {}, 200);
     advance_time(300);
@@ -273,7 +277,7 @@
 
 // A stream was reported missing, but a report of it arrives later. Its text
 // must not fill the slot of the next attempt, and the engine must stop it.
-TEST_F(step_home_test, the_report_of_a_given_up_attempt_is_not_taken) {
+TEST_F(step_coordinator_test, the_report_of_a_given_up_attempt_is_not_taken) {
     open(1, 1);
     advance_time(20);
     report(stream(0), wire::stream_state::missing);
@@ -288,7 +292,7 @@
 // An engine's home node refuses a stream that is running there without its
 // knowledge. The slot moves to another engine. If both streams had the same id,
 // the report of the first could be mistaken for one of the second.
-TEST_F(step_home_test, a_refused_slot_moves_under_a_new_attempt) {
+TEST_F(step_coordinator_test, a_refused_slot_moves_under_a_new_attempt) {
     open(1, 1);
     advance_time(20);
     coordinator_.on_placement_refused(now_, stream(0), 50);
@@ -305,7 +309,7 @@
 
 // An engine and its home node fail in the middle of a sample. The stream must
 // be requested again, and then the slot regenerated, or the step never ends.
-TEST_F(step_home_test,
+TEST_F(step_coordinator_test,
        an_unreported_stream_is_requested_again_then_regenerated) {
     open(1, 1);
     advance_time(100);
@@ -321,7 +325,7 @@
 
 // The previous home node of a trainer still receives reports after the trainer
 // has moved. If it cancelled the streams, the new home node would lose them.
-TEST_F(step_home_test, reports_for_an_unknown_step_cancel_nothing) {
+TEST_F(step_coordinator_test, reports_for_an_unknown_step_cancel_nothing) {
     open(1, 1);
     advance_time(20);
     coordinator_.release_trainers(
@@ -333,7 +337,7 @@
 
 // The home node of a trainer crashes. A sample that it requested finishes and
 // is reported to the new home node, which must not generate it again.
-TEST_F(step_home_test, a_new_home_takes_over_a_finished_stream) {
+TEST_F(step_coordinator_test, a_new_home_takes_over_a_finished_stream) {
     next_engine_ = "";
     open(1, 1);
     advance_time(20);
@@ -343,18 +347,18 @@
     EXPECT_EQ(samples[0].attempt, 3U);
 }
 
-TEST_F(step_home_test, a_pull_of_an_unknown_step_is_rejected) {
+TEST_F(step_coordinator_test, a_pull_of_an_unknown_step_is_rejected) {
     EXPECT_EQ(response_to(pull(9)).why, wire::reason::unknown_step);
 }
 
-TEST_F(step_home_test, an_unknown_trainer_is_rejected) {
+TEST_F(step_coordinator_test, an_unknown_trainer_is_rejected) {
     bound_.reset();
     EXPECT_EQ(open(1, 1).why, wire::reason::unknown_trainer);
 }
 
 // A trainer opens several steps while a pull of the first one waits. That pull
 // must be rejected, because its step was dropped.
-TEST_F(step_home_test, the_pull_of_a_dropped_step_is_rejected) {
+TEST_F(step_coordinator_test, the_pull_of_a_dropped_step_is_rejected) {
     open(1, 1);
     const auto waiter = pull(1);
     for (wire::step_number step = 2; step < 8; ++step) {
@@ -366,7 +370,7 @@
 
 // A peer of another release or a faulty engine sends malformed stream ids. They
 // must not terminate the process.
-TEST_F(step_home_test, malformed_stream_ids_are_ignored) {
+TEST_F(step_coordinator_test, malformed_stream_ids_are_ignored) {
     open(1, 1);
     advance_time(20);
     for (const char* text :
@@ -379,7 +383,7 @@
 
 // A report marks a sample as done but contains no text. If it were delivered,
 // the trainer would learn an empty sample.
-TEST_F(step_home_test, a_finished_sample_without_chunks_is_regenerated) {
+TEST_F(step_coordinator_test, a_finished_sample_without_chunks_is_regenerated) {
     open(1, 1);
     advance_time(20);
     report(stream(0), done);
@@ -388,7 +392,7 @@
     EXPECT_EQ(placed_.back().start.stream, stream(0, 1));
 }
 
-TEST_F(step_home_test, received_ranges_are_clipped_to_the_step) {
+TEST_F(step_coordinator_test, received_ranges_are_clipped_to_the_step) {
     open(1, 2);
     advance_time(20);
     constexpr auto max_slot = std::numeric_limits<wire::slot_index>::max();
--- a/packages/cluster/test/step_stragglers_test.cpp
+++ b/packages/cluster/test/step_stragglers_test.cpp
@@ -82,7 +82,7 @@
     EXPECT_EQ(placed_.back().start.stream, make_stream_id(trainer, 1, 9, 1));
 }
 
-TEST(engine_home_priority_test,
+TEST(engine_coordinator_priority_test,
      a_stream_with_a_raised_priority_is_started_again) {
     const base::engine_id engine("e1");
     engine_coordinator coordinator(base::node_id("n1"), {});
